--- a/emberlatch/core/__init__.py
+++ b/emberlatch/core/__init__.py
@@ -1,4 +1,4 @@
-"""The decision module: it is notified of every event and makes every choice, without I/O."""
+"""The decision module: receives every event and makes every dispatch decision, without any I/O."""
 
 from emberlatch.core.rules import Forwarder
 
--- a/emberlatch/core/actions.py
+++ b/emberlatch/core/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what a forwarder wants done, in the order in which it returns them. Durations are in seconds."""
+"""Actions that a forwarder returns for its caller to execute in order. Durations are in seconds."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Call a target with a message. With a `timeout` of 0 the attempt may last to the message's deadline."""
+    """Send a message to a target. With a `timeout` of 0 the attempt may last until the message's deadline."""
 
     ref: int
     target: Target
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerFired at or after a time."""
+    """Request a `TimerFired` event at or after the time `at`."""
 
     at: float
     token: int = 0
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Check a target's health without a message."""
+    """Check a target's health without sending a message."""
 
     target: Target
 
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
-    """Send bytes to one other forwarder, or to all (None)."""
+    """Send bytes to the forwarder numbered `peer`, or to all other forwarders if `peer` is None."""
 
     peer: int | None
     data: bytes
@@ -71,21 +71,21 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line for the operators' log."""
+    """Write a line to the operators' log."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Subscribe to changes of the directory from now on, or unsubscribe."""
+    """Subscribe to directory changes if `active`, otherwise unsubscribe."""
 
     active: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Lookup:
-    """Ask the directory for the complete list once."""
+    """Request the complete endpoint list from the directory once."""
 
 
 Action = Send | Reject | Fail | Cancel | SetTimer | Probe | CloseIdle | SendToPeer | LogLine | Watch | Lookup
--- a/emberlatch/core/attempts.py
+++ b/emberlatch/core/attempts.py
@@ -1,4 +1,4 @@
-"""What the category of a message allows: another attempt, a rejection."""
+"""Decides whether a message's category allows another attempt or a rejection."""
 
 from __future__ import annotations
 
@@ -6,11 +6,15 @@
 from emberlatch.core.settings import Effect, Scope
 from emberlatch.core.state import Context
 
-DEDUP_MARGIN_S = 0.1  # an attempt arrives so long before its key is forgotten, at least
+# A repeated attempt must reach the endpoint at least this long before the endpoint drops the idempotency key.
+DEDUP_MARGIN_S = 0.1
 
 
 class AttemptPolicy:
-    """Decides what may be done with a message of which an attempt may have been executed. Owns no state."""
+    """Decides whether a message may be sent again or rejected when an earlier attempt may have been executed.
+
+    Has no state of its own.
+    """
 
     __slots__ = ("_context",)
 
@@ -18,7 +22,7 @@
         self._context = context
 
     def may_send(self, message: Message, endpoint: Endpoint) -> bool:
-        """Whether its next attempt may go to this endpoint."""
+        """Return whether the message's next attempt may go to this endpoint."""
         if message.call is not None or message.attempts >= message.max_attempts:
             return False
         unknown, category = message.unknown_outcomes, message.category
@@ -34,14 +38,17 @@
         return self.is_within_dedup_window(message)
 
     def is_within_dedup_window(self, message: Message) -> bool:
-        """Whether the keys of all attempts with an unknown outcome will still be known to endpoints."""
+        """Return whether endpoints will still recognize the keys of all attempts with an unknown outcome."""
         context = self._context
         latest = context.now + DEDUP_MARGIN_S + 2 * context.settings.decision_interval
         window = message.category.dedup_window
         return all(latest < attempt.sent_at + window for attempt in message.unknown_outcomes)
 
     def may_reject(self, message: Message) -> bool:
-        """Whether it may be rejected: that promises that it is safe to submit it again."""
+        """Return whether the message may be rejected.
+
+        A rejection promises the client that submitting the message again is safe.
+        """
         category = message.category
         if message.call is not None:
             return False
@@ -52,7 +59,10 @@
         return self.is_within_dedup_window(message)
 
     def has_attempt_left(self, message: Message) -> bool:
-        """Whether its category allows another attempt: an endpoint for it may be listed at any time."""
+        """Return whether the category allows another attempt.
+
+        A suitable endpoint does not have to be listed now: one may be listed at any time.
+        """
         if message.attempts >= message.max_attempts:
             return False
         effect = message.category.effect
@@ -61,6 +71,6 @@
         return effect is Effect.KEYED and self.is_within_dedup_window(message)
 
     def tolerates_unknown_outcome(self, message: Message) -> bool:
-        """Whether it can go on if its attempt in flight may have been executed."""
-        has_attempt = message.attempts < message.max_attempts
-        return has_attempt and message.category.effect is not Effect.UNSAFE
+        """Return whether another attempt is possible if the attempt in flight may have been executed."""
+        has_remaining_attempt = message.attempts < message.max_attempts
+        return has_remaining_attempt and message.category.effect is not Effect.UNSAFE
--- a/emberlatch/core/bulkhead.py
+++ b/emberlatch/core/bulkhead.py
@@ -1,4 +1,4 @@
-"""The bulkhead: call slots, and how many of them one destination may lease."""
+"""The bulkhead: limits how many of the forwarder's call slots one destination may lease."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 
 from emberlatch.core.records import Call, Pool
 
-POOL_HEADROOM = 1.5  # pool size over peak rate times latency
+# Ratio of a pool's lease limit to the concurrency it needs at peak (peak rate times latency).
+POOL_HEADROOM = 1.5
 
 
 class Bulkhead:
     """Owns the call slots.
 
     Attributes:
-        free_slots: for new calls; below 0 for a while if fewer are configured than are leased.
-        unhealthy_calls: calls in flight on unhealthy routes of all pools.
-        healthy_pool_limit, unhealthy_pool_limit: what one pool may lease at most.
+        free_slots: slots available for new calls; negative while more slots are leased than are configured.
+        unhealthy_calls: calls in flight on the unhealthy routes of all pools.
+        healthy_pool_limit, unhealthy_pool_limit: maximum number of slots that one pool may lease.
     """
 
     __slots__ = ("free_slots", "healthy_pool_limit", "unhealthy_calls", "unhealthy_pool_limit")
@@ -30,12 +31,16 @@
         self.unhealthy_pool_limit = max(1, slots // 2)
 
     def resize(self, old_slots: int, new_slots: int) -> None:
-        """There are `new_slots` from now on."""
+        """Change the number of slots from `old_slots` to `new_slots`."""
         self.free_slots += new_slots - old_slots
         self._set_limits(new_slots)
 
     def lease_limit(self, pool: Pool) -> int:
-        """How many leases a pool may have: by its peak rate and latency, or what it has grown to."""
+        """Return the maximum number of leases for a pool.
+
+        This is its peak concurrency with headroom or its adaptive limit, whichever is larger, but at most the
+        limit for healthy or for unhealthy pools.
+        """
         wanted = math.ceil(max(pool.peak_rate, pool.window_arrivals) * pool.baseline_latency * POOL_HEADROOM)
         wanted += pool.latency_samples > 0
         cap = self.unhealthy_pool_limit if pool.unhealthy else self.healthy_pool_limit
@@ -43,22 +48,22 @@
 
     @property
     def has_unhealthy_quota(self) -> bool:
-        """Whether another call may go on an unhealthy route.
+        """Return whether another call may use an unhealthy route.
 
-        Several unhealthy destinations, each within its own limit, could hold every slot between them: all
-        calls on unhealthy routes share one half of the slots.
+        Several unhealthy destinations, each within its own limit, could occupy every slot together. Therefore
+        all calls on unhealthy routes share one half of the slots.
         """
         return self.unhealthy_calls < self.unhealthy_pool_limit
 
     def on_call_started(self, call: Call) -> None:
-        """A call has leased a slot."""
+        """Count the slot that a new call leases."""
         route = call.endpoint.route
         self.free_slots -= 1
         self.unhealthy_calls += route.unhealthy
         route.pool.unhealthy_calls += route.unhealthy
 
     def count_unhealthy(self, pool: Pool) -> None:
-        """Count a pool's calls on unhealthy routes anew."""
+        """Recount a pool's calls on unhealthy routes."""
         count = sum(len(route.calls) for route in pool.routes if route.unhealthy)
         self.unhealthy_calls += count - pool.unhealthy_calls
         pool.unhealthy_calls = count
--- a/emberlatch/core/calls.py
+++ b/emberlatch/core/calls.py
@@ -1,4 +1,4 @@
-"""The calls in flight, and what their outcomes mean for the messages in them."""
+"""The table of calls in flight, and the handling of their outcomes."""
 
 from __future__ import annotations
 
@@ -15,16 +15,19 @@
 from emberlatch.core.records import Call, Message, UncertainAttempt
 from emberlatch.core.state import Context
 
-OVERTAKING_CALLS = 3  # answered before one that was sent earlier, from which on it is not just slow
+# A call is taken to be stuck, not just slow, once this many later calls were answered before it.
+OVERTAKING_CALLS = 3
 MAX_BACKOFF_DOUBLINGS = 5
 STILL_RUNNING = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
 """Results after which the attempt may still be running."""
-BACKED_OFF = (Result.FULL, Result.CONNECT_FAILED, Result.NOT_EXECUTED, Result.ERROR)
+BACKOFF_RESULTS = (Result.FULL, Result.CONNECT_FAILED, Result.NOT_EXECUTED, Result.ERROR)
+"""Results after which the next attempt waits for a backoff."""
 NOT_EXECUTED = (Result.FULL, Result.CONNECT_FAILED, Result.NOT_EXECUTED)
+"""Results that prove that the attempt was not executed."""
 
 
 class CallTable:
-    """Owns the calls in flight, by message and attempt."""
+    """Owns the calls in flight, keyed by message ref and attempt number."""
 
     __slots__ = (
         "_attempts",
@@ -52,16 +55,16 @@
         self.in_flight: dict[tuple[int, int], Call] = {}
 
     def add(self, call: Call, message: Message) -> None:
-        """The next attempt of a message is in this call."""
+        """Add a message's next attempt to a call."""
         self.in_flight[message.ref, message.attempts] = call
         call.add(message)
         self._queue.key_order.on_sent(message)
 
     def on_outcome(self, event: Outcome) -> None:
-        """An attempt has ended: its message ends with it, waits for the next one, or is given up."""
+        """Handle the end of an attempt: complete its message, queue it for another attempt, or end it."""
         call = self.in_flight.pop((event.ref, event.attempt), None)
         if call is None:
-            if event.closed:  # late, and yet it is delivered
+            if event.closed:  # a late outcome of an unknown call, but its message is completed
                 self._queue.remove(event.ref)
             return
         message = call.messages.pop((event.ref, event.attempt))
@@ -89,9 +92,12 @@
         self._endpoints.close_idle_connections(call.endpoint, result)
 
     def _requeue(self, message: Message, call: Call, result: Result) -> None:
-        """Let a message wait for its next attempt, after a backoff where others come as well."""
+        """Queue a message for its next attempt, after a backoff if the result requires one.
+
+        After FULL and ERROR the backoff doubles with each attempt, because other callers retry there as well.
+        """
         context, entry = self._context, call.endpoint.entry
-        if result in BACKED_OFF:
+        if result in BACKOFF_RESULTS:
             backoff = RETRY_BACKOFF_S
             if result in (Result.FULL, Result.ERROR):
                 backoff *= 2 ** min(message.attempts, MAX_BACKOFF_DOUBLINGS)
@@ -103,9 +109,10 @@
             self._queue.finish(message)
 
     def _cancel_overtaken(self, answered: Call) -> None:
-        """Cancel calls that hold a lease though later ones are answered: their connections do not respond.
+        """Cancel late calls that later calls to the same endpoint have overtaken, if their leases are needed.
 
-        An endpoint answers its calls in their order, however late: what is only slow is not overtaken.
+        An endpoint answers its calls in the order in which they were sent, even if it is slow. An overtaken
+        call therefore has a connection that does not respond.
         """
         context, route = self._context, answered.endpoint.route
         if not context.settings.cancel:
@@ -115,19 +122,23 @@
         for call in list(route.calls):
             if call.sent_at >= answered.sent_at:
                 break
-            if call.endpoint is not answered.endpoint:  # each answers in an order of its own
+            if call.endpoint is not answered.endpoint:  # order of answers is defined per endpoint only
                 continue
             call.overtaken_by += 1
             if is_lease_wanted and call.overtaken_by >= OVERTAKING_CALLS and self._is_late(call, timeout):
                 context.actions += [Cancel(ref, attempt) for ref, attempt in call.messages]
 
     def _is_late(self, call: Call, timeout: float) -> bool:
-        """Whether a call may be given up; one whose messages take long by themselves gets more time."""
+        """Return whether a call is late and may be cancelled.
+
+        The time-out doubles with each earlier unknown outcome, because the message itself may be slow to
+        execute.
+        """
         unknown = max((len(message.unknown_outcomes) for message in call.messages.values()), default=0)
         if self._context.now - call.sent_at <= timeout * 2.0**unknown:
             return False
-        return all(map(self._can_go_on, call.messages.values()))
+        return all(map(self._can_lose_attempt, call.messages.values()))
 
-    def _can_go_on(self, message: Message) -> bool:
+    def _can_lose_attempt(self, message: Message) -> bool:
         is_open = message.ref in self._queue.open_messages
         return is_open and self._attempts.tolerates_unknown_outcome(message)
--- a/emberlatch/core/events.py
+++ b/emberlatch/core/events.py
@@ -1,6 +1,6 @@
-"""Events: what a forwarder is notified of.
+"""Events that the caller passes to a forwarder.
 
-Times are seconds on one clock of the caller's that never runs backwards; durations are seconds, too.
+Times are in seconds on the caller's monotonic clock; durations are in seconds.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 from emberlatch.core.settings import Settings, Terms
 
 Target = bytes
-"""An endpoint, named by an opaque value that the caller chooses."""
+"""Opaque name of an endpoint, chosen by the caller."""
 
 
 class Result(IntEnum):
-    """How an attempt or a health check ended."""
+    """Result of an attempt or a health check."""
 
     OK = 100
     ERROR = 301
     FULL = 302
-    """The endpoint rejected it for lack of capacity: it was not executed."""
+    """The endpoint rejected the attempt for lack of capacity and did not execute it."""
     TIMEOUT = 303
     CONNECT_FAILED = 304
     RESET = 305
     CANCELLED = 306
     NOT_EXECUTED = 307
-    """It was not executed, for a reason that says nothing about the endpoint."""
+    """The attempt was not executed, for a reason unrelated to the endpoint's health."""
 
 
 class Phase(IntEnum):
-    """What the directory says of an endpoint."""
+    """State of an endpoint in the directory."""
 
     DRAINING = 0
     READY = 1
@@ -40,7 +40,7 @@
 
 
 class ListKind(IntEnum):
-    """What a directory update brings."""
+    """Type of a directory update."""
 
     CACHED = 1
     FAILED = 2
@@ -50,7 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """An endpoint as the directory lists it. `needs_slow_start`: it is known to be new."""
+    """An endpoint as the directory lists it.
+
+    `needs_slow_start`: the endpoint is known to be new, so its call rate must grow gradually.
+    """
 
     target: Target
     destination: int
@@ -61,15 +64,16 @@
     weight: float = 1.0
     needs_slow_start: bool = False
     max_concurrency: float = math.inf
-    """Calls that it executes at once, if that is known."""
+    """Maximum number of calls that the endpoint executes concurrently; infinity if unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A message was submitted; one final answer is owed within `remaining`.
+    """A client submitted a message, which must get one final answer within `remaining` seconds.
 
-    `key` orders it (0: not at all); `resubmitted`: its client submits it again; `inherited`: it comes from a
-    forwarder that died or did not answer.
+    `key`: messages with the same ordering key are delivered in order; 0: no ordering. `resubmitted`: the
+    client has submitted the message before. `inherited`: the message was taken over from a forwarder that
+    died or did not answer.
     """
 
     ref: int
@@ -86,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownOutcome:
-    """An attempt of an earlier incarnation, `age` seconds ago, that may have been executed."""
+    """An attempt that an earlier incarnation sent `age` seconds ago and that may have been executed."""
 
     target: Target
     zone: int
@@ -95,11 +99,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Recovered:
-    """A message that was accepted by an earlier incarnation of this forwarder is still owed its answer.
+    """A message that an earlier incarnation of this forwarder accepted and did not answer.
 
-    Its next attempt is number `attempts`. Calls that were in flight when that incarnation ended are unknown
-    outcomes. `terms` are those of its acceptance; without them, those of its category now hold. `relayed`:
-    its last attempt is in flight in the previous process, and no unknown outcome.
+    `attempts`: number of the message's next attempt. `unknown_outcomes` include the calls that were in flight
+    when that incarnation ended. `terms`: the terms at acceptance; if None, the current terms of the category
+    apply. `relayed`: the last attempt is still in flight in the previous process and is therefore not an
+    unknown outcome.
     """
 
     arrival: Arrival
@@ -111,10 +116,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverReceived:
-    """This forwarder continues from the state of another process: what its `handover_state` returned.
+    """This forwarder continues from `state`, which `handover_state` returned in the previous process.
 
-    It comes after the endpoint list and the messages that were recovered, in the same turn. The calls in it
-    are still in flight; their outcomes come as if they had been sent from here.
+    The event follows the endpoint list and the recovered messages in the same turn. The calls in the state
+    are still in flight; their outcomes arrive as if this forwarder had sent the calls.
     """
 
     state: Mapping[str, object]
@@ -122,9 +127,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """These settings hold from now on. Categories are numbered anew; accepted messages keep their terms.
+    """New settings apply from now on. Categories may be renumbered; accepted messages keep their terms.
 
-    What endpoint lists and calls are read by (kinds, zones, routes, rules) does not change.
+    Settings by which endpoint lists and calls are interpreted (kinds, zones, routes, rules) do not change.
     """
 
     settings: Settings
@@ -132,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stopping:
-    """The forwarder ends at `at`: no call starts that is not expected to complete by then."""
+    """The forwarder shuts down at the time `at`; it starts only calls expected to complete by then."""
 
     at: float
 
@@ -149,9 +154,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """An attempt has ended; `closed`: its message has ended, too.
+    """An attempt has ended.
 
-    `retry_after`: the endpoint asked for no calls for so long; `report`: values of `Settings.report_fields`.
+    `closed`: the message has its final answer. `retry_after`: seconds for which the endpoint asked to get no
+    calls. `report`: values of the `Settings.report_fields`.
     """
 
     ref: int
@@ -177,23 +183,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """No client waits for this message any more."""
+    """The client no longer waits for this message."""
 
     ref: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was set is due."""
+    """A timer requested by `SetTimer` is due."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class DirectoryUpdate:
-    """An update of the endpoint list; a FAILED one has no entries.
+    """An update of the endpoint list; an update of kind FAILED has no entries.
 
-    `overdue`: by the directory's terms a change may be in force that was not received.
+    `overdue`: under the rules of the directory, a change that was not received may already be in force.
     """
 
     kind: ListKind
@@ -204,12 +210,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectoryMoved:
-    """The directory is at another address from now on: it has not been asked anything there."""
+    """The directory has a new address, to which no request has been sent yet."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerRetryAfter:
-    """An endpoint asked another forwarder of the same sender for no calls for `retry_after` from now."""
+    """An endpoint asked another forwarder of the same sender to send no calls for `retry_after` from now."""
 
     target: Target
     retry_after: float
@@ -217,7 +223,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Another forwarder has sent this."""
+    """Bytes received from the forwarder numbered `origin`."""
 
     origin: int
     data: bytes
