--- a/emberlatch/core/handover.py
+++ b/emberlatch/core/handover.py
@@ -1,8 +1,8 @@
-"""The state that the next process continues from: plain values, in a form that other versions read.
+"""The state that one process hands over to the next: plain values, in a form that other versions can read.
 
-Each table maps a record's field to its key. Keys stay when a field is renamed. Times are on the clock of both
-processes' event loops. Unknown keys are ignored, and a field without a key keeps its initial value: the two
-versions may differ.
+Each table maps a record's field to its key in the state. A key stays the same when its field is renamed.
+Times are on the clock that the event loops of both processes share. The two processes may run different
+versions: unknown keys are ignored, and a field whose key is missing keeps its initial value.
 """
 
 from __future__ import annotations
@@ -17,25 +17,31 @@
 if TYPE_CHECKING:
 
     class EndpointState(TypedDict):
-        """What was learnt of an endpoint; the keys of ENDPOINT_KEYS beside it."""
+        """Values learned about an endpoint; it also has the keys of ENDPOINT_KEYS."""
 
         target: str
 
     class RouteState(TypedDict):
-        """A route; the keys of ROUTE_KEYS beside it."""
+        """A route; it also has the keys of ROUTE_KEYS."""
 
         bucket: Sequence[float]
         endpoints: Sequence[EndpointState]
 
     class PoolState(TypedDict):
-        """A destination; the keys of POOL_KEYS beside it. `demand`: the rate, and when it was updated."""
+        """A destination; it also has the keys of POOL_KEYS.
+
+        `demand`: the demand rate and the time of its last update.
+        """
 
         destination: int
         demand: Sequence[float]
         routes: Sequence[RouteState]
 
     class CallState(TypedDict):
-        """A call in flight; of each message in it: its ref, the attempt, and its ordering key."""
+        """A call in flight.
+
+        `messages`: ref, attempt number and ordering key of each message in the call.
+        """
 
         target: str
         destination: int
@@ -47,12 +53,12 @@
         messages: Sequence[tuple[int, int, int]]
 
     class MessageState(TypedDict):
-        """What the journal does not hold of a message; the keys of MESSAGE_KEYS beside it."""
+        """Values of a message that the journal does not store; it also has the keys of MESSAGE_KEYS."""
 
         ref: int
 
     class ModuleState(TypedDict):
-        """All of it; the keys of CONGESTION_KEYS and SUBMISSION_KEYS beside it."""
+        """The complete state; it also has the keys of CONGESTION_KEYS and SUBMISSION_KEYS."""
 
         pools: Sequence[PoolState]
         messages: Sequence[MessageState]
@@ -101,12 +107,12 @@
 
 
 def to_state(record: object, keys: Mapping[str, str]) -> dict[str, object]:
-    """The values of a record's fields, by their keys."""
+    """Return the values of a record's fields by their keys in the state."""
     return {key: getattr(record, name) for name, key in keys.items()}
 
 
 def restore(record: object, keys: Mapping[str, str], state: Mapping[str, object]) -> None:
-    """Set the fields whose keys are there, where a value is of the kind that the record has."""
+    """Set each field of a record from the state, unless its key is missing or its value has another type."""
     for name, key in keys.items():
         value, current = state.get(key), getattr(record, name)
         is_same_kind = isinstance(value, bool) == isinstance(current, bool)
@@ -116,12 +122,12 @@
 
 
 def module_state(state: Mapping[str, object]) -> ModuleState:
-    """The state of another process, whose form the takeover has validated."""
+    """Return the state of another process as its type; the takeover has already validated its form."""
     return cast("ModuleState", state)
 
 
 def pools_state(pools: Mapping[int, Pool]) -> list[dict[str, object]]:
-    """What was learnt of each destination, its routes and their endpoints."""
+    """Return the values learned about each destination, its routes and their endpoints."""
     return [
         to_state(pool, POOL_KEYS)
         | {"destination": destination, "demand": [pool.demand.value, pool.demand.updated_at]}
@@ -142,9 +148,10 @@
 def restore_pools(
     states: Sequence[PoolState], pools: Mapping[int, Pool], endpoints: Mapping[Target, Endpoint]
 ) -> None:
-    """Take over what was learnt of the destinations and routes that are listed now.
+    """Restore the values learned about the destinations and routes that are listed now.
 
-    A state that cannot be read costs what was learnt of that destination, and nothing else.
+    If the state of a destination cannot be read, the rest of that destination's state is skipped; all other
+    destinations are still restored.
     """
     for state in states:
         try:
@@ -170,12 +177,12 @@
 
 
 def messages_state(messages: Mapping[int, Message]) -> list[dict[str, object]]:
-    """What the journal does not hold of messages."""
+    """Return the values of messages that the journal does not store."""
     return [to_state(message, MESSAGE_KEYS) | {"ref": ref} for ref, message in messages.items()]
 
 
 def calls_state(calls: Mapping[tuple[int, int], Call]) -> Iterator[dict[str, object]]:
-    """The calls in flight, with the messages that have no outcome yet."""
+    """Yield the state of each call in flight, with its messages that have no outcome yet."""
     for call in dict.fromkeys(calls.values()):
         entry = call.endpoint.entry
         yield {
@@ -191,6 +198,6 @@
 
 
 def entry_of_call(state: CallState) -> Entry:
-    """The endpoint of a call, as one that the directory lists no more."""
+    """Return the endpoint of a call as an entry that the directory no longer lists."""
     target = str(state["target"]).encode()
     return Entry(target, state["destination"], Phase.GONE, state["kind"], state["zone"])
--- a/emberlatch/core/health.py
+++ b/emberlatch/core/health.py
@@ -1,6 +1,7 @@
-"""The health of routes: when one is ejected and reinstated, by outcomes, lack of response and health checks.
+"""Route health: ejects and reinstates routes by call outcomes, missing responses and health checks.
 
-An ejected route gets trial calls. One that serves again may be in slow start, and gets few calls for a while.
+An ejected route gets trial calls only. A route that serves again may be put in slow start, which limits its
+call rate for some time.
 """
 
 from __future__ import annotations
@@ -22,17 +23,20 @@
 from emberlatch.core.slow_start import SlowStart
 from emberlatch.core.state import Context
 
-SLOW_LATENCY_RATIO = 3.0  # a route is slow at this multiple of its baseline latency
-SINGLE_CALL_TIMEOUTS = 1.5  # of a single call without a response, in response time-outs
-EXHAUSTED_LIMIT_SHARE = 0.3  # left, under which a limit explains a rejection (reports lag and are noisy)
-LIVENESS_S = 1.0  # a success proves for so long that an endpoint serves
-OUTAGE_GAP_S = 2.0  # between two successes so close fits no outage
-RATE_DECREASE, RATE_INCREASE = 0.8, 0.03  # change of the send rate by a rejection, by a success
-RATE_DECREASE_AT_LIMIT = 0.95  # by a success that reports that the limit is used up
-POOL_DECREASE = 0.7  # change of a pool's adaptive limit by a failure
-KNOWN_ROUTE_SAMPLES = 30  # successes from which on a destination is known, so that one sign is enough
-REPEATED_FAILURES = 3  # of a kind that comes one by one in health, too
-RETRY_BACKOFF_S = 0.05  # doubled by each attempt where others come as well
+SLOW_LATENCY_RATIO = 3.0  # a route is slow above this multiple of its pool's baseline latency
+# A single call without a response shows that its route hangs after this many response time-outs.
+SINGLE_CALL_TIMEOUTS = 1.5
+# If a smaller share of the rate limit remains, the limit explains a rejection. The value is well above 0
+# because reports of the remaining share lag and are noisy.
+EXHAUSTED_LIMIT_SHARE = 0.3
+LIVENESS_S = 1.0  # time for which a success proves that an endpoint serves
+OUTAGE_GAP_S = 2.0  # shortest gap between two successes that may contain an outage
+RATE_DECREASE, RATE_INCREASE = 0.8, 0.03  # send rate: factor at a rejection, relative step at a success
+RATE_DECREASE_AT_LIMIT = 0.95  # send rate: factor at a success that reports a nearly exhausted rate limit
+POOL_DECREASE = 0.7  # factor for a pool's adaptive limit at each failure
+KNOWN_ROUTE_SAMPLES = 30  # successes after which a destination's latency is known and one failure suffices
+REPEATED_FAILURES = 3  # consecutive failures needed for results that also occur singly on a healthy route
+RETRY_BACKOFF_S = 0.05  # doubled with each attempt after results where other callers retry as well
 RECENT_LATENCY_WEIGHT, BASELINE_LATENCY_WEIGHT = 0.3, 0.03
 RETRY_AFTER_JITTER = 0.3
 
@@ -46,7 +50,7 @@
 
 
 class RouteHealth:
-    """Ejects and reinstates routes, and adapts their send rates and the limits of their pools."""
+    """Ejects and reinstates routes; adapts their send rates and the adaptive limits of their pools."""
 
     __slots__ = ("_bulkhead", "_congestion", "_context", "_slow_start")
 
@@ -57,11 +61,11 @@
         self._congestion = congestion
 
     def check(self, pool: Pool) -> None:
-        """Eject what does not respond, probe what may be tried, and see which routes are unhealthy."""
+        """Eject a pool's unresponsive routes, send due health checks, and mark which routes are unhealthy."""
         now, is_unhealthy = self._context.now, False
         for route in pool.routes:
             if route.calls and not route.ejected and now >= self.response_timeout_at(route):
-                self.eject(route, EjectionReason.NO_RESPONSE)  # earlier than any time-out of a call
+                self.eject(route, EjectionReason.NO_RESPONSE)  # before the time-out of any of its calls
             if route.ejected and pool.waiting and self._context.settings.probes:
                 self._probe(route)
             is_slow = route.recent_latency > SLOW_LATENCY_RATIO * pool.baseline_latency > 0
@@ -80,12 +84,12 @@
             self._context.actions.append(Probe(self._context.random.choice(targets)))
 
     def response_timeout_at(self, route: Route) -> float:
-        """When the lack of a response to any of its calls in flight says that a route hangs."""
+        """Return when missing responses to its calls in flight will show that a route hangs."""
         timeout, pool = route.pool.response_timeout(), route.pool
         calls = iter(route.calls)
         hangs_at = math.inf
         oldest = next(calls)
-        if pool.latency_samples >= KNOWN_ROUTE_SAMPLES:  # else it may just be slow
+        if pool.latency_samples >= KNOWN_ROUTE_SAMPLES:  # otherwise the destination may just be slow
             hangs_at = oldest.sent_at + SINGLE_CALL_TIMEOUTS * timeout
         second = next(calls, None)
         if second is not None:
@@ -93,7 +97,7 @@
         return max(hangs_at, route.last_success_at + timeout, self._context.stalled_at + timeout)
 
     def eject(self, route: Route, reason: EjectionReason) -> None:
-        """Take a route out of use, but for trials; a new reason takes the place of an earlier one."""
+        """Stop sending calls to a route except trials. A new reason replaces an earlier one."""
         if not route.ejected:
             self._context.log(route, f"ejected after {reason.text}")
         route.ejected, route.probe_passed, route.extra_trial_allowed = True, False, False
@@ -102,29 +106,34 @@
         route.next_trial_at = self._slow_start.next_call_at(route)
 
     def reinstate(self, route: Route) -> None:
-        """It serves. If it did not for long enough for an outage, it may be cold: slow start begins."""
+        """Mark a route as serving.
+
+        If it did not serve for long enough that there may have been an outage, its caches and pools may be
+        cold: slow start begins.
+        """
         now = self._context.now
-        was_out = (route.ejected or route.consecutive_failures) and (
+        had_outage = (route.ejected or route.consecutive_failures) and (
             now - max(route.last_success_at, route.slow_start_until) > OUTAGE_GAP_S
         )
-        # Where most calls fail and not all, that it served a moment ago does not say that it is warm.
-        was_out = was_out or (route.ejected and route.ejection_reason == EjectionReason.ERROR)
+        # If most calls fail but not all, a recent success does not show that the route is warm.
+        had_outage = had_outage or (route.ejected and route.ejection_reason == EjectionReason.ERROR)
         if route.ejected:
             self._context.log(route, "answers again")
         if route.ejection_reason == EjectionReason.FULL:
-            # It took nothing, which tells of no limit: the rejections count as one.
+            # Rejections of every call do not show where a rate limit is: count all of them as one.
             route.send_rate = max(route.send_rate, route.last_good_rate * RATE_DECREASE)
         extra_allowed = route.extra_trial_allowed
         route.ejected, route.probe_passed, route.extra_trial_allowed = False, False, False
         route.ejection_reason = EjectionReason.NONE
-        if was_out:
-            # It came back at some moment since its last failure. The guesses of many even out.
-            warm_for = (1 - self._slow_start.fair_share()) * (now - route.last_failure_at) / 2
-            route.slow_start_until = now + max(0.0, self._context.rules.slow_start - warm_for)
+        if had_outage:
+            # The route recovered at an unknown time since its last failure, on average half-way. The errors
+            # in the estimates of many forwarders even out; fewer forwarders assume less warm time.
+            estimated_warm_time = (1 - self._slow_start.fair_share()) * (now - route.last_failure_at) / 2
+            route.slow_start_until = now + max(0.0, self._context.rules.slow_start - estimated_warm_time)
             route.next_trial_at = now if extra_allowed else self._slow_start.next_call_at(route)
 
     def on_probe_result(self, endpoint: Endpoint, event: ProbeResult) -> None:
-        """A health check of an ejected route has ended."""
+        """Handle the end of a health check of an ejected route."""
         route = endpoint.route
         route.trial_in_flight = False
         route.read_report(self._context.settings.report_fields, event.report)
@@ -134,19 +143,22 @@
             self.eject(route, EjectionReason.PROBE_FAILED)
 
     def apply_retry_after(self, route: Route, seconds: float) -> None:
-        """A route asked for no calls: none goes there, with jitter, for others of ours wait as well."""
+        """Block a route that asked to get no calls for some seconds.
+
+        Add jitter, because other forwarders of the same sender wait for the end of the same period.
+        """
         context = self._context
         jitter = min(seconds, OUTAGE_GAP_S) * context.random.uniform(0.0, RETRY_AFTER_JITTER)
         jitter = context.settings.decision_interval + jitter
         route.blocked_until = max(route.blocked_until, context.now + seconds + jitter)
 
     def record_outcome(self, event: Outcome, call: Call) -> None:
-        """Learn from the outcome of one message of a call."""
+        """Update health, send rate and limits from the outcome of one message of a call."""
         context, result, endpoint = self._context, event.result, call.endpoint
         route, pool = endpoint.route, endpoint.route.pool
         route.trial_in_flight = route.trial_in_flight and not call.is_trial
         route.read_report(context.settings.report_fields, event.report)
-        if event.retry_after > 0:  # whatever the message
+        if event.retry_after > 0:  # applies to every message of a call, not only the first
             self.apply_retry_after(route, event.retry_after)
         self._congestion.record(result is Result.FULL)
         if result is Result.OK:
@@ -170,7 +182,7 @@
             self.reinstate(route)
             return
         if result is Result.TIMEOUT and max(route.last_success_at, endpoint.last_success_at) > call.sent_at:
-            return  # one slow message
+            return  # a success since the call was sent shows that only this message is slow
         route.last_failure_at = now
         route.failing_since = route.failing_since if route.consecutive_failures else now
         route.consecutive_failures += 1
@@ -178,13 +190,17 @@
             never_connected = result is Result.CONNECT_FAILED and event.elapsed > MIN_RESPONSE_TIMEOUT_S
             self.eject(route, EjectionReason.NO_RESPONSE if never_connected else EJECTION_REASONS[result])
         if result is Result.ERROR and (route.ejected or now < route.slow_start_until):
-            # The outage goes on: what went so far is no load on what will return. The next call may go at
-            # once, and one behind it: where only most calls fail, one that does not is no return yet.
+            # The outage continues, and the calls that failed so far are no load on the recovering route.
+            # The next call may follow after a short backoff, and one extra call after it: if only most calls
+            # fail, a single success does not show that the route has recovered.
             route.next_trial_at = now + RETRY_BACKOFF_S * self._context.random.uniform(0.5, 1.5)
             route.extra_trial_allowed = self._slow_start.is_frequent(route)
 
     def _is_short_of_capacity(self, result: Result, call: Call) -> bool:
-        """Whether the endpoint serves, but has no connection left for us, or we all use up its rate limit."""
+        """Return whether the endpoint serves but lacks capacity.
+
+        Either it has no free connection for this forwarder, or all forwarders together use up its limit.
+        """
         endpoint = call.endpoint
         if result is Result.CONNECT_FAILED and endpoint.last_success_at > call.sent_at - LIVENESS_S:
             endpoint.max_concurrency = max(1.0, endpoint.calls)
@@ -192,16 +208,16 @@
         return result is Result.FULL and endpoint.route.limit_left_share < EXHAUSTED_LIMIT_SHARE
 
     def _reduce_send_rate(self, route: Route, batched: int) -> None:
-        # Demand in calls of as many messages as this one.
+        # Demand in calls a second, if each carries as many messages as the rejected one.
         demand = route.demand_share(self._context.now) / (1 + batched)
         recent = max(demand, route.rate_limit / self._context.settings.forwarders / 2)
         route.send_rate = max(min(route.send_rate, 2 * recent), recent * MIN_RATE_SHARE) * RATE_DECREASE
 
     def _is_lasting(self, route: Route, result: Result) -> bool:
-        """Whether a row of failures is no bad luck, full table or lost response.
+        """Return whether consecutive failures show an outage and not chance, a full table or a lost response.
 
-        An ejection costs much where calls are rare, and to try once more at once is safe: what overloads is
-        what comes late, from many at a time.
+        An ejection is expensive for a route with few calls, and one more call sent immediately is safe:
+        overload comes from delayed calls that many forwarders send at the same time.
         """
         now, needed = self._context.now, REPEATED_FAILURES
         if result not in (Result.FULL, Result.ERROR, Result.RESET):
@@ -211,11 +227,11 @@
         return route.consecutive_failures >= needed and is_long
 
     def record_success(self, route: Route, elapsed: float) -> None:
-        """Take the latency in, reinstate the route and raise its send rate."""
+        """Record the latency of a success, reinstate the route and adapt its send rate."""
         pool, samples = route.pool, route.pool.latency_samples
         weight = RECENT_LATENCY_WEIGHT if route.recent_latency else 1.0
         route.recent_latency += (elapsed - route.recent_latency) * weight
-        if not samples or not route.unhealthy:  # the baseline must not learn from an outage
+        if not samples or not route.unhealthy:  # latencies during an outage must not raise the baseline
             pool.latency_samples = samples = samples + 1
             baseline = pool.baseline_latency
             bounded = min(elapsed, 2 * baseline or elapsed)
@@ -224,10 +240,10 @@
         route.consecutive_failures, route.last_success_at = 0, self._context.now
         route.unanswered_since = min((call.sent_at for call in route.calls), default=math.inf)
         if route.send_rate < math.inf and route.rate_limit and route.limit_left_share < EXHAUSTED_LIMIT_SHARE:
-            # Before any rejection: that would use up the limit, too.
+            # Reduce the rate before calls are rejected, because rejected calls also count against the limit.
             route.send_rate *= RATE_DECREASE_AT_LIMIT
         elif route.send_rate < math.inf:
-            # What all forwarders add together stays the same, however many there are.
+            # The increases of all forwarders add up to the same sum, whatever their number.
             step = RATE_INCREASE * (route.send_rate + self._slow_start.fair_share())
             route.send_rate = min(route.send_rate + step, route.rate_limit or math.inf)
         route.last_good_rate = route.send_rate
--- a/emberlatch/core/listing.py
+++ b/emberlatch/core/listing.py
@@ -1,4 +1,4 @@
-"""The endpoint list: what the directory says of endpoints, and how long removed ones bind."""
+"""The endpoint list: applies directory updates and keeps removed endpoints while they are still needed."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from emberlatch.core.slow_start import SlowStart
 from emberlatch.core.state import Context
 
-MIN_CONNECTION_REUSE = 5.0  # calls that an idle connection must serve to be worth its place
-CONNECTION_SHORTAGE_S = 30.0  # for which a refused connection counts as a shortage
+MIN_CONNECTION_REUSE = 5.0  # expected calls for which an idle connection is kept open during a shortage
+CONNECTION_SHORTAGE_S = 30.0  # time for which connections count as short after a failure to connect
 POLL_BACKOFF_S, MAX_POLL_BACKOFF_S, MIN_POLL_WAIT_S = 0.5, 4.0, 2.0
-POLL_INTERVAL_SHARE = 0.8  # of the longest interval that the rules allow
+POLL_INTERVAL_SHARE = 0.8  # ratio of the poll interval to the longest one that the rules allow
 WEIGHT_CONFIDENCE = {Weights.NOMINAL: 1.0, Weights.ROUGH: 0.7, Weights.OFF: 0.0, Weights.LIVE: 0.0}
-"""Share of a weight that is taken for the rate limit."""
+"""Share of an endpoint's weight that is used as its rate limit."""
 
 
 class DirectoryPoll:
-    """Owns the time at which the directory is asked next."""
+    """Owns the time of the next request to the directory."""
 
     __slots__ = ("_backoff", "_context", "next_at")
 
@@ -31,7 +31,7 @@
         self._backoff = POLL_BACKOFF_S
 
     def on_update(self, kind: ListKind) -> None:
-        """Back off after a failure; otherwise ask again before the rules' interval is over."""
+        """Schedule the next request, after a backoff if this one failed, else within the rules' interval."""
         context = self._context
         if kind is ListKind.FAILED:
             self.next_at = context.now + self._backoff
@@ -41,12 +41,12 @@
             self.next_at, self._backoff = context.now + interval, POLL_BACKOFF_S
 
     def on_moved(self) -> None:
-        """The backoff that failures at the old address have earned does not hold at the new one."""
+        """Request the list at once, because failures at the old address say nothing about the new one."""
         if self._context.settings.must_poll_directory:
             self.next_at, self._backoff = self._context.now, POLL_BACKOFF_S
 
     def ask_if_due(self) -> None:
-        """Ask the directory if it is time."""
+        """Request the endpoint list if a request is due."""
         context = self._context
         if context.now >= self.next_at:
             context.actions.append(Watch(True))
@@ -54,13 +54,13 @@
 
 
 class EndpointList:
-    """Owns the endpoints: adds, describes and forgets them.
+    """Owns the endpoints: adds, updates and removes them.
 
     Attributes:
-        endpoints: the listed ones, and removed ones that something still binds.
-        retired: the removed ones of these.
-        is_overdue: an endpoint may be draining though no update of it was received.
-        connections_short_until: by kind: until when its endpoints count as short of connections.
+        endpoints: listed endpoints, and removed ones that are still needed (see `_forget_retired`).
+        retired: the endpoints among these that are no longer listed.
+        is_overdue: an endpoint may be draining although no update about it was received.
+        connections_short_until: by kind, the time until which endpoints count as short of connections.
     """
 
     __slots__ = (
@@ -83,7 +83,7 @@
         self.connections_short_until: dict[int, float] = {}
 
     def on_update(self, event: DirectoryUpdate) -> None:
-        """Apply an update of the directory."""
+        """Apply a directory update."""
         self.is_overdue = event.overdue
         self.poll.on_update(event.kind)
         if event.kind in (ListKind.CACHED, ListKind.FULL):
@@ -109,10 +109,11 @@
         self._pools.mark_dirty(entry.destination)
 
     def _forget_retired(self) -> None:
-        """What is removed has no part in its pool, in demand, health or limits; calls keep what they need.
+        """Remove retired endpoints from their pools, so that they do not affect demand, health or limits.
 
-        A retry-after binds to its end, also if the target is listed again before. Only what was removed is
-        looked at: a list of many thousands must not be walked for a change of one entry.
+        Calls in flight keep their own reference to the endpoint. An endpoint stays while a retry-after blocks
+        its route, because the retry-after applies even if the target is listed again before its end. Only
+        retired endpoints are checked: a change of one entry must not cost a scan of many thousands.
         """
         now = self._context.now
         for target, endpoint in list(self.retired.items()):
@@ -133,13 +134,13 @@
         self._update(endpoint, entry)
         route = endpoint.route
         route.rate_limit = entry.weight * WEIGHT_CONFIDENCE[context.settings.weights]
-        if entry.needs_slow_start and route.endpoints == [endpoint]:  # a route in use stays as it is
+        if entry.needs_slow_start and route.endpoints == [endpoint]:  # not for a route already in use
             route.slow_start_until = context.now + context.rules.slow_start
             route.next_trial_at = self._slow_start.next_call_at(route)
         return endpoint
 
     def _update(self, endpoint: Endpoint, entry: Entry) -> None:
-        """Take what the list says of it, also where that has changed since it was added."""
+        """Apply the values of a new or changed list entry to its endpoint."""
         settings, kind = self._context.settings, entry.kind
         confidence = WEIGHT_CONFIDENCE[settings.weights]
         if confidence and entry.weight != endpoint.entry.weight:
@@ -154,16 +155,19 @@
         return any(self._context.settings.separate_routes[kind : kind + 1])
 
     def endpoint_of_call(self, entry: Entry) -> Endpoint:
-        """Where a call went; a target that was removed since is there until the call has its outcome."""
+        """Return the endpoint of a call from the previous process.
+
+        If its target is no longer listed, add it as a retired endpoint.
+        """
         if entry.target not in self.endpoints:
             endpoint = self.retired[entry.target] = self._add(entry)
             endpoint.in_service, endpoint.removed = False, True
         return self.endpoints[entry.target]
 
     def close_idle_connections(self, endpoint: Endpoint, result: Result) -> None:
-        """Close those of an endpoint after a call, if connections are short.
+        """Close the idle connections of an endpoint after a call if connections are short and reuse is rare.
 
-        Idle connections of many forwarders, each seldom used, fill a table that takes few.
+        The rarely used idle connections of many forwarders can fill an endpoint's small connection table.
         """
         context, kind, route = self._context, endpoint.entry.kind, endpoint.route
         if result is Result.CONNECT_FAILED:
--- a/emberlatch/core/messages.py
+++ b/emberlatch/core/messages.py
@@ -1,4 +1,4 @@
-"""The messages that are owed an answer: how each is accepted, waits and ends."""
+"""The open messages: accepts them, limits how long they wait, and ends them."""
 
 from __future__ import annotations
 
@@ -16,21 +16,23 @@
 from emberlatch.core.state import Context
 from emberlatch.core.waiting import SubmissionStatistics, WaitPolicy
 
-PEAK_RETENTION = 0.95  # share of a peak rate that is left a second later
-ANSWER_MARGIN_S = 0.005  # and two decision intervals: between the last answer and the deadline
-RESUBMITTED_TOLERANCE_S = 0.1  # a message with so much less time than its category allows is resubmitted
-SHED_SHARE = 20  # one in so many of the open messages is shed at a time
-RETRY_AFTER_MARGIN_S = 0.1
+PEAK_RETENTION = 0.95  # factor by which a peak rate decays each second
+# A message is answered at least this long and two decision intervals before its deadline.
+ANSWER_MARGIN_S = 0.005
+# A message whose remaining time is shorter than its category's deadline by more than this is a resubmission.
+RESUBMITTED_TOLERANCE_S = 0.1
+SHED_SHARE = 20  # denominator of the share of open messages that is shed at a time (1/20)
+RETRY_AFTER_MARGIN_S = 0.1  # added to the estimated time in which the backlog is processed
 
 
 class MessageQueue:
-    """Owns the open messages, and the order of those that have one.
+    """Owns the open messages and the delivery order of those with an ordering key.
 
     Attributes:
-        open_messages: by their refs, from acceptance to the final answer.
-        key_order: the order of messages of the same key.
-        submissions: whether clients submit again.
-        waits: the policy by which messages wait.
+        open_messages: messages by ref, from acceptance to the final answer.
+        key_order: delivery order of messages with the same key.
+        submissions: counts of rejected and resubmitted messages.
+        waits: policy that limits how long messages wait.
     """
 
     __slots__ = (
@@ -71,7 +73,7 @@
             self._accept(event, Terms(settings.categories[event.category], settings.max_attempts))
 
     def on_recovered(self, event: Recovered) -> None:
-        """Go on where an earlier incarnation ended: what was in flight then may have been executed."""
+        """Accept a message of an earlier incarnation, with its attempts that may have been executed."""
         settings, arrival = self._context.settings, event.arrival
         terms = Terms(settings.categories[arrival.category], settings.max_attempts)
         message = self._accept(arrival, event.terms or terms)
@@ -95,7 +97,9 @@
         pool.count_arrival(now, PEAK_RETENTION)
         if not message.resubmitted:
             pool.demand.add(now, DEMAND_WINDOW_S)
-            for route in pool.routes:  # drawn anew: a random gap has no memory
+            # Demand has changed, so draw the random gap to the next trial again. Gaps are exponentially
+            # distributed: drawing one again does not change their distribution.
+            for route in pool.routes:
                 if route.next_trial_at > now and route.demand_share(now) * context.rules.overload_window < 1:
                     route.next_trial_at = self._slow_start.next_call_at(route)
         self.open_messages[event.ref] = pool.waiting[event.ref] = message
@@ -103,35 +107,38 @@
         return message
 
     def expire_waiting(self, pool: Pool) -> None:
-        """End the messages of a pool that have waited long enough, have no prospect, or no time left."""
+        """End a pool's messages that used up their time or attempts or cannot be expected to be delivered."""
         if not pool.waiting:
             return
         now, waits = self._context.now, self.waits
         limit, is_bounded, outage = waits.limit(pool), waits.is_bounded, waits.outage_routes(pool)
-        trials_left = sum(not route.trial_in_flight for route in pool.routes)
+        available_trials = sum(not route.trial_in_flight for route in pool.routes)
         for message in list(pool.waiting.values()):
-            is_over = now >= message.answer_due_at or message.attempts >= message.max_attempts
+            is_expired = now >= message.answer_due_at or message.attempts >= message.max_attempts
             has_waited = is_bounded and not message.resubmitted and now >= waits.ends_at(message, pool, limit)
-            is_waiting = not (is_over or has_waited)
+            is_waiting = not (is_expired or has_waited)
             if outage and is_waiting and now >= waits.undeliverable_from(message, pool, outage):
-                # Some stay: otherwise nobody would find out that it serves again.
-                has_waited, trials_left = trials_left <= 0, trials_left - 1
-            if is_over or (has_waited and self._attempts.may_reject(message)):
+                # Keep one message for each possible trial call, which finds out when a route serves again.
+                has_waited, available_trials = available_trials <= 0, available_trials - 1
+            if is_expired or (has_waited and self._attempts.may_reject(message)):
                 self.finish(message)
 
     def shed_load(self) -> None:
-        """Nearly full: reject the messages of least value, before all are rejected whatever their value."""
+        """Reject the messages of least value when the limit of open messages is nearly reached.
+
+        At the limit, new messages would be rejected whatever their value.
+        """
         context, open_cap = self._context, self._context.settings.open_cap
         surplus = len(self.open_messages) - open_cap + max(1, open_cap // SHED_SHARE)
         if surplus <= 0:
             return
-        found = [message for message in self.open_messages.values() if self._attempts.may_reject(message)]
-        found.sort(key=lambda message: message.value_at(context.now + 1, context.settings.decay))
-        for message in found[:surplus]:
+        rejectable = [m for m in self.open_messages.values() if self._attempts.may_reject(m)]
+        rejectable.sort(key=lambda message: message.value_at(context.now + 1, context.settings.decay))
+        for message in rejectable[:surplus]:
             self.finish(message)
 
     def finish(self, message: Message) -> None:
-        """End a message: reject it where that is safe, otherwise fail it."""
+        """End a message: reject it if that is safe, otherwise fail it."""
         context = self._context
         if self._attempts.may_reject(message):
             self.submissions.rejected += not message.resubmitted
@@ -148,7 +155,7 @@
         self.remove(message.ref)
 
     def remove(self, ref: int) -> None:
-        """Forget a message that has its answer."""
+        """Remove an answered message."""
         message = self.open_messages.pop(ref, None)
         if message is not None:
             self._pools.mark_dirty(message.destination).waiting.pop(ref, None)
@@ -156,6 +163,6 @@
             self.wake_next(message.key)
 
     def wake_next(self, key: int) -> None:
-        """The next message of an ordering key may be sent now."""
+        """Mark the pool of an ordering key's next message as dirty, because it may be sent now."""
         for ref in self.key_order.head(key):
             self._pools.mark_dirty(self.open_messages[ref].destination)
--- a/emberlatch/core/placing.py
+++ b/emberlatch/core/placing.py
@@ -1,4 +1,4 @@
-"""Dispatch: which waiting message is sent now, and where."""
+"""Dispatch: chooses which waiting messages are sent now, and to which endpoints."""
 
 from __future__ import annotations
 
@@ -19,19 +19,22 @@
 from emberlatch.core.slow_start import SlowStart
 from emberlatch.core.state import Context
 
-BATCH_ITEM_COST = 0.35  # what each additional message adds to a call; an estimate, for kinds differ
-RETRY_HORIZON_S = 2.0  # for which a message that is passed over is thought to wait for its next chance
-WAIT_PENALTY = 1.1  # weight of a message's value now against that at the horizon
-FEE_WEIGHT = 20.0  # a route with a fee is as good as a free one that is this much slower per point of fee
-MIN_ATTEMPT_TIMEOUT_S, ATTEMPT_TIMEOUT_LATENCIES = 2.0, 20.0  # a slow message is not lost
-SHUTDOWN_MARGIN_LATENCIES = 3.0  # latencies that a call is given to end before the forwarder does
+# Latency that each additional message adds to a call, relative to a call with one message. This is an
+# estimate, because endpoint kinds differ.
+BATCH_ITEM_COST = 0.35
+RETRY_HORIZON_S = 2.0  # assumed delay until the next chance to send a message that gets no lease now
+WAIT_PENALTY = 1.1  # weight of a message's value if sent now, relative to its value after RETRY_HORIZON_S
+FEE_WEIGHT = 20.0  # the cost of an endpoint is its delay times (1 + FEE_WEIGHT * fee)
+# Time-out of an attempt: generous, because a slow message is not necessarily lost.
+MIN_ATTEMPT_TIMEOUT_S, ATTEMPT_TIMEOUT_LATENCIES = 2.0, 20.0
+SHUTDOWN_MARGIN_LATENCIES = 3.0  # time between the start of a call and shutdown, in latencies, at least
 MIN_LATENCY_S = 0.01
 
 
 class Dispatcher:
-    """Gives free leases to messages, and messages to endpoints.
+    """Assigns free leases to messages and messages to endpoints.
 
-    It owns the calls of the present turn that take more messages (`_open_batches`, by target).
+    Owns the calls of the present turn to which more messages can be added (`_open_batches`, by target).
     """
 
     __slots__ = (
@@ -65,7 +68,7 @@
         self._open_batches: dict[Target, Call] = {}
 
     def dispatch(self) -> None:
-        """Free leases go to the waiting messages with the most value at stake for the time a lease takes."""
+        """Give free leases to the waiting messages that lose most value by waiting, per second of lease."""
         self._open_batches = {}
         ranked: list[tuple[float, Message]] = []
         for pool in self._pools.dirty.values():
@@ -81,35 +84,35 @@
                 and not self._assign(message, pool)
                 and not message.unknown_outcomes
             ):
-                full.add(pool)  # where a message that may go anywhere finds no endpoint, none does
+                full.add(pool)  # no other message finds an endpoint if one that may use any did not
 
     def _has_lease(self, pool: Pool) -> bool:
         bulkhead = self._bulkhead
         return bulkhead.free_slots > 0 and pool.leases < bulkhead.lease_limit(pool)
 
     def _rank(self, pool: Pool, ranked: list[tuple[float, Message]]) -> None:
-        """Add the messages of a pool that may be sent, each with its value at stake by second of a lease.
+        """Add a pool's sendable messages to `ranked`, with the value lost by waiting per second of lease.
 
-        Those that can travel together need one lease between them.
+        Messages that can be sent in one call share the cost of its lease.
         """
         now, decay = self._context.now, self._context.settings.decay
         if not any(self._accepts_call(route) for route in pool.routes):
-            return  # before all that wait are ranked in vain
+            return  # no route can take a call, so ranking the messages would be wasted work
         lease = max(pool.baseline_latency, *(route.recent_latency for route in pool.routes), MIN_LATENCY_S)
         if now + SHUTDOWN_MARGIN_LATENCIES * lease > self._context.shutdown_at:
             return
-        sent_in_time, passed_over = now + lease, now + lease + RETRY_HORIZON_S
+        delivered_at, delivered_later_at = now + lease, now + lease + RETRY_HORIZON_S
         is_next = self._key_order.is_next
         due = [m for m in pool.waiting.values() if m.not_before <= now and is_next(m, now)]
-        together = min(max(route.max_batch() for route in pool.routes), max(1, len(due)))
-        lease *= (1 + BATCH_ITEM_COST * (together - 1)) / together
+        batch_size = min(max(route.max_batch() for route in pool.routes), max(1, len(due)))
+        lease *= (1 + BATCH_ITEM_COST * (batch_size - 1)) / batch_size
         for message in due:
-            stake = WAIT_PENALTY * message.value_at(sent_in_time, decay)
-            stake -= message.value_at(passed_over, decay)
+            stake = WAIT_PENALTY * message.value_at(delivered_at, decay)
+            stake -= message.value_at(delivered_later_at, decay)
             ranked.append((stake / lease, message))
 
     def _assign(self, message: Message, pool: Pool) -> bool:
-        """Send a message by the route that costs least, if there is a lease and a route for it."""
+        """Send a message to the endpoint with the lowest cost; return False if none can take it now."""
         endpoint = self._choose_endpoint(message, pool)
         if endpoint is None:
             return False
@@ -154,9 +157,10 @@
         return call
 
     def _attempt_timeout(self, message: Message, route: Route) -> float:
-        """Seconds for an attempt; 0: to the deadline.
+        """Return the time-out of an attempt in seconds; 0: none before the message's deadline.
 
-        Never shorter than an unknown outcome is worth: after one an unsafe message cannot be sent any more.
+        A time-out leaves an unknown outcome, after which an unsafe message cannot be sent again. Unsafe
+        messages and last attempts therefore have no time-out.
         """
         if message.category.effect is Effect.UNSAFE or message.attempts + 1 >= message.max_attempts:
             return 0.0
@@ -166,7 +170,7 @@
         return timeout * 2.0 ** len(message.unknown_outcomes)
 
     def _accepts_call(self, route: Route) -> bool:
-        """Whether another call may go there now: a trial if it is ejected, else by its send rate."""
+        """Return whether a route may get another call now: a trial if ejected, else by its send rate."""
         now = self._context.now
         if not route.ejected:
             has_token = self._rates.has_token(route)
@@ -175,5 +179,6 @@
         is_due = route.probe_passed if self._context.settings.probes else now >= route.next_trial_at
         if not is_due or route.trial_in_flight or now < route.blocked_until:
             return False
-        # What rejects while a drain may not have been received is likely to be what drains.
+        # If a directory update may be missing, an ejected route is probably draining. Do not call it unless
+        # all routes of the pool are ejected.
         return not self._endpoints.is_overdue or all(other.ejected for other in route.pool.routes)
--- a/emberlatch/core/pools.py
+++ b/emberlatch/core/pools.py
@@ -1,21 +1,21 @@
-"""The pools of all destinations, and which of them a turn has to look at."""
+"""The pools of all destinations, and which of them have to be processed in a turn."""
 
 from __future__ import annotations
 
 from emberlatch.core.records import DEMAND_WINDOW_S, Pool
 from emberlatch.core.timers import WakeupSchedule
 
-MIN_REMEMBERED_ARRIVALS = 0.01  # in the demand window, under which an unused pool is forgotten
+MIN_REMEMBERED_ARRIVALS = 0.01  # an unused pool with fewer arrivals in the demand window is removed
 
 
 class PoolTable:
     """Owns the pools.
 
     Attributes:
-        by_destination: a pool for each destination that is listed or used.
-        dirty: the pools that something happened to in this turn: they are looked at before it ends.
-        starved: the pools that wait for any free slot.
-        wakeups: when each destination needs a look though nothing is reported of it.
+        by_destination: the pool of each destination that is listed or used.
+        dirty: pools that changed in this turn and are processed before it ends.
+        starved: pools whose messages wait for a free slot.
+        wakeups: time at which each destination must be processed even without an event.
     """
 
     __slots__ = ("_routeless", "by_destination", "dirty", "starved", "wakeups")
@@ -28,11 +28,11 @@
         self._routeless: set[int] = set()  # destinations that may have a pool and no route
 
     def begin_turn(self) -> None:
-        """No pool is dirty."""
+        """Clear the dirty pools."""
         self.dirty = {}
 
     def mark_dirty(self, destination: int) -> Pool:
-        """The pool of a destination, which is looked at before the turn ends."""
+        """Mark the pool of a destination as dirty, creating it if needed, and return it."""
         pool = self.by_destination.get(destination)
         if pool is None:
             pool = self.by_destination[destination] = Pool()
@@ -41,25 +41,25 @@
         return pool
 
     def mark_starved_dirty(self) -> None:
-        """A slot is free: those that wait for one may use it."""
+        """Mark all starved pools as dirty, because a slot is free."""
         self.dirty.update(self.starved)
 
     def mark_due_dirty(self, now: float) -> None:
-        """Mark the destinations whose wake-up is due."""
+        """Mark the pools whose wake-up is due as dirty."""
         for destination in self.wakeups.pop_due(now):
             self.mark_dirty(destination)
 
     def mark_all_dirty(self) -> None:
-        """Look at all."""
+        """Mark all pools as dirty."""
         for destination in self.by_destination:
             self.mark_dirty(destination)
 
     def note_routeless(self, destination: int) -> None:
-        """A destination has lost its last route: its pool may be forgotten."""
+        """Record that a destination has lost its last route, so that its pool may be removed."""
         self._routeless.add(destination)
 
     def forget_unused(self, now: float) -> None:
-        """Forget pools without a route, a message, a call and any demand to speak of."""
+        """Remove pools without routes, messages, calls and significant demand."""
         for destination in list(self._routeless):
             pool = self.by_destination[destination]
             if pool.routes:
--- a/emberlatch/core/rates.py
+++ b/emberlatch/core/rates.py
@@ -1,4 +1,4 @@
-"""Rates over time: a token bucket and an average that decays. Times and durations are in seconds."""
+"""A token bucket and an exponentially decaying average rate. Times and durations are in seconds."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TokenBucket:
-    """Tokens that come at a rate, up to a depth. A new one holds one token."""
+    """A token bucket with a variable refill rate and depth. A new bucket contains one token."""
 
     __slots__ = ("refilled_at", "tokens")
 
@@ -17,17 +17,18 @@
         self.tokens, self.refilled_at = tokens, refilled_at
 
     def refill(self, now: float, rate: float, depth: float) -> float:
-        """Add the tokens since the last refill; return how many there are."""
+        """Add the tokens accrued since the last refill and return the number of tokens."""
         elapsed = min(max(now - self.refilled_at, MIN_REFILL_S), MAX_REFILL_S)
         self.tokens = min(depth, self.tokens + rate * elapsed)
         self.refilled_at = now
         return self.tokens
 
     def ready_at(self, rate: float) -> float:
-        """When there will be a token.
+        """Return when a token will be available.
 
-        For a full bucket that is in the past, even by the margin for rounding: otherwise a message that waits
-        for something else would set a timer that is due at once, again and again, on a clock without steps.
+        If a token is available already, return the time of the last refill without the rounding margin, so
+        that the result is not in the future. Otherwise a message that waits for something else would set a
+        timer that is due immediately, again and again, on a clock without steps.
         """
         if self.tokens >= 1:
             return self.refilled_at
@@ -35,7 +36,7 @@
 
 
 class DecayingRate:
-    """Events a second, an exponentially weighted average."""
+    """An exponentially weighted average of the number of events per second."""
 
     __slots__ = ("updated_at", "value")
 
@@ -43,9 +44,9 @@
         self.value, self.updated_at = 0.0, 0.0
 
     def at(self, now: float, window: float) -> float:
-        """The rate now, averaged over `window`."""
+        """Return the rate at `now`, averaged over `window` seconds."""
         return self.value * math.exp(-(now - self.updated_at) / window)
 
     def add(self, now: float, window: float) -> None:
-        """Count an event."""
+        """Count one event at `now`."""
         self.value, self.updated_at = self.at(now, window) + 1 / window, now
--- a/emberlatch/core/records.py
+++ b/emberlatch/core/records.py
@@ -1,6 +1,6 @@
-"""What a forwarder remembers of messages, calls, endpoints, routes and destinations. It decides nothing.
+"""Records of messages, calls, endpoints, routes and destinations, without any decision logic.
 
-Times are seconds on the caller's clock, latencies seconds, rates a second.
+Times are in seconds on the caller's clock, latencies in seconds, rates per second.
 """
 
 from __future__ import annotations
@@ -13,13 +13,14 @@
 from emberlatch.core.rates import DecayingRate, TokenBucket
 from emberlatch.core.settings import Terms, ValueDecay
 
-DEMAND_WINDOW_S = 10.0  # over which demand is averaged: longer than bursts, shorter than outages that matter
+# Demand is averaged over this time, which is longer than a burst and shorter than an outage that matters.
+DEMAND_WINDOW_S = 10.0
 MIN_RESPONSE_TIMEOUT_S, RESPONSE_TIMEOUT_LATENCIES = 0.8, 6.0
 MAX_IDLE_S = 60.0
 
 
 class EjectionReason(StrEnum):
-    """Why a route was ejected. The values are handed over to the next process: they stay."""
+    """Reason for a route's ejection. The values are part of the state handed over: do not change them."""
 
     NONE = ""
     FULL = "full"
@@ -32,7 +33,7 @@
 
     @property
     def text(self) -> str:
-        """The reason as the log gives it."""
+        """Return the reason as written to the log."""
         return REASON_TEXTS.get(self, self.value)
 
 
@@ -48,17 +49,17 @@
 
 
 class Message:
-    """A message that is owed one final answer.
+    """A message that must get one final answer.
 
     Attributes:
-        key: of its order among others; 0: none.
-        deadline_at: when its time is up.
-        answer_due_at: when it is answered at the latest, a margin before that.
-        on_time_until: until when a delivery meets its latency target.
-        resubmitted: its client submits it again, or it comes from a forwarder that died.
-        attempts: how many were made; also the number of the next one.
-        call: the one that it is in; None if it waits.
-        not_before: when the backoff of its last attempt ends.
+        key: ordering key; 0: the message is not ordered.
+        deadline_at: time after which the message has no value.
+        answer_due_at: latest time of its answer, a margin before the deadline.
+        on_time_until: time until which a delivery meets the latency target.
+        resubmitted: the client submitted the message again, or it was taken over from another forwarder.
+        attempts: number of attempts made; also the number of the next attempt.
+        call: the call that the message is in; None while it waits.
+        not_before: end of the backoff after its last attempt.
         unknown_outcomes: attempts that may have been executed.
     """
 
@@ -93,7 +94,7 @@
         self.unknown_outcomes: list[UncertainAttempt] = []
 
     def value_at(self, at: float, decay: ValueDecay) -> float:
-        """Its value by its category, if it is delivered at that time."""
+        """Return the value of a delivery at the time `at`, according to the message's category."""
         if at >= self.deadline_at:
             return 0.0
         category, late = self.category, at - self.on_time_until
@@ -108,15 +109,15 @@
 
 
 class Endpoint:
-    """A target of the directory, from its listing until nothing of it binds any more.
+    """An endpoint of the directory, kept after its removal until its route's retry-after has ended.
 
     Attributes:
-        in_service: whether new calls may go there.
-        removed: the directory lists it no more.
-        calls: how many are in flight.
-        max_concurrency: the connections that it seems to grant this forwarder.
-        batch_limit: messages in one call.
-        zone_fee: the fee of a call.
+        in_service: whether new calls may be sent to it.
+        removed: whether the directory no longer lists it.
+        calls: number of calls in flight.
+        max_concurrency: estimated number of connections that it accepts from this forwarder.
+        batch_limit: maximum number of messages in one call.
+        zone_fee: fee for one call.
     """
 
     __slots__ = (
@@ -141,7 +142,7 @@
         self.zone_fee = 0.0
 
     def start_call(self, now: float, is_trial: bool) -> Call:
-        """Lease a slot of the pool for a call from now on."""
+        """Start a call at `now`, which leases one slot from the pool."""
         call, route = Call(self, now, is_trial), self.route
         route.calls[call] = None
         route.pool.leases += 1
@@ -153,12 +154,12 @@
 
 
 class Call:
-    """A call in flight: one lease, one or more messages, one fate. `Endpoint.start_call` makes it.
+    """A call in flight, with one lease and one or more messages. `Endpoint.start_call` creates it.
 
     Attributes:
-        is_trial: it finds out whether an ejected route serves again.
-        failure_counted: its failure is counted; that of its other messages is the same one.
-        overtaken_by: calls of its endpoint that were sent after it and answered before it.
+        is_trial: whether the call tests if an ejected route serves again.
+        failure_counted: whether its failure is already counted; a call of many messages counts once.
+        overtaken_by: number of calls to its endpoint that were sent after it and answered before it.
     """
 
     __slots__ = ("endpoint", "failure_counted", "is_trial", "messages", "overtaken_by", "sent_at")
@@ -170,7 +171,7 @@
         self.overtaken_by = 0
 
     def add(self, message: Message) -> None:
-        """Take a message on, which waits no longer."""
+        """Add the next attempt of a waiting message to this call."""
         self.messages[message.ref, message.attempts] = message
         message.attempts, message.call = message.attempts + 1, self
         self.endpoint.route.pool.waiting.pop(message.ref, None)
@@ -184,24 +185,25 @@
 
 
 class Route:
-    """What has a rate limit, a send rate and a health of its own: one endpoint, or all of a destination.
+    """The unit of rate limiting and health: one endpoint, or all endpoints of a destination.
 
     Attributes:
-        calls: those in flight, in the order in which they were sent.
-        recent_latency: of late; 0: none is known.
-        failing_since: when the present row of `consecutive_failures` began.
-        last_failure_at: of its last failure or ejection.
-        blocked_until: until when it asked for no calls.
-        unanswered_since: since when it is called and has served nothing; infinity: it serves.
-        ejected: it gets no calls but trials.
-        unhealthy: ejected, in slow start, or slow.
-        probe_passed: a health check has passed since its ejection.
-        extra_trial_allowed: one call may go beside the slow-start rate: the last fell to the outage itself.
-        next_trial_at: when the next call may go, of one that is ejected or in slow start.
-        limit_left_share: of its rate limit, when it last reported it.
-        rate_limit: calls for all forwarders; 0: not known.
-        send_rate: calls that this forwarder allows itself; infinity: not bounded yet.
-        last_good_rate: the send rate at its last success.
+        calls: calls in flight, in the order in which they were sent.
+        recent_latency: moving average of the latency; 0: unknown.
+        failing_since: start of the current series of `consecutive_failures`.
+        last_failure_at: time of the last failure or ejection.
+        blocked_until: end of the retry-after; no calls are sent before it.
+        unanswered_since: time since which it has had calls and served none; infinity: it serves.
+        ejected: whether it gets no calls except trials.
+        unhealthy: whether it is ejected, in slow start, or slow.
+        probe_passed: whether a health check has passed since its ejection.
+        extra_trial_allowed: whether one call may exceed the slow-start rate, because the outage failed the
+            previous one.
+        next_trial_at: earliest time of the next call while it is ejected or in slow start.
+        limit_left_share: unused share of the rate limit in the last report.
+        rate_limit: calls per second allowed to all forwarders together; 0: unknown.
+        send_rate: calls per second that this forwarder sends at most; infinity: not limited yet.
+        last_good_rate: the send rate at the last success.
     """
 
     __slots__ = (
@@ -250,18 +252,21 @@
         self.token_bucket = TokenBucket()
 
     def read_report(self, fields: tuple[str, ...], values: tuple[float, ...]) -> None:
-        """Remember what a response reports of the rate limit: `x1` it, `x0` the share that is left."""
+        """Record the rate limit (`x1`) and its unused share (`x0`) from the report in a response."""
         report = dict(zip(fields, values, strict=False))
         if report.get("x1", 0.0) > 0:
             self.rate_limit, self.limit_left_share = report["x1"], report.get("x0", 1.0)
 
     def demand_share(self, now: float) -> float:
-        """Calls a second that this forwarder has for it. It may be far under one in the forwarder's lifetime,
-        and yet these shares sum to the demand of all forwarders, however unevenly they carry it."""
+        """Return this forwarder's demand for the route in calls per second.
+
+        It may amount to less than one call in the forwarder's lifetime. Even so, the demand of all forwarders
+        adds up to the total demand, however unevenly it is distributed.
+        """
         return self.pool.demand.at(now, DEMAND_WINDOW_S) / max(1, len(self.pool.routes))
 
     def max_batch(self) -> int:
-        """Messages in one call to the endpoint that takes the most."""
+        """Return the largest batch limit of its endpoints."""
         endpoints = self.endpoints
         if len(endpoints) == 1:
             return endpoints[0].batch_limit
@@ -272,13 +277,14 @@
     """The leases of one destination and the messages that wait for them.
 
     Attributes:
-        leases: calls in flight.
-        unhealthy_calls: those on unhealthy routes.
-        adaptive_limit: leases that successes and failures have brought it to.
-        baseline_latency: in health.
-        peak_rate: of arrivals; the counting second began at `window_start`, with `window_arrivals` so far.
-        demand: first submissions, not those of clients that come again.
-        unhealthy: one of its routes is.
+        leases: number of calls in flight.
+        unhealthy_calls: number of calls in flight on unhealthy routes.
+        adaptive_limit: limit of leases that successes raise and failures lower.
+        baseline_latency: latency while the routes are healthy.
+        peak_rate: decaying peak of arrivals per second.
+        window_start, window_arrivals: start of the current counting second and arrivals since then.
+        demand: rate of first submissions, without resubmissions.
+        unhealthy: whether one of its routes is unhealthy.
     """
 
     __slots__ = (
@@ -309,7 +315,7 @@
         self.unhealthy = False
 
     def add_endpoint(self, entry: Entry, is_separate: bool) -> Endpoint:
-        """A new endpoint, with a route of its own or on the one that all share."""
+        """Add an endpoint, on a route of its own if `is_separate`, otherwise on the shared route."""
         if is_separate or not self.routes:
             self.routes.append(Route(self))
         endpoint = Endpoint(entry, self.routes[-1])
@@ -317,7 +323,7 @@
         return endpoint
 
     def count_arrival(self, now: float, retention: float) -> None:
-        """Count an arrival; in each second the peak rate falls to `retention` of itself."""
+        """Count an arrival and decay the peak rate by the factor `retention` per second."""
         if now - self.window_start >= 1:
             idle = min(now - self.window_start, MAX_IDLE_S)
             self.peak_rate = max(self.window_arrivals / idle, self.peak_rate * retention**idle)
@@ -325,5 +331,5 @@
         self.window_arrivals += 1
 
     def response_timeout(self) -> float:
-        """How long after a call the lack of any response says that a route hangs."""
+        """Return the time without a response after which a call shows that its route hangs."""
         return max(MIN_RESPONSE_TIMEOUT_S, RESPONSE_TIMEOUT_LATENCIES * self.baseline_latency)
--- a/emberlatch/core/rules.py
+++ b/emberlatch/core/rules.py
@@ -1,24 +1,24 @@
 """The decision module: `Forwarder` takes events and returns actions. It does no I/O and has no clock.
 
-The ordinary path is a bulkhead: a call holds a lease of its destination's pool; a message that finds none
-waits a short while and is rejected. A ROUTE, which has its own rate limit, send rate and health, is one
-endpoint where routes are separate, else all of the destination.
+Calls are limited by a bulkhead: each call leases a slot from the pool of its destination, and a message that
+gets no lease within a short time is rejected. A route has its own rate limit, send rate and health. It
+consists of one endpoint if routes are separate, otherwise of all endpoints of the destination.
 
-Each part owns its fields and is asked by the others:
+Each part owns its fields; the other parts use them through it:
 
 | part | module | owns |
 | --- | --- | --- |
-| `Context` | state.py | settings, clock, random source, the turn's actions |
-| `PoolTable` | pools.py | the pools, which of them a turn looks at, wake-ups by destination |
+| `Context` | state.py | settings, current time, random source, the turn's actions |
+| `PoolTable` | pools.py | the pools, which of them a turn processes, wake-ups by destination |
 | `Bulkhead` | bulkhead.py | call slots |
-| `EndpointList`, `DirectoryPoll` | listing.py | endpoints, when the directory is asked |
-| `RouteHealth`, `SlowStart` | health.py, slow_start.py | nothing: they decide on records |
+| `EndpointList`, `DirectoryPoll` | listing.py | endpoints, time of the next directory request |
+| `RouteHealth`, `SlowStart` | health.py, slow_start.py | nothing: they update and read records |
 | `CongestionEstimate`, `RateControl` | send_rate.py | the congestion estimate |
-| `MessageQueue`, `KeyOrder` | messages.py, key_order.py | open messages, their order |
-| `WaitPolicy`, `SubmissionStatistics` | waiting.py | whether clients submit again |
-| `AttemptPolicy` | attempts.py | nothing: what a message's category allows |
+| `MessageQueue`, `KeyOrder` | messages.py, key_order.py | open messages, their delivery order |
+| `WaitPolicy`, `SubmissionStatistics` | waiting.py | counts of rejections and resubmissions |
+| `AttemptPolicy` | attempts.py | nothing: it reads messages and their categories |
 | `CallTable` | calls.py | calls in flight |
-| `Dispatcher` | placing.py | the turn's calls that take more messages |
+| `Dispatcher` | placing.py | calls of the turn to which messages can be added |
 | `WakeupPlanner`, `Timer` | wakeups.py, timers.py | the timer |
 """
 
@@ -61,9 +61,10 @@
 
 
 class Forwarder:
-    """Decides for one sender: takes what has happened and returns what to do.
+    """Makes the decisions of one sender: takes events and returns actions.
 
-    `handle` is the one way in. The properties are for reports and tests: their objects are not to be changed.
+    `handle` is the only entry point for events. The properties are for reports and tests, which must not
+    modify the returned objects.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -108,9 +109,10 @@
         }
 
     def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
-        """Take what has happened at `now` (seconds) and return what to do, in order.
+        """Process the events of one turn at `now` (seconds) and return the actions to execute, in order.
 
-        Raises what a defect of the module raises; `actions` holds then what was decided before.
+        An exception from a defect in this module is not caught. The property `actions` then contains the
+        actions that were decided before it.
         """
         context, pools = self.context, self.pool_table
         self.timer.on_turn(now)
@@ -135,36 +137,36 @@
 
     @property
     def actions(self) -> list[Action]:
-        """What the present or last turn has decided."""
+        """Return the actions of the present or last turn."""
         return self.context.actions
 
     @property
     def open_messages(self) -> Mapping[int, Message]:
-        """The messages that are owed an answer, by their refs."""
+        """Return the messages without a final answer, by ref."""
         return self.queue.open_messages
 
     @property
     def calls(self) -> Mapping[tuple[int, int], Call]:
-        """The calls in flight, by message and attempt."""
+        """Return the calls in flight, by message ref and attempt number."""
         return self.call_table.in_flight
 
     @property
     def pools(self) -> Mapping[int, Pool]:
-        """What is known of each destination."""
+        """Return the pool of each destination."""
         return self.pool_table.by_destination
 
     @property
     def endpoints(self) -> Mapping[Target, Endpoint]:
-        """The listed endpoints, and removed ones that something still binds."""
+        """Return the listed endpoints, and removed ones whose retry-after has not ended."""
         return self.endpoint_list.endpoints
 
     @property
     def free_slots(self) -> int:
-        """Slots for new calls."""
+        """Return the number of slots available for new calls."""
         return self.bulkhead.free_slots
 
     def handover_state(self) -> dict[str, object]:
-        """What the next process needs to continue from here, as plain values."""
+        """Return the state from which the next process continues, as plain values."""
         return (
             {
                 "pools": handover.pools_state(self.pools),
@@ -178,7 +180,7 @@
         )
 
     def _on_handover_received(self, event: HandoverReceived) -> None:
-        """Continue from the state of the process before: its calls in flight hold leases and slots here."""
+        """Continue from the state of the previous process; its calls in flight occupy leases and slots."""
         state = handover.module_state(event.state)
         for message_state in state["messages"]:
             if (message := self.open_messages.get(message_state["ref"])) is not None:
@@ -201,7 +203,10 @@
         handover.restore(self.queue.submissions, handover.SUBMISSION_KEYS, event.state)
 
     def _ended_message(self, ref: int, destination: int, key: int) -> Message:
-        """A message that has its answer while a call of it is in flight, which holds its slot and order."""
+        """Return a record for an answered message with a call in flight.
+
+        Its call occupies a slot, and an ordered message blocks its key, until the call has an outcome.
+        """
         categories = self.context.settings.categories
         ordered = (category for category in categories if category.ordered == (key != 0))
         terms = Terms(next(ordered, categories[0]), 1)
@@ -216,7 +221,7 @@
             self.health.on_probe_result(endpoint, event)
 
     def _on_peer_retry_after(self, event: PeerRetryAfter) -> None:
-        """Another forwarder was asked to wait: that binds this one as well, and they come back apart."""
+        """Apply a retry-after that another forwarder got; jitter makes them resume at different times."""
         endpoint = self.endpoints.get(event.target)
         if endpoint is not None and event.retry_after > 0:
             self.health.apply_retry_after(endpoint.route, event.retry_after)
@@ -226,7 +231,7 @@
         self.endpoint_list.poll.on_moved()
 
     def _on_settings_changed(self, event: SettingsChanged) -> None:
-        """Accepted messages keep their terms; what is asked of all of the forwarder changes at once."""
+        """Apply new settings at once to everything but accepted messages, which keep their terms."""
         self.bulkhead.resize(self.context.settings.slots, event.settings.slots)
         self.context.settings = event.settings
         self.pool_table.mark_all_dirty()
--- a/emberlatch/core/send_rate.py
+++ b/emberlatch/core/send_rate.py
@@ -1,6 +1,7 @@
-"""Send rates: how many calls a second a route gets, and whether one may go now.
+"""Send rates: limits the calls per second to each route.
 
-Quick rejections hold no lease, so the pool cannot feel them; a rate limit of our own does.
+A call that is rejected quickly frees its lease at once, so the lease limit of a pool does not slow down calls
+to a route that rejects them. A send rate does.
 """
 
 from __future__ import annotations
@@ -10,19 +11,22 @@
 from emberlatch.core.records import Route
 from emberlatch.core.state import Context
 
-INITIAL_SHARE_FACTOR = 1.5  # of an even share of a known limit, at first: others may need less than theirs
-MIN_RATE_SHARE, UNCONGESTED_RATE_SHARE = 0.5, 0.7  # of own demand: the least rate, and what is added to it
-CONGESTION_WEIGHT = 0.05  # of one call in the estimate
-CONGESTION_PENALTY = 6.0  # fall of the spare capacity by the share of rejected calls
+# The initial send rate is this multiple of an even share of a known limit, because other forwarders may need
+# less than their shares.
+INITIAL_SHARE_FACTOR = 1.5
+# Minimum send rate as a share of this forwarder's demand, and the share added to it if no calls are rejected.
+MIN_RATE_SHARE, UNCONGESTED_RATE_SHARE = 0.5, 0.7
+CONGESTION_WEIGHT = 0.05  # weight of one call in the moving average of rejected calls
+CONGESTION_PENALTY = 6.0  # decrease of the spare capacity per unit of the rejected share
 MIN_SEND_RATE = 1e-6
 
 
 class CongestionEstimate:
-    """Estimates by the share of our calls that are rejected as full how much capacity there is.
+    """Estimates the spare capacity from the share of this forwarder's calls that are rejected as full.
 
     Attributes:
-        rejected_share: of late, over all destinations.
-        spare_capacity: 1: next to none are rejected; 0: many are.
+        rejected_share: moving average of the share of rejected calls, over all destinations.
+        spare_capacity: from 1, if hardly any calls are rejected, to 0, if many are.
     """
 
     __slots__ = ("rejected_share", "spare_capacity")
@@ -31,13 +35,13 @@
         self.rejected_share, self.spare_capacity = 0.0, 1.0
 
     def record(self, is_rejected: bool) -> None:
-        """Take the outcome of a call in."""
+        """Update the estimate with the outcome of a call."""
         self.rejected_share += CONGESTION_WEIGHT * (is_rejected - self.rejected_share)
         self.spare_capacity = max(0.0, 1 - CONGESTION_PENALTY * self.rejected_share)
 
 
 class RateControl:
-    """Decides by its send rate whether a route that is not ejected may be called."""
+    """Decides by the send rate whether a route that is not ejected may be called."""
 
     __slots__ = ("_congestion", "_context")
 
@@ -45,9 +49,9 @@
         self._context, self._congestion = context, congestion
 
     def has_token(self, route: Route) -> bool:
-        """Whether the route's token bucket has a token now. A call takes it when it starts."""
+        """Return whether the route's token bucket has a token now. A call takes the token when it starts."""
         context = self._context
-        if route.send_rate == math.inf:  # a burst would run into a limit that is known before any rejection
+        if route.send_rate == math.inf:  # a burst could exceed a known limit before any call is rejected
             share = INITIAL_SHARE_FACTOR * route.rate_limit / context.settings.forwarders
             route.send_rate = share or math.inf
         rate, quota = self.rate(route), self.quota(route)
@@ -57,9 +61,11 @@
         return route.token_bucket.refill(context.now, rate, depth) >= 1
 
     def rate(self, route: Route) -> float:
-        """Calls a second: at least a share of our demand, all of it while few calls anywhere are rejected.
+        """Return the permitted calls per second.
 
-        Where many are, the least rate is that of full calls: messages that wait travel together.
+        The rate is at least a share of this forwarder's demand, and all of it while few calls to any
+        destination are rejected. The guaranteed share assumes full batches, because waiting messages are sent
+        in one call.
         """
         lowest = MIN_RATE_SHARE / route.max_batch() + UNCONGESTED_RATE_SHARE * self._congestion.spare_capacity
         rate = max(route.send_rate, lowest * route.demand_share(self._context.now), MIN_SEND_RATE)
@@ -67,5 +73,5 @@
         return min(rate, quota) if quota else rate
 
     def quota(self, route: Route) -> float:
-        """Our share of a known limit in calls a second, where shares are assigned; 0 where they are not."""
+        """Return this forwarder's share of a known limit in calls per second; 0 if no shares are assigned."""
         return self._context.settings.quota_share * route.rate_limit
--- a/emberlatch/core/settings.py
+++ b/emberlatch/core/settings.py
@@ -1,7 +1,7 @@
-"""Settings of the decision module: what a forwarder is configured with.
+"""Settings of the decision module.
 
-All times and durations are in seconds. Values are checked when an object is made; one that is impossible
-raises `SettingsError` with the configuration's name of the field.
+All times and durations are in seconds. Values are validated when an object is created. An invalid value
+raises `SettingsError` with the name of the field in the configuration.
 """
 
 from __future__ import annotations
@@ -12,40 +12,40 @@
 
 
 class SettingsError(ValueError):
-    """A setting is missing or impossible; the message names it."""
+    """A setting is missing or invalid; the error text has its name."""
 
 
 class Effect(Enum):
     """Whether a message may be executed more than once."""
 
     SAFE = "read_like"
-    """Any number of times."""
+    """The message may be executed any number of times."""
     KEYED = "idempotency_key"
-    """Endpoints drop a repeat by its idempotency key, within `Category.scope` and `dedup_window`."""
+    """Endpoints discard repeats by idempotency key, within `Category.scope` and `Category.dedup_window`."""
     UNSAFE = "non_idempotent"
-    """Once: after an attempt with an unknown outcome there is no other."""
+    """At most once: after an attempt with an unknown outcome no other attempt is made."""
 
 
 class Scope(Enum):
-    """Which endpoints of a destination drop the repeat of a keyed message."""
+    """Which endpoints of a destination recognize and discard a repeat of a keyed message."""
 
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
-    """Only the endpoint that had the first attempt."""
+    """Only the endpoint that received the first attempt."""
 
 
 class ValueDecay(Enum):
-    """How the value of a message falls once its latency target has passed."""
+    """How the value of a message decreases after its latency target."""
 
     LINE = "line"
-    """Linearly, from `value` to `late_value_share` of it at the deadline."""
+    """Linearly, from `value` at the latency target to `late_value_share` of it at the deadline."""
     HALVES = "halves"
-    """By half in each latency target after it, down to `late_value_share` of it."""
+    """By half in each period of one latency target after it, down to `late_value_share` of `value`."""
 
 
 class Weights(Enum):
-    """What an endpoint's weight in the directory says about its rate limit."""
+    """How reliably an endpoint's weight in the directory states its rate limit."""
 
     OFF = "off"
     NOMINAL = "nominal"
@@ -62,8 +62,8 @@
 class Category:
     """A class of message.
 
-    `value` weighs it against others; `latency_target` and `deadline` count from its acceptance. Messages of
-    an `ordered` category with the same key are delivered one by one, in the order of their acceptance.
+    `value` is its weight relative to other categories. `latency_target` and `deadline` count from acceptance.
+    Messages of an `ordered` category with the same key are delivered one at a time, in order of acceptance.
     """
 
     name: str
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer group, and the messages a second that are within its quota, over all forwarders."""
+    """A customer group. `allowance` is its quota in messages per second over all forwarders."""
 
     name: str
     allowance: float
@@ -100,11 +100,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Limits that hold for all forwarders of a destination together.
+    """Limits that apply to all forwarders of a destination together.
 
-    A destination that returns from an outage is in slow start for `slow_start` seconds: its capacity grows
-    from `slow_start_share` to all of it. It is overloaded by more than `overload_factor` times its capacity
-    in any `overload_window`.
+    After an outage a destination is in slow start for `slow_start` seconds. In this time its capacity grows
+    from `slow_start_share` of its full capacity to all of it. It is overloaded by calls above
+    `overload_factor` times its capacity in any period of `overload_window` seconds.
     """
 
     drain_grace: float = 0.0
@@ -115,7 +115,7 @@
     answer_slack: float = 0.0
     directory_poll_interval: float = math.inf
     order_quiet_period: float = 0.0
-    """After an attempt of an ordered message that may still be running, its key rests for so long."""
+    """Time without other messages of the same key after an ordered attempt that may still be running."""
 
     def __post_init__(self) -> None:
         _require(self.overload_factor > 0, "rules.fall-multiple", "over 0")
@@ -130,8 +130,8 @@
 class Settings:
     """The configuration of a forwarder.
 
-    `slots` bounds the calls in flight, `open_cap` the messages that have no answer yet. `separate_routes`,
-    `per_call` (messages in one call) are by an endpoint's kind, `zone_fees` by its zone.
+    `slots` limits the calls in flight, `open_cap` the messages without a final answer. `separate_routes` and
+    `per_call` (maximum number of messages in one call) are indexed by endpoint kind, `zone_fees` by zone.
     """
 
     categories: tuple[Category, ...]
@@ -165,13 +165,13 @@
     connect_timeout: float = 1.0
     connection_idle: float = 0.0
     quota_share: float = 0.0
-    """Share of each known rate limit that this forwarder uses at most, bursts included; 0: not bounded."""
+    """Maximum share of each known rate limit that this forwarder uses, including bursts; 0: no limit."""
     closed_categories: tuple[int, ...] = ()
-    """Categories of which new messages are rejected now, with `closed_retry_after`."""
+    """Categories whose new messages are rejected, with the retry-after `closed_retry_after`."""
     closed_retry_after: float = 0.0
     end_margin: float = 0.0
-    """Seconds before its deadline at which a message is answered at the latest; of one that was submitted
-    with little time left, a quarter of that time at most."""
+    """Seconds between the latest answer to a message and its deadline; at most a quarter of the time that the
+    message had when it was submitted."""
 
     def __post_init__(self) -> None:
         _require(bool(self.categories), "categories", "at least one")
@@ -187,7 +187,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """What binds a message from its acceptance to its end, whatever the settings say later."""
+    """Terms of a message from acceptance to final answer, unaffected by later changes of the settings."""
 
     category: Category
     max_attempts: int
--- a/emberlatch/core/slow_start.py
+++ b/emberlatch/core/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: how fast a route that returns from an outage may be called, over all forwarders.
+"""Slow start: limits the call rate of a route that recovers from an outage, over all forwarders.
 
-The rules allow a destination that returns a rate that it can take while its caches and pools are cold. No
-forwarder knows what the others send, so each takes its share of that.
+The rules state the rate that a recovering destination can process while its caches and pools are cold. No
+forwarder knows what the others send, so each uses its share of that rate.
 """
 
 from __future__ import annotations
@@ -11,9 +11,11 @@
 from emberlatch.core.records import EjectionReason, Route
 from emberlatch.core.state import Context
 
-SLOW_START_BUDGET = 0.75  # share of the load that overloads a returning route which all forwarders may use
-MIN_TRIAL_CALLS = 4.0  # calls in an overload window that all forwarders may send even to a small route
-UNCOORDINATED_FORWARDERS = 3  # so many may each do what one alone does; more share what these would do
+# All forwarders together may use this share of the load that would overload a recovering route.
+SLOW_START_BUDGET = 0.75
+MIN_TRIAL_CALLS = 4.0  # calls per overload window that all forwarders may send even to a small route
+# Up to this many forwarders may each act as if they were alone; more forwarders share what these may do.
+UNCOORDINATED_FORWARDERS = 3
 FAST_FAILURES = (
     EjectionReason.NONE,
     EjectionReason.FULL,
@@ -21,11 +23,11 @@
     EjectionReason.RESET,
     EjectionReason.CONNECT_FAILED,
 )
-"""Failures that cost a call next to no time."""
+"""Reasons for ejection in which a failed call takes almost no time."""
 
 
 class SlowStart:
-    """Decides how often a route may be called that is ejected or in slow start. Owns no state."""
+    """Decides how often a route that is ejected or in slow start may be called. Has no state of its own."""
 
     __slots__ = ("_context",)
 
@@ -33,30 +35,35 @@
         self._context = context
 
     def rate(self, route: Route) -> float:
-        """Our calls a second, by our share of what all forwarders may send there.
+        """Return the calls per second of this forwarder: its share of the rate allowed to all forwarders.
 
-        Many forwarders, each with a minimum, or all released by one retry-after, would overload it.
+        A route would be overloaded if many forwarders each had a minimum rate of their own, or if all of them
+        resumed together at the end of one retry-after.
         """
         context, rules = self._context, self._context.rules
-        left = max(route.slow_start_until - context.now, 0.0) if not route.ejected else math.inf
-        warm = 1 - (1 - rules.slow_start_share) * min(1.0, left / max(rules.slow_start, 1e-9))
+        remaining = max(route.slow_start_until - context.now, 0.0) if not route.ejected else math.inf
+        warm_share = 1 - (1 - rules.slow_start_share) * min(1.0, remaining / max(rules.slow_start, 1e-9))
         highest, forwarders = route.demand_share(context.now), context.settings.forwarders
         if route.ejection_reason in FAST_FAILURES:
-            # It takes what it is known for; but a trial that hangs costs messages dear.
+            # A failed trial is cheap, so the known rate limit counts as well. After other failures only the
+            # demand counts, because a trial that hangs delays its messages.
             highest = max(highest, route.rate_limit / forwarders / route.max_batch())
         lowest = MIN_TRIAL_CALLS / rules.overload_window / forwarders
-        return max(SLOW_START_BUDGET * rules.overload_factor * warm * highest, lowest)
+        return max(SLOW_START_BUDGET * rules.overload_factor * warm_share * highest, lowest)
 
     def is_frequent(self, route: Route) -> bool:
-        """Whether more than one call may go in an overload window."""
+        """Return whether more than one call per overload window is allowed."""
         return self.rate(route) * self._context.rules.overload_window > 1
 
     def next_call_at(self, route: Route) -> float:
-        """When our next call may go: after a random gap if calls are rare; it begins when a retry-after ends.
+        """Return when this forwarder may send its next call.
 
-        Where nothing is served a retry-after says when that ends, and all who were asked to wait come then:
-        as many as may always try go at once, of more each somewhere within its gap. Where calls are served it
-        tells of a rate limit, and who came at its end each time would only be rejected more.
+        The gap before it is random if calls are rare, and begins at the end of a retry-after.
+
+        On an ejected route, a retry-after states when the outage ends, and all forwarders that got it resume
+        then. Up to `MIN_TRIAL_CALLS` forwarders each call at once; of more, each calls at a random time in
+        its gap. On a route that serves calls, a retry-after indicates a rate limit: a forwarder that called
+        at its end each time would be rejected more often, so the gap is not shortened.
         """
         context = self._context
         rate = self.rate(route)
@@ -68,5 +75,5 @@
         return max(context.now, route.blocked_until) + gap
 
     def fair_share(self) -> float:
-        """Our share of what up to `UNCOORDINATED_FORWARDERS` may do each: 1; less for each of more."""
+        """Return 1 for up to `UNCOORDINATED_FORWARDERS` forwarders, and proportionally less for more."""
         return min(1.0, UNCOORDINATED_FORWARDERS / self._context.settings.forwarders)
--- a/emberlatch/core/state.py
+++ b/emberlatch/core/state.py
@@ -1,4 +1,4 @@
-"""What all parts of a forwarder read: its settings, the clock, its random source and the turn's actions."""
+"""State shared by all parts of a forwarder: settings, current time, random source and actions of the turn."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from emberlatch.core.records import Route
 from emberlatch.core.settings import Settings
 
-MAX_LOG_LINES = 60  # of one forwarder
+MAX_LOG_LINES = 60  # maximum number of lines that one forwarder logs
 
 
 class Context:
     """Shared by the parts of one forwarder. A turn is one call of `Forwarder.handle`.
 
     Attributes:
-        settings: those in force; `Forwarder` replaces them.
-        rules: those of its start: they do not change with the settings.
-        random: the one source of random numbers; the order of draws is part of the behaviour.
-        now: when the present turn takes place, in seconds; set by `Forwarder`.
-        actions: those of the present turn; parts append.
-        stalled_at: when the process itself last stood still; set by `Timer`.
-        shutdown_at: when the forwarder ends; set by `Forwarder`.
+        settings: current settings; `Forwarder` replaces them.
+        rules: rules at the start of the forwarder; they do not change with the settings.
+        random: the only source of random numbers; the order of draws is part of the behaviour.
+        now: time of the present turn in seconds; set by `Forwarder`.
+        actions: actions of the present turn; all parts append to it.
+        stalled_at: end of the last stall of the process itself; set by `Timer`.
+        shutdown_at: time at which the forwarder shuts down; set by `Forwarder`.
     """
 
     __slots__ = (
@@ -44,7 +44,7 @@
         self._logged_lines = 0
 
     def log(self, route: Route, text: str) -> None:
-        """Have a line about a route logged, unless there were too many."""
+        """Log a line about a route, unless the forwarder has already logged `MAX_LOG_LINES` lines."""
         if not route.endpoints:
             return
         entry = route.endpoints[0].entry
--- a/emberlatch/core/timers.py
+++ b/emberlatch/core/timers.py
@@ -1,4 +1,4 @@
-"""When the forwarder has to act though nothing is reported to it: wake-ups by destination, and one timer."""
+"""Wake-ups by destination and the single timer by which the forwarder acts without an external event."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from emberlatch.core.actions import SetTimer
 from emberlatch.core.state import Context
 
-STALL_S = 0.2  # a timer that fires so late says that the process itself stood still
-TIMER_ROUNDING_S = 1e-4  # clocks may be rounded
+STALL_S = 0.2  # a timer that fires later than this shows that the process itself was stalled
+TIMER_ROUNDING_S = 1e-4  # time by which a timer may fire early, because clocks may be rounded
 
 
 class WakeupSchedule:
-    """A due time for each of many numbers; the earliest is found without a walk."""
+    """Due times by number, in a heap, so that the earliest is found without a scan."""
 
     __slots__ = ("_due", "_heap")
 
@@ -22,34 +22,34 @@
         self._due: dict[int, float] = {}
 
     def schedule(self, number: int, at: float) -> None:
-        """Set the due time, in place of an earlier one; infinity: none."""
+        """Set the due time of a number, replacing its previous one; infinity: never due."""
         if self._due.get(number, math.inf) != at:
             self._due[number] = at
             if at < math.inf:
                 heapq.heappush(self._heap, (at, number))
 
     def cancel(self, number: int) -> None:
-        """Forget a number."""
+        """Remove a number and its due time."""
         self._due.pop(number, None)
 
     def next_due(self) -> float:
-        """The earliest due time."""
+        """Return the earliest due time, or infinity."""
         heap, due = self._heap, self._due
         while heap and due.get(heap[0][1]) != heap[0][0]:
             heapq.heappop(heap)
         return heap[0][0] if heap else math.inf
 
     def pop_due(self, now: float) -> list[int]:
-        """The numbers whose time has come; they are due no more."""
-        found = []
+        """Return the numbers that are due and clear their due times."""
+        due_numbers = []
         while self.next_due() <= now:
-            found.append(heapq.heappop(self._heap)[1])
-            self._due[found[-1]] = math.inf
-        return found
+            due_numbers.append(heapq.heappop(self._heap)[1])
+            self._due[due_numbers[-1]] = math.inf
+        return due_numbers
 
 
 class Timer:
-    """Owns the one timer that the caller runs for the forwarder."""
+    """Owns the single timer that the caller runs for the forwarder."""
 
     __slots__ = ("_context", "next_at", "token")
 
@@ -58,14 +58,14 @@
         self.next_at, self.token = math.inf, 0
 
     def on_turn(self, now: float) -> None:
-        """Note a stall of the process itself, and whether the timer that was set has fired."""
+        """Record a stall of the process itself, and clear the timer if it is due."""
         if now > self.next_at + STALL_S:
             self._context.stalled_at = now
         if now >= self.next_at - TIMER_ROUNDING_S:
             self.next_at = math.inf
 
     def set(self, due: float) -> None:
-        """Have it fire at `due`, if it is not set to an earlier time."""
+        """Set the timer to `due`, unless it is already set to an earlier time."""
         if due < self.next_at:
             self.next_at, self.token = due, self.token + 1
             self._context.actions.append(SetTimer(due, self.token))
--- a/emberlatch/core/view.py
+++ b/emberlatch/core/view.py
@@ -1,6 +1,6 @@
-"""What operators may see of the decision module: a snapshot that changes nothing.
+"""A read-only snapshot of the decision module for operators.
 
-The keys and states of the snapshot are those of `status` on the control socket: they stay.
+The keys and states are part of the `status` answer on the control socket: do not change them.
 """
 
 from __future__ import annotations
@@ -11,36 +11,36 @@
 from emberlatch.core.records import Endpoint, Pool, Route
 from emberlatch.core.rules import Forwarder
 
-MAX_POOLS = 500  # in a snapshot: those that are used or unhealthy
+MAX_POOLS = 500  # maximum number of pools in a snapshot
 
 
 class EndpointView(TypedDict):
     """One endpoint of a route."""
 
     target: str
-    """Its name."""
+    """Name of the endpoint."""
     phase: Literal["serving", "draining", "gone"]
 
 
 RouteState = Literal["open", "told to wait", "held", "returning"]
-"""Of a route, in the code's terms: in use, blocked by a Retry-After, ejected, in slow start."""
+"""State of a route, in this order: in use, blocked by a retry-after, ejected, in slow start."""
 
 
 class RouteView(TypedDict):
-    """One route of a pool: one or more endpoints that are judged together."""
+    """One route of a pool: one or more endpoints that share one health state."""
 
     endpoints: list[EndpointView]
     state: RouteState
     wait: float
-    """Seconds until its Retry-After time ends; 0 without one."""
+    """Seconds until its retry-after ends; 0 without one."""
     calls: int
-    """In flight."""
+    """Number of calls in flight."""
     recent: float
-    """Its latency of late, in seconds; 0 while unknown."""
+    """Moving average of its latency in seconds; 0 while unknown."""
     limit: float
-    """Calls a second that it takes from all forwarders; 0 while unknown."""
+    """Calls per second that it accepts from all forwarders; 0 while unknown."""
     pace: float | None
-    """Calls a second that this forwarder allows itself; None while it is not bounded."""
+    """Maximum calls per second from this forwarder; None while there is no limit."""
 
 
 PoolView = TypedDict(  # noqa: UP013 - as a field, `sick` would be a name in the code
@@ -48,9 +48,9 @@
     {
         "destination": int,
         "leases": int,  # calls in flight
-        "waiting": int,  # messages that have no lease yet
-        "normal": float,  # its latency in health, in seconds; 0 while unknown
-        "sick": bool,  # one of its routes is unhealthy
+        "waiting": int,  # messages without a lease
+        "normal": float,  # baseline latency in seconds; 0 while unknown
+        "sick": bool,  # whether one of its routes is unhealthy
         "routes": list[RouteView],
     },
 )
@@ -58,30 +58,30 @@
 
 
 class ForwarderView(TypedDict):
-    """One forwarder's decision module at one moment."""
+    """State of one forwarder's decision module."""
 
     slots: int
-    """Calls that it may have in flight."""
+    """Maximum number of calls in flight."""
     slots_free: int
     open: int
-    """Messages that are accepted and not completed."""
+    """Number of accepted messages without a final answer."""
     endpoints: int
     destinations: int
     pools: list[PoolView]
-    """Those that are used, or have an endpoint that gets no calls; `MAX_POOLS` at most."""
+    """Pools that are in use or have an endpoint that gets no calls; at most `MAX_POOLS`."""
 
 
 class EndpointCounts(NamedTuple):
-    """How many endpoints one forwarder has, and can't use."""
+    """Numbers of listed and of unavailable endpoints of one forwarder."""
 
     listed: int
     unavailable: int
-    """Of the listed ones those that get no message now: they drain, or their route asked for no calls or is
-    ejected."""
+    """Listed endpoints that get no messages now: draining, or on a route that is ejected or blocked by a
+    retry-after."""
 
 
 def view(forwarder: Forwarder, now: float) -> ForwarderView:
-    """Slots, open messages, and each pool that is used or unhealthy, as plain values; times in seconds."""
+    """Return slots, open messages, and the pools in use or unhealthy, as plain values; times in seconds."""
     used = [(number, pool) for number, pool in forwarder.pools.items() if _is_of_interest(pool, now)]
     return {
         "slots": forwarder.context.settings.slots,
@@ -94,7 +94,7 @@
 
 
 def count_endpoints(forwarder: Forwarder, now: float) -> EndpointCounts:
-    """How many endpoints are listed, and how many of them get no message now."""
+    """Return the number of listed endpoints, and the number of these that get no messages now."""
     listed = [endpoint for endpoint in forwarder.endpoints.values() if not endpoint.removed]
     unavailable = sum(not e.in_service or e.route.ejected or e.route.blocked_until > now for e in listed)
     return EndpointCounts(len(listed), unavailable)
--- a/emberlatch/core/waiting.py
+++ b/emberlatch/core/waiting.py
@@ -1,4 +1,7 @@
-"""How long a message waits for a lease: a short while in health, and no longer than it has a prospect."""
+"""Limits how long a message waits for a lease.
+
+The limit is short while all routes are healthy. A message never waits longer than delivery can be expected.
+"""
 
 from __future__ import annotations
 
@@ -8,17 +11,18 @@
 from emberlatch.core.records import Message, Pool, Route
 from emberlatch.core.state import Context
 
-OUTAGE_REMAINDER_SHARE = 1 / 3  # of its age an outage is expected to last on; all of it rejects too much
-MIN_REJECTIONS = 5  # before which nothing is known of clients
-RESUBMITTED_SHARE = 0.3  # of the rejected messages, from which on clients count as coming again
+# An outage is expected to continue for this share of its age. A share of 1 rejects too many messages.
+OUTAGE_REMAINDER_SHARE = 1 / 3
+MIN_REJECTIONS = 5  # number of rejections before the behaviour of clients is judged
+RESUBMITTED_SHARE = 0.3  # ratio of resubmissions to rejections from which clients are taken to resubmit
 
 
 class SubmissionStatistics:
-    """Counts whether clients submit again what was rejected.
+    """Counts rejections and resubmissions, to find out whether clients resubmit rejected messages.
 
     Attributes:
-        rejected: first submissions that were rejected.
-        resubmitted: messages that were submitted again.
+        rejected: number of first submissions that were rejected.
+        resubmitted: number of messages that were submitted again.
     """
 
     __slots__ = ("rejected", "resubmitted")
@@ -28,12 +32,12 @@
 
     @property
     def clients_resubmit(self) -> bool:
-        """Whether clients come again; nothing else is known of them at first."""
+        """Return whether clients resubmit rejected messages; assumed until enough were rejected."""
         return self.rejected < MIN_REJECTIONS or self.resubmitted >= RESUBMITTED_SHARE * self.rejected
 
 
 class WaitPolicy:
-    """Decides until when a message waits. Owns no state."""
+    """Decides until when a message waits. Has no state of its own."""
 
     __slots__ = ("_bulkhead", "_context", "_submissions")
 
@@ -42,12 +46,14 @@
 
     @property
     def is_bounded(self) -> bool:
-        """Whether the wait of first submissions ends early: where clients do not come again, all wait on."""
+        """Return whether first submissions have a wait limit: only if clients resubmit what is rejected."""
         return self._submissions.clients_resubmit
 
     def limit(self, pool: Pool) -> float:
-        """Seconds for which a first submission waits: burst times latency over pool size; not bounded where a
-        route is unhealthy."""
+        """Return the maximum wait of a first submission in seconds; infinity if a route is unhealthy.
+
+        This is the time in which the pool processes a burst: burst times latency divided by its lease limit.
+        """
         if pool.unhealthy:
             return math.inf
         burst = self._context.settings.open_cap * pool.baseline_latency
@@ -55,24 +61,24 @@
 
     @staticmethod
     def ends_at(message: Message, pool: Pool, limit: float) -> float:
-        """When that wait ends: in any case before its latency target is missed."""
+        """Return when the wait of a first submission ends; its latency target can still be met then."""
         return min(message.on_time_until - pool.baseline_latency, message.accepted_at + limit)
 
     def outage_routes(self, pool: Pool) -> list[Route]:
-        """The routes of a pool, if none of them is open and serves; otherwise none: all have a prospect."""
+        """Return all routes of a pool if none is both serving and unblocked, otherwise an empty list."""
         now = self._context.now
-        serves = any(r.unanswered_since == math.inf and r.blocked_until <= now for r in pool.routes)
-        return [] if serves else pool.routes
+        is_serving = any(r.unanswered_since == math.inf and r.blocked_until <= now for r in pool.routes)
+        return [] if is_serving else pool.routes
 
     @staticmethod
     def undeliverable_from(message: Message, pool: Pool, routes: list[Route]) -> float:
-        """When it can no longer be expected to be sent in time by any of these routes.
+        """Return from when a message cannot be expected to be delivered in time by any of these routes.
 
-        A route that was called and has served nothing for some time is expected to go on so in proportion,
-        for of an outage only its age is known. The end of a retry-after is known.
+        Only the age of an outage is known, so a route that has not served for some time is expected to stay
+        out of service for a proportional time. The end of a retry-after is known exactly.
         """
         latest = message.deadline_at - pool.baseline_latency
-        open_then = [route.unanswered_since for route in routes if route.blocked_until <= latest]
-        if not open_then:
+        outage_starts = [route.unanswered_since for route in routes if route.blocked_until <= latest]
+        if not outage_starts:
             return -math.inf if routes else math.inf
-        return (latest + OUTAGE_REMAINDER_SHARE * max(open_then)) / (1 + OUTAGE_REMAINDER_SHARE)
+        return (latest + OUTAGE_REMAINDER_SHARE * max(outage_starts)) / (1 + OUTAGE_REMAINDER_SHARE)
--- a/emberlatch/core/wakeups.py
+++ b/emberlatch/core/wakeups.py
@@ -1,4 +1,7 @@
-"""When time alone will change something for a pool: nothing else wakes the forwarder."""
+"""Schedules wake-ups for the times at which a pool changes without an event.
+
+No periodic timer wakes the forwarder.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 
 
 class WakeupPlanner:
-    """Schedules the next look at each pool that something happened to. Owns no state."""
+    """Schedules the next wake-up of each dirty pool. Has no state of its own."""
 
     __slots__ = ("_bulkhead", "_context", "_health", "_pools", "_queue", "_rates")
 
@@ -31,7 +34,7 @@
         self._health, self._rates, self._queue = health, rates, queue
 
     def schedule(self, destination: int, pool: Pool) -> None:
-        """Schedule the earliest moment at which a route or a waiting message of a pool is due."""
+        """Schedule a pool's wake-up at the earliest time at which a route or a waiting message is due."""
         now, bulkhead, pools = self._context.now, self._bulkhead, self._pools
         pools.starved.pop(destination, None)
         if pool.waiting and (bulkhead.free_slots <= 0 or not bulkhead.has_unhealthy_quota):
@@ -57,7 +60,7 @@
     def _first_message_time(self, pool: Pool, first: float) -> float:
         now, waits, quiet_until = self._context.now, self._queue.waits, self._queue.key_order.quiet_until
         limit, is_bounded, outage = waits.limit(pool), waits.is_bounded, waits.outage_routes(pool)
-        for message in pool.waiting.values():  # often hundreds, in every turn: no list of all their times
+        for message in pool.waiting.values():  # often hundreds in every turn: avoid a list of all times
             if now < message.answer_due_at < first:
                 first = message.answer_due_at
             if now < message.not_before < first:
