--- a/emberlatch/core/handover.py
+++ b/emberlatch/core/handover.py
@@ -122,7 +122,7 @@
 
 
 def module_state(state: Mapping[str, object]) -> ModuleState:
-    """Return the state of another process as its type; the takeover has already validated its form."""
+    """Return the state of another process, typed as `ModuleState`; the takeover has validated its form."""
     return cast("ModuleState", state)
 
 
--- a/tests/core/harness.py
+++ b/tests/core/harness.py
@@ -1,6 +1,6 @@
-"""Feeds a forwarder a random but legal stream of events and checks its actions against the rules.
+"""Test harness: feeds a forwarder random valid events and checks its actions against the rules.
 
-The checks know the rules and the settings, and nothing of how the forwarder decides.
+The checks use only the rules and the settings, not the internal state by which the forwarder decides.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 def make_settings(
     separate: bool = False, probes: bool = False, slots: int = 6, quiet_period: float = 0.1
 ) -> api.Settings:
-    """Settings in which every rule binds."""
+    """Return settings in which every rule takes effect."""
     return api.Settings(
         CATEGORIES,
         slots,
@@ -49,7 +49,7 @@
 
 @dataclass
 class Attempt:
-    """One attempt as the harness saw it."""
+    """One attempt as seen by the harness. `ends`: planned end; `done`: actual end."""
 
     ref: int
     number: int
@@ -62,7 +62,7 @@
 
 @dataclass
 class AcceptedMessage:
-    """A message that was submitted."""
+    """A submitted message; `answered`: time of its final answer."""
 
     event: api.Arrival
     accepted_at: float
@@ -71,7 +71,10 @@
 
 
 class ForwarderHarness:
-    """Feeds a forwarder and raises AssertionError when it breaks a rule."""
+    """Feeds events to a forwarder and raises AssertionError if it breaks a rule.
+
+    `draw_result` chooses the result of each call; None: the call gets no response.
+    """
 
     def __init__(
         self,
@@ -97,7 +100,7 @@
         return target if separate else self.entries[target].destination
 
     def attempts_in_flight(self) -> list[Attempt]:
-        return [t for o in self.accepted.values() for t in o.attempts if t.result is None]
+        return [a for message in self.accepted.values() for a in message.attempts if a.result is None]
 
     def arrive(self, category: int, destination: int, key: int = 0) -> api.Arrival:
         event = api.Arrival(len(self.accepted), category, destination, CATEGORIES[category].deadline, key=key)
@@ -105,10 +108,13 @@
         return event
 
     def advance(self, seconds: float, arrivals: Callable[[], list[api.Event]] = list) -> None:
-        """Let time pass, with outcomes and timers when they are due."""
+        """Advance the clock by `seconds`, delivering outcomes and timers when they are due.
+
+        `arrivals` returns the events to deliver at the end of that time.
+        """
         until = self.now + seconds
         while self.now < until:
-            due = [at for at, _ in self.timers] + [t.ends for t in self.attempts_in_flight()]
+            due = [at for at, _ in self.timers] + [attempt.ends for attempt in self.attempts_in_flight()]
             self.now = min([until, *(max(at, self.now + self.settings.decision_interval) for at in due)])
             fired = [api.TimerFired(token) for at, token in self.timers if at <= self.now]
             self.timers = [item for item in self.timers if item[0] > self.now]
@@ -156,12 +162,18 @@
             self.check(action)
         for message in self.accepted.values():
             limit = message.accepted_at + message.event.remaining + self.settings.rules.answer_slack
-            assert message.answered is not None or self.now <= limit, "a message is lost"
-        calls = {(t.sent, t.target) for t in self.attempts_in_flight()}
-        assert len(calls) <= self.settings.slots, "more calls than slots"
+            assert message.answered is not None or self.now <= limit, (
+                f"message {message.event.ref} has no answer at {self.now}, expected by {limit}"
+            )
+        calls = {(attempt.sent, attempt.target) for attempt in self.attempts_in_flight()}
+        assert len(calls) <= self.settings.slots, (
+            f"{len(calls)} calls in flight, expected at most {self.settings.slots}"
+        )
         for destination in range(3):
             here = sum(self.entries[target].destination == destination for _, target in calls)
-            assert here < max(self.settings.slots * 0.75, 1.5), "one destination takes three quarters"
+            assert here < max(self.settings.slots * 0.75, 1.5), (
+                f"destination {destination} has {here} calls in flight, at least three quarters of the slots"
+            )
 
     def check(self, action: api.Action) -> None:
         match action:
@@ -171,7 +183,7 @@
                 self.check_send(self.accepted[ref], target, timeout)
             case api.Reject(ref) | api.Fail(ref):
                 message = self.accepted[ref]
-                assert message.answered is None, "answered twice"
+                assert message.answered is None, f"message {ref} was answered twice"
                 message.answered = self.now
                 if isinstance(action, api.Reject):
                     self.check_rejection(message)
@@ -181,38 +193,48 @@
                     attempt.ends = self.now
                     self.batch[attempt.sent, attempt.target] = Result.CANCELLED
             case api.Probe(target):
-                assert self.now >= self.blocked_until.get(self.route(target), 0.0), "a probe in a retry-after"
+                assert self.now >= self.blocked_until.get(self.route(target), 0.0), (
+                    f"health check of {target!r} during its retry-after"
+                )
                 self.sent.append((self.now, target))
 
     def unknown_outcomes(self, message: AcceptedMessage) -> list[Attempt]:
-        return [t for t in message.attempts if t.result is None or t.result in MAY_HAVE_RUN]
+        return [a for a in message.attempts if a.result is None or a.result in MAY_HAVE_RUN]
 
     def check_rejection(self, message: AcceptedMessage) -> None:
         category = CATEGORIES[message.event.category]
         if category.effect is not Effect.SAFE and self.unknown_outcomes(message):
             assert category.effect is Effect.KEYED and category.scope is Scope.ALL, (
-                "refused though it may have run"
+                f"message {message.event.ref} was rejected although it may have been executed"
             )
 
     def check_send(self, message: AcceptedMessage, target: bytes, timeout: float) -> None:
         event, category = message.event, CATEGORIES[message.event.category]
         end = message.accepted_at + event.remaining
-        assert message.answered is None, "sent after its answer"
+        assert message.answered is None, f"message {event.ref} was sent after its answer"
         assert self.entries[target].destination == event.destination
-        assert not any(t.result is None for t in message.attempts), "two attempts at once"
+        assert not any(a.result is None for a in message.attempts), (
+            f"message {event.ref}: two attempts in flight"
+        )
         assert len(message.attempts) < self.settings.max_attempts
         if target in self.draining_since:
             assert self.now <= self.draining_since[target] + self.settings.rules.drain_grace, (
-                "sent to a draining target"
+                f"message {event.ref} was sent to the draining target {target!r}"
             )
-        assert self.now >= self.blocked_until.get(self.route(target), 0.0), "sent in a retry-after"
+        assert self.now >= self.blocked_until.get(self.route(target), 0.0), (
+            f"message {event.ref} was sent to {target!r} during its retry-after"
+        )
         for attempt in self.unknown_outcomes(message):
-            assert category.effect is not Effect.UNSAFE, "an unsafe message may run twice"
+            assert category.effect is not Effect.UNSAFE, f"unsafe message {event.ref} may be executed twice"
             if category.effect is Effect.KEYED:
-                assert self.now <= attempt.sent + category.dedup_window, "sent after its key was forgotten"
+                assert self.now <= attempt.sent + category.dedup_window, (
+                    f"message {event.ref} was sent after its dedup window"
+                )
                 if category.scope is Scope.ZONE:
                     zones = {self.entries[attempt.target].zone, self.entries[target].zone}
-                    assert len(zones) == 1, "sent where its key is not known"
+                    assert len(zones) == 1, (
+                        f"message {event.ref} was sent to a zone that does not know its key"
+                    )
         if category.ordered and event.key:
             self.check_order(message)
         attempt = Attempt(event.ref, len(message.attempts), target, self.now, 0.0)
@@ -220,20 +242,24 @@
             self.batch[self.now, target] = self.draw_result(self, attempt)
             self.sent.append((self.now, target))
         limit = min(end, self.now + (timeout or math.inf))
-        took = self.random.choice((0.02, 0.05, 0.1)) if self.batch[self.now, target] else math.inf
-        attempt.ends = min(limit, self.now + took)
+        duration = self.random.choice((0.02, 0.05, 0.1)) if self.batch[self.now, target] else math.inf
+        attempt.ends = min(limit, self.now + duration)
         message.attempts.append(attempt)
 
     def check_order(self, message: AcceptedMessage) -> None:
         for other in self.accepted.values():
-            same = other.event.key == message.event.key and CATEGORIES[other.event.category].ordered
-            if not same or other is message:
+            has_same_key = other.event.key == message.event.key and CATEGORIES[other.event.category].ordered
+            if not has_same_key or other is message:
                 continue
             if other.event.ref < message.event.ref:
-                assert other.answered is not None, "sent before an earlier message of its key was finished"
-                assert all(t.result is not None for t in other.attempts), "an earlier attempt has no outcome"
+                assert other.answered is not None, (
+                    f"message {message.event.ref} was sent before {other.event.ref} of its key was answered"
+                )
+                assert all(a.result is not None for a in other.attempts), (
+                    f"message {message.event.ref} was sent during an attempt of {other.event.ref}"
+                )
             for attempt in other.attempts:
                 if attempt.result in STILL_RUNNING:
                     assert self.now >= attempt.done + self.settings.rules.order_quiet_period, (
-                        "the key's quiet period has not ended"
+                        f"message {message.event.ref} was sent in the quiet period of its key"
                     )
--- a/tests/core/test_endpoint_list.py
+++ b/tests/core/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: what a change of one entry costs, and what it says of new and changed endpoints."""
+"""The endpoint list: cost of a change of one entry, slow start of new endpoints, and changed weights."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     return [action for action in actions if isinstance(action, api.Send)]
 
 
-class Unwalked(dict[Any, Any]):
-    """A table that may be asked for one entry, and not be walked."""
+class LookupOnlyDict(dict[Any, Any]):
+    """A dict that allows lookups but raises an error on iteration."""
 
     def __iter__(self) -> Iterator[Any]:
         raise AssertionError("walked")
@@ -47,23 +47,23 @@
     entries = [Entry(b"t%d" % n, n // 2) for n in range(1000)]
     module.handle(0.0, [listed(*entries, kind=ListKind.CACHED)])
     table, listed_endpoints = module.pool_table, module.endpoint_list
-    listed_endpoints.endpoints = Unwalked(listed_endpoints.endpoints)
-    table.by_destination = Unwalked(table.by_destination)
-    gone = replace(entries[0], phase=Phase.GONE)
-    module.handle(1.0, [listed(gone, Entry(b"new", 9000))])
+    listed_endpoints.endpoints = LookupOnlyDict(listed_endpoints.endpoints)
+    table.by_destination = LookupOnlyDict(table.by_destination)
+    removed = replace(entries[0], phase=Phase.GONE)
+    module.handle(1.0, [listed(removed, Entry(b"new", 9000))])
     assert not (b"t0" in module.endpoints or module.endpoint_list.retired) and b"new" in module.endpoints
     module.handle(2.0, [listed(replace(entries[1], phase=Phase.GONE))])
     assert 0 not in module.pools and len(module.pools) == 500
 
 
-def test_an_endpoint_removed_under_a_retry_after_is_forgotten_when_that_ends() -> None:
+def test_an_endpoint_removed_during_a_retry_after_is_dropped_when_the_retry_after_ends() -> None:
     module = forwarder()
     entry = Entry(b"t", 7)
     module.handle(0.0, [listed(entry, kind=ListKind.CACHED), api.Arrival(1, 0, 7, 24.0)])
     module.handle(0.1, [api.Outcome(1, 0, b"t", Result.FULL, 0.1, retry_after=2.0), api.ClientGone(1)])
     module.handle(0.2, [listed(replace(entry, phase=Phase.GONE))])
     assert b"t" in module.endpoints
-    module.handle(0.3, [listed(entry)])  # listed again: the wait binds
+    module.handle(0.3, [listed(entry)])  # listed again: the retry-after still applies
     assert module.endpoints[b"t"].route.blocked_until >= 2.1 and not module.endpoint_list.retired
     module.handle(0.4, [listed(replace(entry, phase=Phase.GONE))])
     module.handle(400.0, [listed()])
@@ -72,7 +72,7 @@
     )
 
 
-def test_a_destination_without_endpoints_whose_message_ended_is_forgotten() -> None:
+def test_a_destination_without_endpoints_and_messages_is_dropped() -> None:
     module = forwarder()
     module.handle(0.0, [api.Arrival(1, 0, 7, 24.0)])
     assert 7 in module.pools
@@ -81,12 +81,12 @@
     assert not (module.pools or module.pool_table._routeless)
 
 
-def test_a_new_endpoint_is_in_slow_start_and_a_known_one_is_not() -> None:
-    """Ten messages a second: the cold one gets no more than the budget of a return."""
+def test_a_new_endpoint_gets_a_slow_start_and_a_known_one_does_not() -> None:
+    """With ten messages per second, a new endpoint gets no more calls than its slow-start rate allows."""
     counts = {}
-    for cold in (False, True):
+    for is_new in (False, True):
         module = forwarder()
-        module.handle(0.0, [listed(Entry(b"t", 7, needs_slow_start=cold))])
+        module.handle(0.0, [listed(Entry(b"t", 7, needs_slow_start=is_new))])
         sent, ref = 0, 0
         for tick in range(300):  # three seconds
             now = tick / 100
@@ -97,12 +97,12 @@
             for send in sends(module.handle(now, events)):
                 sent += 1
                 module.handle(now, [api.Outcome(send.ref, 0, b"t", Result.OK, 0.05, closed=True)])
-        counts[cold] = sent
+        counts[is_new] = sent
     assert counts[False] == 30
     assert 0 < counts[True] < 15
 
 
-def test_a_new_endpoint_on_a_route_in_use_does_not_start_its_slow_start() -> None:
+def test_a_new_endpoint_on_a_route_in_use_does_not_put_the_route_in_slow_start() -> None:
     module = forwarder(separate_routes=(False,))
     module.handle(0.0, [listed(Entry(b"t", 7))])
     module.handle(1.0, [listed(Entry(b"u", 7, needs_slow_start=True))])
@@ -110,15 +110,15 @@
     assert module.endpoints[b"u"].route.slow_start_until < 1.0
 
 
-def test_a_changed_weight_is_the_rate_limit_at_once_where_weights_are_trusted() -> None:
+def test_a_changed_weight_replaces_the_rate_limit_only_where_weights_are_trusted() -> None:
     module = forwarder(weights=api.Weights.NOMINAL)
     entry = Entry(b"t", 7, weight=5.0)
     module.handle(0.0, [listed(entry)])
     assert module.endpoints[b"t"].route.rate_limit == 5.0
     module.handle(1.0, [listed(replace(entry, weight=2.0))])
     assert module.endpoints[b"t"].route.rate_limit == 2.0
-    learnt = forwarder(weights=api.Weights.OFF, report_fields=("x0", "x1"))
-    learnt.handle(0.0, [listed(entry), api.Arrival(1, 0, 7, 24.0)])
-    learnt.handle(0.1, [api.Outcome(1, 0, b"t", Result.OK, 0.1, closed=True, report=(0.5, 9.0))])
-    learnt.handle(1.0, [listed(replace(entry, weight=2.0))])
-    assert learnt.endpoints[b"t"].route.rate_limit == 9.0  # a weight that means nothing unlearns nothing
+    untrusting = forwarder(weights=api.Weights.OFF, report_fields=("x0", "x1"))
+    untrusting.handle(0.0, [listed(entry), api.Arrival(1, 0, 7, 24.0)])
+    untrusting.handle(0.1, [api.Outcome(1, 0, b"t", Result.OK, 0.1, closed=True, report=(0.5, 9.0))])
+    untrusting.handle(1.0, [listed(replace(entry, weight=2.0))])
+    assert untrusting.endpoints[b"t"].route.rate_limit == 9.0  # the reported limit stays
--- a/tests/core/test_forwarder.py
+++ b/tests/core/test_forwarder.py
@@ -1,4 +1,4 @@
-"""The rules as properties over random legal event streams, and one test for each failure found."""
+"""The rules as properties over random valid event streams, and a regression test for each failure found."""
 
 from __future__ import annotations
 
@@ -23,37 +23,42 @@
 
 ROOT = Path(__file__).parents[2]
 POLICY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-FATES: list[Result | None] = [
+CALL_RESULTS: list[Result | None] = [
     Result.OK, Result.ERROR, Result.FULL, Result.CONNECT_FAILED, Result.RESET, None,
 ]  # fmt: skip
 
 
-def play(seed: int, separate: bool, probes: bool, sound: int, steps: int = 60) -> ForwarderHarness:
-    """Arrivals, drains and every kind of outcome, in an order drawn from the seed."""
+def run_random_events(
+    seed: int, separate: bool, probes: bool, ok_tenths: int, steps: int = 60
+) -> ForwarderHarness:
+    """Run arrivals, drains and outcomes of every kind, drawn from the seed.
 
-    def fate(harness: ForwarderHarness, attempt: Attempt) -> Result | None:
-        return Result.OK if harness.random.randrange(10) < sound else harness.random.choice(FATES)
+    `ok_tenths` out of ten calls succeed; the others get a result drawn from `CALL_RESULTS`.
+    """
 
-    harness = ForwarderHarness(make_settings(separate, probes), seed, fate)
+    def draw_result(harness: ForwarderHarness, attempt: Attempt) -> Result | None:
+        return Result.OK if harness.random.randrange(10) < ok_tenths else harness.random.choice(CALL_RESULTS)
+
+    harness = ForwarderHarness(make_settings(separate, probes), seed, draw_result)
 
     def events() -> list[api.Event]:
-        many = harness.random.choice((0, 1, 1, 2, 8))
-        found: list[api.Event] = [
+        arrival_count = harness.random.choice((0, 1, 1, 2, 8))
+        drawn: list[api.Event] = [
             harness.arrive(
                 harness.random.randrange(4), harness.random.randrange(3), harness.random.randrange(4)
             )
-            for _ in range(many)
+            for _ in range(arrival_count)
         ]
         if harness.random.randrange(15) == 0:
             entry = harness.random.choice([e for e in harness.entries.values() if e.target[1]])
-            gone = api.Entry(entry.target, entry.destination, api.Phase.DRAINING, zone=entry.zone)
-            found.append(api.DirectoryUpdate(api.ListKind.DELTA, 2, (gone,)))
+            draining = api.Entry(entry.target, entry.destination, api.Phase.DRAINING, zone=entry.zone)
+            drawn.append(api.DirectoryUpdate(api.ListKind.DELTA, 2, (draining,)))
         for probe in [a for a in harness.log if isinstance(a, api.Probe)]:
             harness.log.remove(probe)
-            found.append(
+            drawn.append(
                 api.ProbeResult(probe.target, harness.random.choice((Result.OK, Result.TIMEOUT)), 0.05)
             )
-        return found
+        return drawn
 
     for _ in range(steps):
         harness.advance(harness.random.choice((0.01, 0.05, 0.2, 0.6)), events)
@@ -64,18 +69,23 @@
 
 @given(st.integers(0, 2**32), st.booleans(), st.booleans(), st.sampled_from((0, 5, 9)))
 @settings(derandomize=True, deadline=None, max_examples=60)
-def test_the_rules_hold_whatever_happens(seed: int, separate: bool, probes: bool, sound: int) -> None:
-    play(seed, separate, probes, sound)
+def test_the_rules_hold_over_random_event_streams(
+    seed: int, separate: bool, probes: bool, ok_tenths: int
+) -> None:
+    run_random_events(seed, separate, probes, ok_tenths)
 
 
-def test_the_harness_makes_attempts() -> None:
-    harness = play(5, separate=True, probes=False, sound=9)
+def test_the_harness_sees_attempts_when_most_calls_succeed() -> None:
+    harness = run_random_events(5, separate=True, probes=False, ok_tenths=9)
     assert sum(len(message.attempts) for message in harness.accepted.values()) > len(harness.accepted) / 2
 
 
 @pytest.mark.parametrize("hash_seed", ["0", "1", "4711"])
 def test_actions_do_not_depend_on_the_hash_seed(hash_seed: str) -> None:
-    code = "from tests.core.test_forwarder import play; print(play(9, True, True, 5).log)"
+    code = (
+        "from tests.core.test_forwarder import run_random_events; "
+        "print(run_random_events(9, True, True, 5).log)"
+    )
     done = [
         subprocess.run(
             [sys.executable, "-c", code],
@@ -91,42 +101,44 @@
 
 
 @pytest.mark.parametrize("separate", [False, True])
-def test_a_returning_destination_is_not_overloaded(separate: bool) -> None:
-    """After an outage, calls in any tip-after seconds stay inside what the cold destination can do."""
+def test_a_recovering_destination_is_not_overloaded(separate: bool) -> None:
+    """After an outage, the calls in every overload window stay within the destination's cold capacity."""
     phase = {"down": False}
 
-    def fate(harness: ForwarderHarness, attempt: Attempt) -> Result | None:
+    def draw_result(harness: ForwarderHarness, attempt: Attempt) -> Result | None:
         return Result.CONNECT_FAILED if phase["down"] else Result.OK
 
-    harness = ForwarderHarness(make_settings(separate), 3, fate)
+    harness = ForwarderHarness(make_settings(separate), 3, draw_result)
 
-    def two() -> list[api.Event]:
+    def two_arrivals() -> list[api.Event]:
         return [harness.arrive(0, 0), harness.arrive(0, 0)]
 
     for _ in range(100):
-        harness.advance(0.1, two)
+        harness.advance(0.1, two_arrivals)
     phase["down"] = True
     for _ in range(80):
-        harness.advance(0.1, two)
-    phase["down"], back = False, harness.now
+        harness.advance(0.1, two_arrivals)
+    phase["down"], recovered_at = False, harness.now
     for _ in range(60):
-        harness.advance(0.1, two)
+        harness.advance(0.1, two_arrivals)
     rules = harness.settings.rules
     routes = {harness.route(target) for _, target in harness.sent if target[0] == 0}
     for route in routes:
         times = [at for at, target in harness.sent if harness.route(target) == route]
-        before = [at for at in times if at < back - 8]
+        before = [at for at in times if at < recovered_at - 8]
         spans = [[at for at in before if start <= at <= start + rules.overload_window] for start in before]
-        rate = max(len(span) for span in spans) / rules.overload_window  # it could do at least this in health
-        for start in [at for at in times if at >= back]:
+        rate = max(len(span) for span in spans) / rules.overload_window  # lower bound of the healthy capacity
+        for start in [at for at in times if at >= recovered_at]:
             span = [at for at in times if start <= at <= start + rules.overload_window]
-            warm = min(
+            warm_share = min(
                 1.0,
                 rules.slow_start_share
-                + (1 - rules.slow_start_share) * (start + rules.overload_window - back) / rules.slow_start,
+                + (1 - rules.slow_start_share)
+                * (start + rules.overload_window - recovered_at)
+                / rules.slow_start,
             )
-            assert len(span) <= max(2, rules.overload_factor * rules.overload_window * warm * rate)
-    assert any(at > back + 2 for at, target in harness.sent if target[0] == 0)
+            assert len(span) <= max(2, rules.overload_factor * rules.overload_window * warm_share * rate)
+    assert any(at > recovered_at + 2 for at, target in harness.sent if target[0] == 0)
 
 
 def one_call_with_two_messages() -> tuple[Forwarder, list[api.Send]]:
@@ -138,23 +150,21 @@
     return forwarder, sends
 
 
-def test_the_longest_retry_after_of_the_messages_of_a_call_binds() -> None:
-    """Found on the standard days: only the first message's outcome was heeded."""
+def test_the_longest_retry_after_of_the_messages_of_a_call_applies() -> None:
+    """Only the retry-after of the first message in a call was used; found on the standard days."""
     forwarder, sends = one_call_with_two_messages()
     assert [s.ref for s in sends] == [1, 2]
     full = [api.Outcome(s.ref, 0, s.target, Result.FULL, 0.01, retry_after=0.2 * s.ref) for s in sends]
     forwarder.handle(0.2, [*full])
     route = forwarder.endpoints[b"\x00\x00"].route
-    route.token_bucket.tokens = 5.0  # so that nothing but the wait can hold them back
+    route.token_bucket.tokens = 5.0  # only the retry-after can delay the messages
     later = [a for i in range(19) for a in forwarder.handle(0.22 + i * 0.02, [])]
     assert not any(isinstance(a, api.Send) for a in later)
-    assert any(
-        isinstance(a, api.Send) for a in forwarder.handle(0.75, [])
-    )  # with jitter, for others wait as well
+    assert any(isinstance(a, api.Send) for a in forwarder.handle(0.75, []))  # the jitter has ended as well
 
 
-def rejected_at(left: float) -> Forwarder:
-    """A trial and what follows are refused by a limit with this share left."""
+def rejected_at_share(remaining_share: float) -> Forwarder:
+    """Return a forwarder whose calls were rejected with reports of this unused share of the limit."""
     forwarder, sends = one_call_with_two_messages()
     forwarder.handle(0.2, [api.Outcome(s.ref, 0, s.target, Result.OK, 0.1, True) for s in sends])
     now = 0.3
@@ -164,21 +174,26 @@
         for send in [a for a in actions if isinstance(a, api.Send)]:
             number = 0 if send.ref == ref else 1
             forwarder.handle(
-                now, [api.Outcome(send.ref, number, send.target, Result.FULL, 0.01, report=(left, 5.0))]
+                now,
+                [
+                    api.Outcome(
+                        send.ref, number, send.target, Result.FULL, 0.01, report=(remaining_share, 5.0)
+                    )
+                ],
             )
     return forwarder
 
 
-def test_rejections_at_a_used_up_limit_are_no_outage_and_others_are() -> None:
-    """Incident i854f6c: routes were ejected for good because other forwarders used up the limit."""
-    assert not any(route.ejected for pool in rejected_at(0.0).pools.values() for route in pool.routes)
-    assert any(route.ejected for pool in rejected_at(0.9).pools.values() for route in pool.routes)
+def test_rejections_eject_a_route_unless_its_limit_is_exhausted() -> None:
+    """Incident i854f6c: routes stayed ejected because other forwarders exhausted the limit."""
+    assert not any(route.ejected for pool in rejected_at_share(0.0).pools.values() for route in pool.routes)
+    assert any(route.ejected for pool in rejected_at_share(0.9).pools.values() for route in pool.routes)
 
 
 def test_a_known_limit_bounds_a_burst_before_any_rejection() -> None:
-    """Incident i854f6c: a burst met a limit that the directory listed, and was mostly rejected."""
+    """Incident i854f6c: a burst exceeded a limit listed in the directory and was mostly rejected."""
 
-    def at_once(weights: api.Weights) -> int:
+    def calls_in_burst(weights: api.Weights) -> int:
         chosen = dataclasses.replace(make_settings(slots=40), weights=weights)
         forwarder, entry = Forwarder(chosen, 1), api.Entry(b"x", 0, weight=8.0)
         now, sent = 0.0, 0
@@ -194,25 +209,27 @@
             actions = forwarder.handle(now, [*done, api.Arrival(ref, 0, 0, CATEGORIES[0].deadline)])
         return sent
 
-    assert at_once(api.Weights.OFF) > 50
-    assert at_once(api.Weights.NOMINAL) < 20
+    assert calls_in_burst(api.Weights.OFF) > 50
+    assert calls_in_burst(api.Weights.NOMINAL) < 20
 
 
 def test_a_destination_that_hangs_leaves_slots_for_healthy_ones() -> None:
-    """An unhealthy destination holds at most half of the slots."""
+    """An unhealthy destination leases at most half of the slots."""
 
-    def fate(harness: ForwarderHarness, attempt: Attempt) -> Result | None:
+    def draw_result(harness: ForwarderHarness, attempt: Attempt) -> Result | None:
         return None if attempt.target[0] == 0 else Result.OK
 
-    harness = ForwarderHarness(make_settings(slots=6), 4, fate)
+    harness = ForwarderHarness(make_settings(slots=6), 4, draw_result)
     for _ in range(40):
         harness.advance(0.1, lambda: [harness.arrive(3, 0), harness.arrive(0, 1)])
-    well = [o for o in harness.accepted.values() if o.event.destination == 1]
-    assert sum(o.answered is not None and o.answered - o.accepted_at < 1.0 for o in well) > 0.9 * len(well)
+    healthy = [m for m in harness.accepted.values() if m.event.destination == 1]
+    assert sum(m.answered is not None and m.answered - m.accepted_at < 1.0 for m in healthy) > 0.9 * len(
+        healthy
+    )
 
 
 def actions_of_timers(forwarder: Forwarder, until: float, now: float) -> list[api.Action]:
-    """What it does by itself: woken at its own timers only, whose times come out rounded down."""
+    """Return the actions of a forwarder woken by its own timers only, with times rounded down to 1 us."""
     done: list[api.Action] = []
     timer: api.SetTimer | None = None
     while now < until:
@@ -224,8 +241,8 @@
     return done
 
 
-def test_a_timer_that_comes_a_rounding_error_early_is_not_waited_for_again() -> None:
-    """Found at full size: the clock counts in whole microseconds, and a message was never answered."""
+def test_a_message_is_answered_when_its_timer_fires_a_rounding_error_early() -> None:
+    """A message was never answered, because the clock counts in microseconds; found at full size."""
     forwarder = Forwarder(make_settings(), 1)
     forwarder.handle(0.0, [api.DirectoryUpdate(api.ListKind.CACHED, 1)])
     (timer,) = forwarder.handle(0.1, [api.Arrival(1, 0, 0, 2.0000004)])
@@ -234,8 +251,8 @@
     assert [a.ref for a in done if isinstance(a, api.Reject | api.Fail)] == [1]
 
 
-def test_nothing_wakes_the_forwarder_but_what_is_due() -> None:
-    """Found at full size: a look every 20 ms at every pool got days cut off for CPU."""
+def test_the_forwarder_is_woken_only_when_something_is_due() -> None:
+    """Processing every pool every 20 ms exceeded the CPU limit of simulated days; found at full size."""
     forwarder = Forwarder(make_settings(), 1)
     entries = tuple(api.Entry(bytes([d]), d) for d in range(50))
     forwarder.handle(0.0, [api.DirectoryUpdate(api.ListKind.CACHED, 1, entries)])
@@ -246,7 +263,7 @@
 
 
 def recovered(category: int, zone: int, age: float, remaining: float = 3.0) -> list[api.Action]:
-    """What is done with a message whose call to target b"e" was out when the process ended."""
+    """Return the actions for a message whose call to target b"e" was in flight when the process ended."""
     entries = (api.Entry(b"e", 0, zone=zone), api.Entry(b"w", 0, zone=1))
     arrival = api.Arrival(1, category, 0, remaining, inherited=True)
     unknown = api.UnknownOutcome(b"e", 0, age)
@@ -264,12 +281,12 @@
     ("category", "zone", "age", "ends"),
     [
         (0, 0, 9.0, "sent"),  # safe
-        (2, 0, 0.5, "sent"),  # keyed: in its zone, in its window
-        (2, 0, 9.0, "failed"),  # its window is over
+        (2, 0, 0.5, "sent"),  # keyed: in its zone and dedup window
+        (2, 0, 9.0, "failed"),  # keyed: after its dedup window
         (3, 0, 0.5, "failed"),  # unsafe
     ],
 )
-def test_attempts_of_an_earlier_incarnation_bind_this_one(
+def test_a_recovered_message_is_sent_again_or_failed_as_its_category_allows(
     category: int, zone: int, age: float, ends: str
 ) -> None:
     actions = recovered(category, zone, age)
@@ -282,7 +299,7 @@
         assert not sent
 
 
-def test_a_removed_target_of_an_earlier_incarnation_binds_by_its_zone() -> None:
+def test_a_recovered_message_is_not_sent_to_another_zone_than_its_removed_target() -> None:
     forwarder = Forwarder(make_settings(separate=True), 1)
     entries = (api.Entry(b"w", 0, zone=1),)
     unknown = api.UnknownOutcome(b"gone", 0, 0.5)
@@ -296,7 +313,7 @@
     assert not any(isinstance(a, api.Send | api.Reject) for a in actions)
 
 
-def test_a_message_recovered_with_all_attempts_used_or_no_time_left_is_ended_at_once() -> None:
+def test_a_message_recovered_without_remaining_attempts_or_time_is_ended_at_once() -> None:
     forwarder = Forwarder(make_settings(), 1)
     used = api.Recovered(api.Arrival(1, 0, 0, 3.0, inherited=True), 6)
     late = api.Recovered(api.Arrival(2, 2, 0, -1.0, inherited=True), 0, (api.UnknownOutcome(b"e", 0, 0.5),))
@@ -304,7 +321,7 @@
     assert {a.ref for a in actions if isinstance(a, api.Reject | api.Fail)} == {1, 2}
 
 
-def test_a_forwarder_that_stops_starts_no_call_that_cannot_end_in_time() -> None:
+def test_a_stopping_forwarder_starts_no_call_that_cannot_end_in_time() -> None:
     forwarder = Forwarder(make_settings(), 1)
     listed = api.DirectoryUpdate(api.ListKind.CACHED, 1, (api.Entry(b"e", 0),))
     (send, *_) = forwarder.handle(50.0, [listed, api.Arrival(1, 0, 0, 4.0)])
@@ -314,8 +331,8 @@
     assert not any(isinstance(a, api.Send | api.Reject | api.Fail) for a in actions)
 
 
-def test_a_full_bucket_asks_for_no_timer() -> None:
-    """Found on sockets: a cold route with a full bucket woke the forwarder thousands of times a second."""
+def test_a_full_token_bucket_is_ready_without_a_timer() -> None:
+    """A cold route with a full bucket woke the forwarder thousands of times a second; found on sockets."""
     bucket = TokenBucket()
     for now in (5.0, 5.1):
         assert bucket.refill(now, 0.5, 1.0) == 1
@@ -324,24 +341,24 @@
     assert bucket.ready_at(0.5) == pytest.approx(7.1)
 
 
-def test_one_failure_where_calls_are_rare_is_no_outage_but_two_are() -> None:
-    """Found at full size: one lost answer or one full table ejected a route that was seldom called."""
+def test_a_rarely_called_route_is_ejected_after_two_failures_but_not_after_one() -> None:
+    """One lost answer or one full table ejected a rarely called route; found at full size."""
     for result in (Result.CONNECT_FAILED, Result.TIMEOUT):
         forwarder, sends = one_call_with_two_messages()
         outcomes = [api.Outcome(s.ref, 0, s.target, result, 0.5) for s in sends]
-        again = forwarder.handle(0.6, [*outcomes])
+        actions = forwarder.handle(0.6, [*outcomes])
         route = forwarder.endpoints[b"\x00\x00"].route
         assert not route.ejected
-        again += forwarder.handle(0.9, [])
-        seconds = [a for a in again if isinstance(a, api.Send)]
-        assert seconds
-        forwarder.handle(1.1, [api.Outcome(s.ref, 1, s.target, result, 0.5) for s in seconds])
+        actions += forwarder.handle(0.9, [])
+        retries = [a for a in actions if isinstance(a, api.Send)]
+        assert retries
+        forwarder.handle(1.1, [api.Outcome(s.ref, 1, s.target, result, 0.5) for s in retries])
         assert route.ejected
 
 
 @pytest.mark.parametrize("fails", [True, False])
-def test_idle_connections_are_closed_where_a_table_is_full_and_few_calls_reuse_them(fails: bool) -> None:
-    """Found at full size: idle connections of 40 forwarders filled tables; 48% of attempts got none."""
+def test_idle_connections_are_closed_if_connecting_failed_and_few_calls_reuse_them(fails: bool) -> None:
+    """Idle connections of 40 forwarders filled tables; 48% of attempts got none. Found at full size."""
     chosen = dataclasses.replace(make_settings(), connection_idle=15.0)
     forwarder, entries = Forwarder(chosen, 1), (api.Entry(b"x", 0), api.Entry(b"y", 1))
     forwarder.handle(0.0, [api.DirectoryUpdate(api.ListKind.CACHED, 1, entries)])
@@ -353,7 +370,7 @@
 
 
 def test_a_stall_of_the_process_itself_ejects_no_route() -> None:
-    """Found at full size: forwarders that stood still for two seconds ejected every route."""
+    """Forwarders whose process was stalled for two seconds ejected every route; found at full size."""
 
     def is_ejected_after(stalled: bool) -> bool:
         forwarder = Forwarder(make_settings(slots=12), 1)
@@ -362,8 +379,8 @@
         for ref in range(40):
             now += 0.1
             sends = forwarder.handle(now, [api.Arrival(ref, 0, 0, 4.0)])
-            out = [a for a in sends if isinstance(a, api.Send)]
-            forwarder.handle(now + 0.02, [api.Outcome(a.ref, 0, b"x", Result.OK, 0.02, True) for a in out])
+            sent = [a for a in sends if isinstance(a, api.Send)]
+            forwarder.handle(now + 0.02, [api.Outcome(a.ref, 0, b"x", Result.OK, 0.02, True) for a in sent])
         arrivals: list[api.Event] = [api.Arrival(ref + n, 0, 0, 4.0) for n in (1, 2, 3)]
         forwarder.handle(now + 0.1, arrivals)
         for step in range(1, 40):
@@ -375,41 +392,41 @@
     assert not is_ejected_after(stalled=True)
 
 
-def test_forwarders_come_back_apart_after_the_same_retry_after() -> None:
-    """Found at full size: trials drawn during a long retry-after all fell due at its end."""
-    due = 0
+def test_forwarders_resume_at_different_times_after_the_same_retry_after() -> None:
+    """All trials scheduled during a long retry-after were due at its end; found at full size."""
+    early_trials = 0
     for seed in range(40):
         forwarder = Forwarder(dataclasses.replace(make_settings(), forwarders=40), seed)
         forwarder.handle(0.0, [api.DirectoryUpdate(api.ListKind.CACHED, 1, (api.Entry(b"x", 0),))])
         forwarder.handle(0.1, [api.Arrival(1, 0, 0, 20.0)])
         forwarder.handle(0.2, [api.Outcome(1, 0, b"x", Result.FULL, 0.01, retry_after=4.0)])
         actions = [a for step in range(30) for a in forwarder.handle(4.2 + step * 0.05, [])]
-        due += any(isinstance(a, api.Send) for a in actions)
-    assert due < 6
+        early_trials += any(isinstance(a, api.Send) for a in actions)
+    assert early_trials < 6
 
 
 def test_many_forwarders_together_do_not_overload_a_small_destination() -> None:
-    """Head-campus-later big-2 broke the rule: a floor of one call for each of many forwarders."""
-    many, rate, rules = 100, 3.0, make_settings().rules
-    chosen = dataclasses.replace(make_settings(), forwarders=many)
-    fleet = [Forwarder(chosen, seed) for seed in range(many)]
+    """A minimum of one call for each of many forwarders overloaded one; found on Head-campus-later big-2."""
+    forwarder_count, rate, rules = 100, 3.0, make_settings().rules
+    chosen = dataclasses.replace(make_settings(), forwarders=forwarder_count)
+    fleet = [Forwarder(chosen, seed) for seed in range(forwarder_count)]
     timers: dict[int, api.SetTimer] = {}
-    chance, ref, calls = random.Random(5), 0, list[float]()
+    rng, ref, calls = random.Random(5), 0, list[float]()
     entry = api.Entry(b"x", 0)
     for forwarder in fleet:
         forwarder.handle(0.0, [api.DirectoryUpdate(api.ListKind.CACHED, 1, (entry,))])
-    back, out = 30.0, list[tuple[float, int, api.Send, int]]()
-    tries: dict[int, int] = {}
+    recovered_at, in_flight = 30.0, list[tuple[float, int, api.Send, int]]()
+    attempt_numbers: dict[int, int] = {}
     for step in range(1, 3400):
         now = step * 0.01
         events: dict[int, list[api.Event]] = {}
-        if chance.random() < rate * 0.01:
+        if rng.random() < rate * 0.01:
             ref += 1
             arrival = api.Arrival(ref, 0, 0, 4.0)
-            events.setdefault(chance.randrange(many), []).append(arrival)
-        for item in [item for item in out if item[0] <= now]:
-            out.remove(item)
-            result = Result.OK if now > back else Result.CONNECT_FAILED
+            events.setdefault(rng.randrange(forwarder_count), []).append(arrival)
+        for item in [item for item in in_flight if item[0] <= now]:
+            in_flight.remove(item)
+            result = Result.OK if now > recovered_at else Result.CONNECT_FAILED
             outcome = api.Outcome(item[2].ref, item[3], b"x", result, 0.1, result is Result.OK)
             events.setdefault(item[1], []).append(outcome)
         for number, timer in list(timers.items()):
@@ -420,18 +437,18 @@
                 if isinstance(action, api.SetTimer):
                     timers[number] = action
                 elif isinstance(action, api.Send):
-                    number_of_try = tries[action.ref] = tries.get(action.ref, -1) + 1
-                    out.append((now + 0.1, number, action, number_of_try))
-                    if number_of_try:  # its forwarder has seen a failure there
+                    attempt = attempt_numbers[action.ref] = attempt_numbers.get(action.ref, -1) + 1
+                    in_flight.append((now + 0.1, number, action, attempt))
+                    if attempt:  # this forwarder has already seen a failure of the destination
                         calls.append(now)
-    late = [at for at in calls if at > back]
+    late = [at for at in calls if at > recovered_at]
     budget = rules.overload_factor * rules.slow_start_share * rate * rules.overload_window
     for start in late:
         assert sum(start <= at < start + rules.overload_window for at in late) <= max(2.0, budget * 1.5)
     assert ref > 60 and len(calls) > 30
 
 
-def test_the_directory_is_asked_at_once_and_again_before_the_limit() -> None:
+def test_the_directory_is_polled_at_once_and_again_within_the_poll_interval() -> None:
     rules = api.Rules(directory_poll_interval=10.0)
     forwarder = Forwarder(api.Settings(CATEGORIES, 4, 10, rules, must_poll_directory=True), 1)
     assert api.Watch(True) in forwarder.handle(0.0, [])
@@ -440,7 +457,7 @@
     assert asked and asked[0] <= 10
 
 
-def test_late_events_for_what_is_over_are_ignored() -> None:
+def test_late_events_of_completed_messages_are_ignored() -> None:
     forwarder, sends = one_call_with_two_messages()
     done: list[api.Event] = [api.Outcome(s.ref, 0, s.target, Result.OK, 0.1, True) for s in sends]
     forwarder.handle(0.2, done)
@@ -456,13 +473,13 @@
         ("rules.cold-from", lambda: api.Rules(slow_start_share=0.0)),
     ],
 )
-def test_impossible_settings_raise_an_error_with_their_name(name: str, build: object) -> None:
+def test_invalid_settings_raise_an_error_with_their_name(name: str, build: object) -> None:
     assert callable(build)
     with pytest.raises(api.SettingsError, match=re.escape(name)):
         build()
 
 
-NOT_DECIDING = {
+NON_POLICY_MODULES = {
     "__init__",
     "actions",
     "events",
@@ -475,10 +492,10 @@
 }
 
 
-def test_the_deploy_file_names_each_module_that_decides() -> None:
-    """A limit of 1,200 lines on all together was withdrawn: now each has one job, and its size shows it."""
+def test_the_deploy_file_lists_each_policy_module_and_each_is_under_400_lines() -> None:
+    """A former limit of 1,200 lines for all modules together was replaced by one for each module."""
     modules = {path.stem for path in (ROOT / "emberlatch" / "core").glob("*.py")}
-    assert {f"emberlatch/core/{name}.py" for name in modules - NOT_DECIDING} == set(POLICY)
+    assert {f"emberlatch/core/{name}.py" for name in modules - NON_POLICY_MODULES} == set(POLICY)
     for name in POLICY:
         lines = (ROOT / name).read_text().splitlines()
         assert len(lines) < 400
@@ -495,7 +512,10 @@
 
 
 def sent_when_busy(per_call: tuple[int, ...]) -> list[api.Send]:
-    """One slot, taken; one message waits for destination 2, and ten that came later for destination 1."""
+    """Return what is sent when the only slot becomes free.
+
+    One message waits for destination 2, and ten later ones wait for destination 1.
+    """
     note = api.Category("note", api.Effect.SAFE, latency_target=3.0, deadline=12.0)
     separate = (True,) * len(per_call)
     chosen = api.Settings(
@@ -511,31 +531,33 @@
     return [action for action in actions if isinstance(action, api.Send)]
 
 
-def test_a_scarce_slot_goes_where_one_call_carries_most() -> None:
-    """Found on sockets: with no slot free, hundreds waited for a healthy target that takes ten a call."""
+def test_a_scarce_slot_is_used_for_the_call_with_most_messages() -> None:
+    """Without a free slot, hundreds waited for a healthy target that takes ten a call; found on sockets."""
     assert {(send.target, send.ref) for send in sent_when_busy((1, 10, 1))} == {
         (b"\x01", n) for n in range(2, 12)
     }
     assert len(sent_when_busy((1, 1, 1))) == 1
 
 
-def test_under_rejections_the_least_send_rate_is_that_of_full_calls() -> None:
-    """Found on sockets: in messages a second it overran the limit of a destination that takes ten a call."""
+def test_the_minimum_send_rate_counts_calls_with_full_batches_not_messages() -> None:
+    """Counted in messages it exceeded the limit of a destination that takes ten a call; found on sockets."""
     note = api.Category("note", api.Effect.SAFE, latency_target=3.0, deadline=12.0)
-    paces = {}
-    for most in (1, 10):
-        chosen = api.Settings((note,), slots=8, open_cap=500, per_call=(most,), separate_routes=(True,))
+    rates = {}
+    for batch_limit in (1, 10):
+        chosen = api.Settings(
+            (note,), slots=8, open_cap=500, per_call=(batch_limit,), separate_routes=(True,)
+        )
         forwarder = Forwarder(chosen, 1)
         forwarder.handle(0.0, [api.DirectoryUpdate(api.ListKind.CACHED, 1, (api.Entry(b"a", 0),))])
         forwarder.handle(1.0, [api.Arrival(n, 0, 0, 12.0) for n in range(200)])
         route = forwarder.pools[0].routes[0]
-        route.send_rate, forwarder.congestion.spare_capacity = 0.1, 0.0  # refused again and again
-        paces[most] = forwarder.rates.rate(route)
-    assert paces[10] == pytest.approx(paces[1] / 10)
+        route.send_rate, forwarder.congestion.spare_capacity = 0.1, 0.0  # as after many rejections
+        rates[batch_limit] = forwarder.rates.rate(route)
+    assert rates[10] == pytest.approx(rates[1] / 10)
 
 
 def test_a_removed_target_leaves_its_pool_and_a_late_outcome_is_ignored() -> None:
-    """It kept its part of the demand and its ill health for good, and so slowed those that came after it."""
+    """A removed target kept its share of demand and its unhealthy state, which slowed its successors."""
     note = api.Category("note", api.Effect.SAFE, latency_target=3.0, deadline=12.0)
     chosen = api.Settings(
         (note,), slots=8, open_cap=50, per_call=(1,), separate_routes=(True,), max_attempts=3
--- a/tests/core/test_quota_share.py
+++ b/tests/core/test_quota_share.py
@@ -1,4 +1,4 @@
-"""A quota share of a rate limit, closed categories, and the retry-after of peers."""
+"""Quota shares of a rate limit, closed categories, and retry-afters received from peers."""
 
 from __future__ import annotations
 
@@ -16,46 +16,46 @@
 LIMIT = 24.0
 
 
-def forwarder(part: float = 0.0, **more: Any) -> Forwarder:
+def forwarder(quota_share: float = 0.0, **more: Any) -> Forwarder:
     values: dict[str, Any] = {"categories": (NOTE, ORDER), "slots": 100, "open_cap": 2000, "rules": RULES}
     values |= {"max_attempts": 6, "separate_routes": (True,), "weights": api.Weights.NOMINAL}
     made = Forwarder(
-        api.Settings(quota_share=part, retry_after=True, max_retry_after=5.0, **values, **more), seed=1
+        api.Settings(quota_share=quota_share, retry_after=True, max_retry_after=5.0, **values, **more), seed=1
     )
     made.handle(0.0, [DirectoryUpdate(ListKind.CACHED, 1, (Entry(b"t", 7, weight=LIMIT),))])
     return made
 
 
 def calls(made: Forwarder, seconds: float, rate: float) -> list[float]:
-    """When calls go out to a partner that answers all in 10 ms, while so many messages a second come."""
-    out: list[float] = []
-    step, ref, back = 1 / rate, 0, list[tuple[float, api.Outcome]]()
+    """Return the start times of calls answered after 10 ms each, with `rate` arrivals per second."""
+    started: list[float] = []
+    step, ref, pending = 1 / rate, 0, list[tuple[float, api.Outcome]]()
     now = 0.0
     while now < seconds:
-        events: list[api.Event] = [outcome for at, outcome in back if at <= now]
-        back = [item for item in back if item[0] > now]
+        events: list[api.Event] = [outcome for at, outcome in pending if at <= now]
+        pending = [item for item in pending if item[0] > now]
         ref += 1
         for action in made.handle(now, [*events, api.Arrival(ref, 0, 7, 12.0), api.TimerFired(0)]):
             if isinstance(action, api.Send):
-                out.append(now)
+                started.append(now)
                 attempt = made.open_messages[action.ref].attempts - 1
                 done = api.Outcome(action.ref, attempt, b"t", Result.OK, 0.01, closed=True)
-                back.append((now + 0.01, done))
+                pending.append((now + 0.01, done))
         now += step
-    return out
+    return started
 
 
-@pytest.mark.parametrize("part", [1 / 2, 1 / 3, 1 / 12])
-def test_a_quota_share_is_never_exceeded_and_used_where_there_is_demand(part: float) -> None:
-    out = calls(forwarder(part), 20.0, 60.0)
-    bound = part * LIMIT
-    in_all = [sum(1 for at in out if begin <= at < begin + 1.0) for begin in range(5, 19)]
-    assert max(in_all) <= bound + max(1.0, bound) + 1
-    assert sum(in_all) <= bound * len(in_all) + 2
-    assert sum(in_all) >= 0.9 * bound * len(in_all)
+@pytest.mark.parametrize("quota_share", [1 / 2, 1 / 3, 1 / 12])
+def test_a_quota_share_is_used_up_by_demand_but_not_exceeded(quota_share: float) -> None:
+    started = calls(forwarder(quota_share), 20.0, 60.0)
+    bound = quota_share * LIMIT
+    per_second = [sum(1 for at in started if begin <= at < begin + 1.0) for begin in range(5, 19)]
+    assert max(per_second) <= bound + max(1.0, bound) + 1
+    assert sum(per_second) <= bound * len(per_second) + 2
+    assert sum(per_second) >= 0.9 * bound * len(per_second)
 
 
-def test_without_a_quota_share_calls_are_not_bounded() -> None:
+def test_without_a_quota_share_calls_exceed_the_rate_limit() -> None:
     assert len(calls(forwarder(), 10.0, 60.0)) > 10 * LIMIT
 
 
@@ -70,12 +70,12 @@
     assert any(isinstance(a, api.Send) for a in made.handle(1.3, [api.Arrival(3, 1, 7, 12.0)]))
 
 
-def test_the_retry_after_of_a_peer_binds_to_its_end() -> None:
+def test_no_call_is_sent_before_the_end_of_a_peers_retry_after() -> None:
     made = forwarder()
     made.handle(1.0, [api.PeerRetryAfter(b"t", 2.0), api.PeerRetryAfter(b"gone", 9.0)])
     sent = [a for a in made.handle(1.5, [api.Arrival(1, 0, 7, 12.0)]) if isinstance(a, api.Send)]
     assert sent == []
-    made.handle(1.6, [api.PeerRetryAfter(b"t", 0.1)])  # a shorter one takes nothing back
+    made.handle(1.6, [api.PeerRetryAfter(b"t", 0.1)])  # a shorter retry-after does not replace it
     while not sent:
         at = made.timer.next_at
         sent = [a for a in made.handle(at, [api.TimerFired(0)]) if isinstance(a, api.Send)]
--- a/tests/core/test_waiting.py
+++ b/tests/core/test_waiting.py
@@ -1,4 +1,4 @@
-"""A message stops waiting when it cannot be sent in time, and goes on where a lease comes in time."""
+"""A message waits while a lease can be expected in time, and is rejected otherwise."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
     return made
 
 
-def play(
+def run_hanging(
     made: Forwarder, until: float, events: dict[float, list[api.Event]]
 ) -> list[tuple[float, api.Action]]:
-    """Let time pass with timers and events; every call hangs."""
+    """Run until the given time with these events by time, and return the actions; every call hangs."""
     done: list[tuple[float, api.Action]] = []
     now = 0.0
     while now < until:
@@ -43,7 +43,7 @@
     return done
 
 
-def refused(done: list[tuple[float, api.Action]]) -> dict[int, float]:
+def rejection_times(done: list[tuple[float, api.Action]]) -> dict[int, float]:
     return {action.ref: at for at, action in done if isinstance(action, api.Reject)}
 
 
@@ -52,30 +52,30 @@
 
 
 def serving(made: Forwarder) -> None:
-    """Forty answers of 10 ms: the destination is known."""
+    """Answer forty calls after 10 ms each, so that the destination's latency is known."""
     for n in range(40):
         at = n / 20
         made.handle(at, [arrive(1000 + n, 12.0)])
         made.handle(at + 0.01, [api.Outcome(1000 + n, 0, b"t", Result.OK, 0.01, closed=True)])
 
 
-def test_a_message_does_not_wait_for_an_outage_three_times_as_old_as_its_remaining_time() -> None:
+def test_a_message_is_rejected_in_an_outage_three_times_as_old_as_its_remaining_time() -> None:
     made = module()
     serving(made)
     events = {2.1 + n / 1000: [arrive(n, 1.0)] for n in range(10)}
     events |= {8.0 + n / 1000: [arrive(100 + n, 1.0)] for n in range(10)}
-    done = refused(play(made, 8.1, events))
-    first = sorted(done[n] for n in range(10) if n in done)[:-1]  # the last one has stayed for a trial
-    assert len(first) >= 5 and max(first) < 2.1 + 0.8  # its time is up at 3.1; a lease would come after that
+    done = rejection_times(run_hanging(made, 8.1, events))
+    first = sorted(done[n] for n in range(10) if n in done)[:-1]  # without the message kept for a trial
+    assert len(first) >= 5 and max(first) < 2.1 + 0.8  # the deadline is 3.1; no lease is expected before
     late = [done[n] - (8.0 + (n - 100) / 1000) for n in range(100, 110) if n in done]
-    assert len(late) >= 8 and max(late) < 0.05  # 5.9 s without a response: at once
+    assert len(late) >= 8 and max(late) < 0.05  # rejected at once after 5.9 s without a response
 
 
-def test_a_message_without_a_prospect_is_rejected_with_a_retry_after() -> None:
+def test_an_undeliverable_message_is_rejected_with_a_retry_after() -> None:
     made = module()
     serving(made)
     events = {2.1: [arrive(n, 1.0) for n in range(8)]}
-    (one, *_) = (a for _, a in play(made, 3.0, events) if isinstance(a, api.Reject))
+    (one, *_) = (a for _, a in run_hanging(made, 3.0, events) if isinstance(a, api.Reject))
     assert 0 < one.retry_after <= made.context.settings.max_retry_after
 
 
@@ -89,25 +89,28 @@
     made = module()
     made.handle(1.0, [arrive(1, 12.0)])
     actions = made.handle(1.1, [api.Outcome(1, 0, b"t", Result.FULL, 0.1, retry_after=2.0), arrive(2, 12.0)])
-    assert not [a for a in actions if isinstance(a, api.Reject)]  # it is over long before
+    # The retry-after ends long before the deadline.
+    assert not [a for a in actions if isinstance(a, api.Reject)]
 
 
-def test_a_message_waits_where_a_lease_comes_in_time() -> None:
+def test_a_message_waits_if_a_lease_is_expected_in_time() -> None:
     made = module()
     serving(made)
     events = {2.1: [arrive(n, 12.0) for n in range(8)]}
-    assert not refused(play(made, 4.0, events))  # 2 s without a response, 10 s are left
+    assert not rejection_times(run_hanging(made, 4.0, events))  # 2 s without a response, 10 s remain
 
 
-def test_one_message_stays_for_a_trial_of_the_route() -> None:
+def test_one_message_is_kept_for_a_trial_of_a_route_in_an_outage() -> None:
     made = module()
     serving(made)
     events: dict[float, list[api.Event]] = {2.1: [arrive(n, 12.0) for n in range(4)]}
     events |= {20.0 + n / 10: [arrive(100 + n, 1.0)] for n in range(30)}
     for n in range(4):
         events[14.0 + n / 1000] = [api.Outcome(n, 0, b"t", Result.TIMEOUT, 12.0)]
-    tried = [at for at, action in play(made, 23.0, events) if isinstance(action, api.Send) and at >= 20.0]
-    assert tried
+    trials = [
+        at for at, action in run_hanging(made, 23.0, events) if isinstance(action, api.Send) and at >= 20.0
+    ]
+    assert trials
 
 
 def test_messages_wait_while_any_route_serves() -> None:
@@ -116,28 +119,27 @@
     made.endpoints[b"t"].route.unanswered_since = -100.0
     made.endpoints[b"u"].route.unanswered_since = float("inf")
     made.bulkhead.free_slots = 0
-    assert not refused([(3.0, action) for action in made.handle(3.0, [arrive(1, 1.0)])])
+    assert not rejection_times([(3.0, action) for action in made.handle(3.0, [arrive(1, 1.0)])])
 
 
-def test_a_message_with_an_unknown_outcome_is_not_rejected_where_its_category_forbids_it() -> None:
+def test_an_unsafe_message_with_an_unknown_outcome_is_failed_instead_of_rejected() -> None:
     made = module()
     serving(made)
     sent = sends(made.handle(2.1, [arrive(1, 12.0, category=1)]))
     assert sent
     made.endpoints[b"t"].route.unanswered_since = -100.0
     actions = made.handle(3.0, [api.Outcome(1, 0, b"t", Result.RESET, 0.9)])
-    assert not refused([(3.0, action) for action in actions])
-    assert [action for action in actions if isinstance(action, api.Fail)]  # unsafe: nothing is left to try
+    assert not rejection_times([(3.0, action) for action in actions])
+    # An unsafe message may not be sent again.
+    assert [action for action in actions if isinstance(action, api.Fail)]
 
 
-def test_waiting_messages_are_answered_a_margin_before_the_deadline_and_short_ones_still_get_an_attempt() -> (
-    None
-):
-    """A process that has just started is behind its clock: an answer at the very end comes too late."""
+def test_messages_are_answered_a_margin_before_the_deadline_and_short_ones_are_still_sent() -> None:
+    """A process that has just started runs late, so an answer at the deadline itself would be late."""
     made = module(end_margin=0.25)
     serving(made)
-    wait = api.Outcome(1, 0, b"t", Result.FULL, 0.01, retry_after=3.0)
-    ends = refused(play(made, 5.0, {2.2: [arrive(1, 2.0)], 2.21: [wait]}))
+    rejection = api.Outcome(1, 0, b"t", Result.FULL, 0.01, retry_after=3.0)
+    ends = rejection_times(run_hanging(made, 5.0, {2.2: [arrive(1, 2.0)], 2.21: [rejection]}))
     assert 3.9 < ends[1] <= 4.2 - 0.25
     made = module(end_margin=0.25)
     first = made.handle(0.1, [arrive(2, 0.6), arrive(3, 0.1)])
