--- a/emberlatch/core/listing.py
+++ b/emberlatch/core/listing.py
@@ -45,7 +45,7 @@
         if self._context.settings.must_poll_directory:
             self.next_at, self._backoff = self._context.now, POLL_BACKOFF_S
 
-    def ask_if_due(self) -> None:
+    def request_if_due(self) -> None:
         """Request the endpoint list if a request is due."""
         context = self._context
         if context.now >= self.next_at:
@@ -59,7 +59,7 @@
     Attributes:
         endpoints: listed endpoints, and removed ones that are still needed (see `_forget_retired`).
         retired: the endpoints among these that are no longer listed.
-        is_overdue: an endpoint may be draining although no update about it was received.
+        may_miss_updates: an endpoint may be draining although no update about it was received.
         connections_short_until: by kind, the time until which endpoints count as short of connections.
     """
 
@@ -69,7 +69,7 @@
         "_slow_start",
         "connections_short_until",
         "endpoints",
-        "is_overdue",
+        "may_miss_updates",
         "poll",
         "retired",
     )
@@ -79,12 +79,12 @@
         self.poll = DirectoryPoll(context)
         self.endpoints: dict[Target, Endpoint] = {}
         self.retired: dict[Target, Endpoint] = {}
-        self.is_overdue = False
+        self.may_miss_updates = False
         self.connections_short_until: dict[int, float] = {}
 
     def on_update(self, event: DirectoryUpdate) -> None:
         """Apply a directory update."""
-        self.is_overdue = event.overdue
+        self.may_miss_updates = event.overdue
         self.poll.on_update(event.kind)
         if event.kind in (ListKind.CACHED, ListKind.FULL):
             for endpoint in self.endpoints.values():
--- a/emberlatch/core/placing.py
+++ b/emberlatch/core/placing.py
@@ -181,4 +181,4 @@
             return False
         # If a directory update may be missing, an ejected route is probably draining. Do not call it unless
         # all routes of the pool are ejected.
-        return not self._endpoints.is_overdue or all(other.ejected for other in route.pool.routes)
+        return not self._endpoints.may_miss_updates or all(other.ejected for other in route.pool.routes)
--- a/emberlatch/core/rules.py
+++ b/emberlatch/core/rules.py
@@ -131,7 +131,7 @@
         for destination, pool in pools.dirty.items():
             self._planner.schedule(destination, pool)
         poll = self.endpoint_list.poll
-        poll.ask_if_due()
+        poll.request_if_due()
         self.timer.set(min(poll.next_at, pools.wakeups.next_due()))
         return context.actions
 
