--- a/emberlatch/core/placing.py
+++ b/emberlatch/core/placing.py
@@ -27,7 +27,7 @@
 FEE_WEIGHT = 20.0  # the cost of an endpoint is its delay times (1 + FEE_WEIGHT * fee)
 # Time-out of an attempt: generous, because a slow message is not necessarily lost.
 MIN_ATTEMPT_TIMEOUT_S, ATTEMPT_TIMEOUT_LATENCIES = 2.0, 20.0
-SHUTDOWN_MARGIN_LATENCIES = 3.0  # time between the start of a call and shutdown, in latencies, at least
+SHUTDOWN_MARGIN_LATENCIES = 3.0  # minimum time between the start of a call and the shutdown, in latencies
 MIN_LATENCY_S = 0.01
 
 
--- a/tests/core/harness.py
+++ b/tests/core/harness.py
@@ -92,7 +92,7 @@
         self.blocked_until: dict[object, float] = {}
         self.log: list[api.Action] = []
         self.sent: list[tuple[float, bytes]] = []
-        self.batch: dict[tuple[float, bytes], Result | None] = {}
+        self.call_results: dict[tuple[float, bytes], Result | None] = {}
         self.step([api.DirectoryUpdate(api.ListKind.CACHED, 1, tuple(self.entries.values()))])
 
     def route(self, target: bytes) -> object:
@@ -130,7 +130,7 @@
             message = self.accepted[attempt.ref]
             if attempt.ends > self.now:
                 continue
-            result = self.batch.get((attempt.sent, attempt.target)) or Result.TIMEOUT
+            result = self.call_results.get((attempt.sent, attempt.target)) or Result.TIMEOUT
             retry_after = 0.3 if result is Result.FULL and attempt.ref % 2 else 0.0
             attempt.result, attempt.done = result, self.now
             closed = message.answered is not None or result is Result.OK
@@ -191,7 +191,7 @@
                 attempt = self.accepted[ref].attempts[number]
                 if attempt.result is None:
                     attempt.ends = self.now
-                    self.batch[attempt.sent, attempt.target] = Result.CANCELLED
+                    self.call_results[attempt.sent, attempt.target] = Result.CANCELLED
             case api.Probe(target):
                 assert self.now >= self.blocked_until.get(self.route(target), 0.0), (
                     f"health check of {target!r} during its retry-after"
@@ -238,11 +238,11 @@
         if category.ordered and event.key:
             self.check_order(message)
         attempt = Attempt(event.ref, len(message.attempts), target, self.now, 0.0)
-        if (self.now, target) not in self.batch:
-            self.batch[self.now, target] = self.draw_result(self, attempt)
+        if (self.now, target) not in self.call_results:
+            self.call_results[self.now, target] = self.draw_result(self, attempt)
             self.sent.append((self.now, target))
         limit = min(end, self.now + (timeout or math.inf))
-        duration = self.random.choice((0.02, 0.05, 0.1)) if self.batch[self.now, target] else math.inf
+        duration = self.random.choice((0.02, 0.05, 0.1)) if self.call_results[self.now, target] else math.inf
         attempt.ends = min(limit, self.now + duration)
         message.attempts.append(attempt)
 
