--- a/emberlatch/core/view.py
+++ b/emberlatch/core/view.py
@@ -43,7 +43,7 @@
     """Maximum calls per second from this forwarder; None while there is no limit."""
 
 
-PoolView = TypedDict(  # noqa: UP013 - as a field, `sick` would be a name in the code
+PoolView = TypedDict(  # noqa: UP013 - the class syntax would define the withdrawn word `sick` as a name
     "PoolView",
     {
         "destination": int,
--- a/tests/core/test_view.py
+++ b/tests/core/test_view.py
@@ -22,7 +22,10 @@
 
 
 def make_forwarder() -> Forwarder:
-    """Return a forwarder with one message in flight to destination 7, one of whose two endpoints drains."""
+    """Return a forwarder with one message in flight to destination 7, and none to 8.
+
+    One of the two endpoints of destination 7 is draining.
+    """
     forwarder = Forwarder(SETTINGS, 1)
     forwarder.handle(0.0, iter([api.DirectoryUpdate(api.ListKind.FULL, 1, ENTRIES)]))
     forwarder.handle(0.1, iter([api.Arrival(1, 0, 7, 4.0)]))
