--- a/emberlatch/cluster/rpc/errors.py
+++ b/emberlatch/cluster/rpc/errors.py
@@ -1,4 +1,4 @@
-"""Errors of calls between processes: `RpcError` is the root of the tree."""
+"""Errors of calls between processes; all are subclasses of `RpcError`."""
 
 from __future__ import annotations
 
@@ -6,11 +6,14 @@
 
 
 class RpcError(Exception):
-    """Root of the errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class MessageDecodeError(RpcError, ValueError):
-    """A payload is not the message that its method carries. `message`: which one; `reason`: what is wrong."""
+    """A payload is not a valid message of its method.
+
+    `message` names the expected message; `reason` says what is wrong with the payload.
+    """
 
     def __init__(self, message: str, reason: str) -> None:
         super().__init__(f"{message}: {reason}")
@@ -18,15 +21,15 @@
 
 
 class FrameError(RpcError, ValueError):
-    """Received bytes are not a frame, or a frame that must not come now; the connection is closed."""
+    """Received bytes are not a frame, or not one that is allowed at this point; the connection is closed."""
 
 
 class CallFailedError(RpcError):
-    """A call has no response.
+    """A call ended without a result.
 
-    `step` is the method, or the step of connecting, that failed; `peer` the node or address. If
-    `may_have_arrived` is False the request surely had no effect and may be sent elsewhere; else only an
-    idempotent request may be retried.
+    `step` is the method, or the step of connecting, that failed; `peer` is the node or address. If
+    `may_have_arrived` is False, the request certainly had no effect and may be sent to another peer;
+    otherwise only an idempotent request may be retried.
     """
 
     def __init__(self, step: str, peer: str, reason: str, may_have_arrived: bool) -> None:
@@ -35,7 +38,7 @@
 
 
 class ForeignPeerError(RpcError):
-    """Another node answers at an address, or an earlier incarnation of the expected one."""
+    """The peer at an address is another node, or an earlier incarnation of the expected node."""
 
     def __init__(self, expected: Incarnation, found: Incarnation) -> None:
         super().__init__(f"expected {expected}, found {found}")
--- a/emberlatch/cluster/rpc/frames.py
+++ b/emberlatch/cluster/rpc/frames.py
@@ -1,8 +1,8 @@
-"""Frames of a connection: a length (4 bytes, big-endian) and that many bytes of CBOR. No I/O.
+"""Frames of a connection: a length (4 bytes, big-endian), followed by that many bytes of CBOR. No I/O.
 
-The CBOR item is an array of the frame's kind and the fields of its class, in the order of their declaration:
-changing the order, number or types of fields changes the wire format; renaming a field does not. Requests and
-responses carry the incarnations of caller and receiver beside the request's number.
+The CBOR item is an array of the frame's kind and the fields of its class, in the order of their declaration.
+Changing the order, number or types of fields changes the wire format; renaming a field does not. Requests and
+responses carry the incarnations of caller and receiver in addition to the request number.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 from emberlatch.cluster.rpc.errors import FrameError
 
-VERSION = 2  # of this protocol; processes of different versions do not connect
+VERSION = 2  # protocol version; processes of different versions do not connect
 LENGTH_BYTES = 4
 MAX_FRAME_BYTES = 8 * 1024 * 1024
-MAX_ERROR_CHARS = 200  # of a decoder's error
+MAX_ERROR_CHARS = 200  # limit for the error text that quotes a CBOR decoder error
 
 
 class FrameKind(IntEnum):
-    """The first item of a frame."""
+    """The kind of a frame, which is the first item of its array."""
 
     IDENTIFY = 0
     REQUEST = 1
@@ -34,9 +34,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Identify:
-    """The first frame in each direction: who its sender is, and which peer it expects.
+    """The first frame in each direction: names its sender and the peer that the sender expects.
 
-    An empty `expected_node` matches any node; an incarnation later than `expected_incarnation` matches too.
+    An empty `expected_node` matches any node; an incarnation later than `expected_incarnation` also matches.
     """
 
     version: int
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorResponse:
-    """The request with this number failed; it may have had an effect."""
+    """Reports that the request with this number failed; the request may have had an effect."""
 
     number: int
     caller_incarnation: int
@@ -99,24 +99,27 @@
 
 @dataclass(frozen=True, slots=True)
 class _Layout:
-    """Encoding of one class of frame, computed once: frames are encoded and decoded for each message.
+    """Encoding of one frame class, computed once because every message is encoded and decoded with it.
 
-    `integers` and `texts` are the array indices of fields that must be non-negative integers and strings.
+    `integer_indices` and `text_indices` are the array indices of the items that must be non-negative integers
+    and strings.
     """
 
-    frame: type[Frame]
+    frame_class: type[Frame]
     kind: int
-    values: Callable[[Frame], tuple[object, ...]]
-    count: int
-    integers: tuple[int, ...]
-    texts: tuple[int, ...]
+    field_values: Callable[[Frame], tuple[object, ...]]
+    item_count: int
+    integer_indices: tuple[int, ...]
+    text_indices: tuple[int, ...]
 
     @staticmethod
-    def of(kind: FrameKind, frame: type[Frame]) -> _Layout:
-        """The layout of one class of frame."""
-        declared = [(index, field.name, str(field.type)) for index, field in enumerate(fields(frame), 1)]
+    def of(kind: FrameKind, frame_class: type[Frame]) -> _Layout:
+        """The layout of one frame class."""
+        declared = [
+            (index, field.name, str(field.type)) for index, field in enumerate(fields(frame_class), 1)
+        ]
         return _Layout(
-            frame,
+            frame_class,
             int(kind),
             attrgetter(*(name for _, name, _ in declared)),
             1 + len(declared),
@@ -125,37 +128,47 @@
         )
 
 
-_LAYOUTS = {int(kind): _Layout.of(kind, frame) for kind, frame in FRAMES.items()}
-_LAYOUT_OF: dict[type[Frame], _Layout] = {layout.frame: layout for layout in _LAYOUTS.values()}
+_LAYOUTS = {int(kind): _Layout.of(kind, frame_class) for kind, frame_class in FRAMES.items()}
+_LAYOUT_OF: dict[type[Frame], _Layout] = {layout.frame_class: layout for layout in _LAYOUTS.values()}
 
 
 def encode(frame: Frame) -> bytes:
-    """The bytes of a frame, its length in front."""
+    """The encoded frame, prefixed with its length."""
     layout = _LAYOUT_OF[type(frame)]
-    body = cbor2.dumps([layout.kind, *layout.values(frame)])
+    body = cbor2.dumps([layout.kind, *layout.field_values(frame)])
     return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
 def decode(body: bytes) -> Frame:
-    """The frame in the bytes behind its length. Raises FrameError if they are malformed."""
+    """Decode the bytes that follow a frame's length. Raises FrameError if they are malformed."""
     try:
         items = cbor2.loads(body)
     except Exception as error:  # the decoder's errors on malformed input are of many types
-        raise FrameError(f"not CBOR: {error!r}"[:MAX_ERROR_CHARS]) from None
+        raise FrameError(f"frame body is not CBOR: {error!r}"[:MAX_ERROR_CHARS]) from None
     if type(items) is not list or not items or type(items[0]) is not int:
-        raise FrameError("not a frame")
+        raise FrameError(
+            f"frame body must be an array that begins with an integer, found {type(items).__name__}"
+        )
     layout = _LAYOUTS.get(items[0])
     if layout is None:
-        raise FrameError(f"unknown kind of frame {items[0]}")
-    if len(items) != layout.count:
-        raise FrameError(f"a {layout.frame.__name__} of {len(items)} items")
-    for index in layout.integers:
+        raise FrameError(f"unknown frame kind {items[0]}, expected one of {list(_LAYOUTS)}")
+    if len(items) != layout.item_count:
+        raise FrameError(
+            f"{layout.frame_class.__name__} frame has {len(items)} items, expected {layout.item_count}"
+        )
+    for index in layout.integer_indices:
         if type(items[index]) is not int or items[index] < 0:
-            raise FrameError(f"{layout.frame.__name__}, item {index}: {items[index]!r:.40}")
-    for index in layout.texts:
+            raise FrameError(
+                f"{layout.frame_class.__name__} frame, item {index}: expected a non-negative integer, "
+                f"found {items[index]!r:.40}"
+            )
+    for index in layout.text_indices:
         if type(items[index]) is not str:
-            raise FrameError(f"{layout.frame.__name__}, item {index}: {items[index]!r:.40}")
-    return layout.frame(*items[1:])
+            raise FrameError(
+                f"{layout.frame_class.__name__} frame, item {index}: expected a string, "
+                f"found {items[index]!r:.40}"
+            )
+    return layout.frame_class(*items[1:])
 
 
 class FrameReader:
@@ -165,15 +178,15 @@
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """The frames that are complete now, in order. Raises FrameError at the first malformed bytes."""
+        """Yield the frames that are complete now, in order. Raises FrameError at a malformed frame."""
         self._buffer += data
-        end = 0  # of the frames that were read
+        end = 0  # end of the last complete frame in the buffer
         try:
             while len(self._buffer) - end >= LENGTH_BYTES:
                 start = end + LENGTH_BYTES
                 length = int.from_bytes(self._buffer[end:start], "big")
                 if length > MAX_FRAME_BYTES:
-                    raise FrameError(f"a frame of {length} bytes")
+                    raise FrameError(f"frame of {length} bytes, at most {MAX_FRAME_BYTES} are allowed")
                 if len(self._buffer) < start + length:
                     return
                 end = start + length
