--- a/emberlatch/cluster/rpc/connection.py
+++ b/emberlatch/cluster/rpc/connection.py
@@ -1,9 +1,10 @@
 """One connection between two processes, on which both sides may call each other.
 
-Each side first identifies itself, and the dialling side the peer that it expects: a connection to any other
-peer is closed. A request is sent once, under a number that this process never uses again. A response that
-matches no awaited call is dropped and counted; unless it is merely late, the connection is closed, for its
-other end can't be trusted. Malformed bytes cost their sender the connection, and nothing else.
+Each side first identifies itself, and the dialling side also names the peer that it expects: a connection to
+any other peer is closed. A request is sent once, under a number that this process never reuses. A response
+that matches no awaited call is dropped and counted. If it is a late response to an abandoned call, the
+connection stays open; otherwise the peer can't be trusted and the connection is closed. Malformed bytes close
+the connection on which they arrive and affect no other connection.
 """
 
 from __future__ import annotations
@@ -33,25 +34,25 @@
 from emberlatch.cluster.rpc.send_queue import SendQueue
 from emberlatch.engine import Tasks
 
-MAX_OUTSTANDING_CALLS = 20_000  # requests of one connection without a response
+MAX_OUTSTANDING_CALLS = 20_000  # limit of unanswered requests on one connection
 MAX_LOGGED_ERROR_CHARS = 200
 
 RequestHandler = Callable[["RpcConnection", str, object], object]
-"""Handles a request by method and payload: returns the response's payload, or a coroutine that does. The text
-of an error that it raises is sent to the caller."""
+"""Handles a request, given its connection, method and payload. Returns the response's payload, or a coroutine
+that returns it. If the handler raises an error, the text of the error is sent to the caller."""
 
 
 class RpcConnection(asyncio.Protocol):
     """One end of a connection.
 
     `expected` is the peer that the dialling side wants to reach; None on the accepting side. `on_lost` is
-    called once, when the connection has ended, for whatever reason.
+    called once when the connection ends, whatever the reason.
 
     Attributes:
         name: Node name of the peer; "?" on the accepting side until the peer has identified itself.
-        remote: Who is at the other end; None until the peer has identified itself.
-        tasks: Run the coroutines of the handler.
-        last_received_at: Loop time in seconds at which bytes arrived last.
+        remote: Incarnation of the peer; None until the peer has identified itself.
+        tasks: Runs the coroutines that the handler returns.
+        last_received_at: Loop time in seconds at which bytes last arrived.
     """
 
     transport: asyncio.Transport
@@ -70,8 +71,8 @@
         self._endpoint, self._expected, self._on_lost = endpoint, expected, on_lost
         self._requests = RequestServer(self, functools.partial(handler, self), tasks, endpoint.completed)
         self.remote: Incarnation | None = None
-        self._foreign: Incarnation | None = None  # the peer found in place of the expected one
-        self._identified = asyncio.Event()  # remote or foreign peer is known, or the connection is lost
+        self._foreign_peer: Incarnation | None = None  # the peer that was found instead of the expected one
+        self._peer_known_or_lost = asyncio.Event()  # set once the peer is known or the connection is lost
         self._reader = FrameReader()
         self._calls = CallTable()
         self._queue = SendQueue()
@@ -82,40 +83,41 @@
     # Connection lifecycle.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The dialling side identifies itself at once."""
-        self.transport = cast(asyncio.Transport, transport)  # a loop's own need not be of that class
+        """Attach the transport; the dialling side sends its Identify frame at once."""
+        # A cast, not a check: the transports of other event loops need not be of this class.
+        self.transport = cast(asyncio.Transport, transport)
         self._queue.attach(self.transport)
         self.last_received_at = asyncio.get_running_loop().time()
         if self._expected is not None:
             self._send_identify(self._expected)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail all awaited calls; those whose request is still queued have surely not arrived."""
+        """Fail all awaited calls. A request that is still queued has certainly not reached the peer."""
         self._mark_closed()
         unsent = self._queue.unsent_requests()
         for call in self._calls.drain():
             call.response.set_exception(
                 CallFailedError("call", self.name, "connection lost", call.number not in unsent)
             )
-        self._identified.set()
+        self._peer_known_or_lost.set()
         if self._on_lost is not None:
             self._on_lost(self)
 
     def pause_writing(self) -> None:
-        """The transport's buffer is full."""
+        """Stop writing, because the transport's buffer is full."""
         self._queue.pause()
 
     def resume_writing(self) -> None:
-        """The transport takes data again."""
+        """Write again, because the transport accepts data again."""
         self._queue.resume()
 
     def abort(self) -> None:
-        """Close at once; what is queued is discarded."""
+        """Close at once and discard all queued frames."""
         self._mark_closed()
         self.transport.abort()
 
     def close(self) -> None:
-        """Close once everything queued is written."""
+        """Close after all queued frames are written."""
         self._queue.resume()
         self.transport.close()
 
@@ -126,11 +128,11 @@
     async def established(self) -> Incarnation:
         """Wait until the peer has identified itself.
 
-        Raises ForeignPeerError if it is not the expected one, CallFailedError if the connection is lost.
+        Raises ForeignPeerError if it is not the expected peer, CallFailedError if the connection is lost.
         """
-        await self._identified.wait()
-        if self._foreign is not None and self._expected is not None:
-            raise ForeignPeerError(self._expected, self._foreign)
+        await self._peer_known_or_lost.wait()
+        if self._foreign_peer is not None and self._expected is not None:
+            raise ForeignPeerError(self._expected, self._foreign_peer)
         if self.remote is None:
             raise CallFailedError("greeting", self.name, "connection lost", False)
         return self.remote
@@ -138,7 +140,7 @@
     # Sending.
 
     def call(self, method: str, payload: object) -> PendingCall:
-        """Send a request, once. A call that can't be sent has failed already."""
+        """Send a request once. If it can't be sent, the returned call has already failed."""
         loop = asyncio.get_running_loop()
         response: asyncio.Future[object] = loop.create_future()
         remote = self.remote
@@ -156,7 +158,10 @@
         return PendingCall(number, response)
 
     def abandon(self, call: PendingCall) -> bool:
-        """Await a call no longer; whether its request may have been sent. One still queued is never sent."""
+        """Stop awaiting a call and return whether its request may have been sent.
+
+        A request that is still queued is withdrawn and never sent.
+        """
         call.response.cancel()
         withdrawn = self._queue.withdraw(call.number)
         if withdrawn:
@@ -164,7 +169,7 @@
         return not withdrawn
 
     def notify(self, method: str, payload: object) -> None:
-        """Send a message that has no response; nothing happens on a connection that is not up."""
+        """Send a message that has no response; do nothing if the connection is not established."""
         if not self.closed and self.remote is not None:
             self._send(Notification(method, payload), method)
 
@@ -173,11 +178,11 @@
         self._send_encoded(data, f"={method}")
 
     def oldest_unanswered_s(self) -> float:
-        """Seconds for which the oldest request has been without a response, awaited or abandoned."""
+        """The age in seconds of the oldest unanswered request, awaited or abandoned; 0 if there is none."""
         return self._calls.oldest_unanswered_s(asyncio.get_running_loop().time())
 
     def flush(self) -> None:
-        """Write all queued frames now instead of at the end of this turn of the loop."""
+        """Write all queued frames now instead of in the next iteration of the event loop."""
         self._queue.flush()
 
     def _send_identify(self, expected: Incarnation) -> None:
@@ -196,14 +201,14 @@
     # Receiving.
 
     def data_received(self, data: bytes) -> None:
-        """Handle all complete frames."""
+        """Decode the received bytes and handle all complete frames."""
         self.last_received_at = asyncio.get_running_loop().time()
         try:
             for frame in self._reader.feed(data):
                 if self.closed:
                     return
                 self._receive(frame)
-        except Exception as error:  # whatever it is, it costs its sender this connection
+        except Exception as error:  # whatever the error, it closes only this connection
             log_event(Event.MALFORMED_FRAME, peer=self.name, error=repr(error)[:MAX_LOGGED_ERROR_CHARS])
             self.abort()
 
@@ -211,7 +216,7 @@
         if isinstance(frame, Identify):
             return self._on_identify(frame)
         if self.remote is None:
-            raise FrameError(f"a {type(frame).__name__} ahead of the Identify frame")
+            raise FrameError(f"received a {type(frame).__name__} frame before the Identify frame")
         match frame:
             case Response() | ErrorResponse():
                 self._on_response(frame, self.remote)
@@ -222,30 +227,35 @@
         return None
 
     def _on_identify(self, identify: Identify) -> None:
-        """Accept the peer, or close the connection if either side is not the one that the other expects."""
+        """Accept the peer, or close the connection if either side is not the peer that the other expects."""
         if self.remote is not None or identify.version != VERSION:
-            raise FrameError(f"an Identify frame of version {identify.version}")
+            raise FrameError(
+                f"unexpected Identify frame: version {identify.version}, expected {VERSION}; "
+                f"peer identified so far: {self.remote}"
+            )
         remote, local = Incarnation(identify.node, identify.incarnation), self._endpoint.incarnation
         local_as_expected = Incarnation(identify.expected_node, identify.expected_incarnation)
         if self._expected is not None:
             if not remote.satisfies(self._expected):
                 return self._reject(remote, self._expected)
-        else:  # it learns who we are in any case, and closes the connection itself if it expects another
+        else:
+            # Identify this process even to a peer that expects another: that peer then closes the connection.
             self.name = identify.node
             self._send_identify(remote)
         if not local.satisfies(local_as_expected):
             self.drop(
-                UnexpectedMessage.FOREIGN_PEER, f"{remote} expects {local_as_expected}, this is {local}"
+                UnexpectedMessage.FOREIGN_PEER,
+                f"{remote} expects {local_as_expected}, this process is {local}",
             )
             return self.close()
         self.remote = remote
-        self._identified.set()
+        self._peer_known_or_lost.set()
         return None
 
     def _reject(self, remote: Incarnation, expected: Incarnation) -> None:
         self.drop(UnexpectedMessage.FOREIGN_PEER, f"expected {expected}, found {remote}")
-        self._foreign = remote
-        self._identified.set()
+        self._foreign_peer = remote
+        self._peer_known_or_lost.set()
         self.abort()
 
     def _on_request(self, request: Request, remote: Incarnation) -> None:
@@ -258,11 +268,11 @@
     def _on_response(self, frame: Response | ErrorResponse, remote: Incarnation) -> None:
         expected = frame.caller_incarnation == self._endpoint.incarnation.number
         expected = expected and frame.receiver_incarnation == remote.number
-        if not expected or not self._calls.issued(frame.number):
+        if not expected or not self._calls.was_issued(frame.number):
             return self._abort_untrusted(UnexpectedMessage.UNKNOWN_RESPONSE, frame.number)
         if not self._calls.mark_answered(frame.number):
             return self._abort_untrusted(UnexpectedMessage.DUPLICATE_RESPONSE, frame.number)
-        response = self._calls.awaited(frame.number)
+        response = self._calls.find_awaited(frame.number)
         if response is None:
             self.drop(UnexpectedMessage.LATE_RESPONSE, f"number={frame.number}")
         elif isinstance(frame, Response):
@@ -272,14 +282,14 @@
         return None
 
     def _abort_untrusted(self, kind: UnexpectedMessage, number: int) -> None:
-        """The peer mixes up calls: nothing more is accepted on this connection."""
+        """Drop a message of a peer that mixes up calls, and accept nothing more on this connection."""
         self.drop(kind, f"number={number}")
         self.abort()
 
     def drop(self, kind: UnexpectedMessage, detail: str) -> None:
-        """Count a message that is not handled and log it (event 207).
+        """Count a message that is dropped, and log it as event 207.
 
-        Of late responses only the first on a connection is logged.
+        Of the late responses on a connection, only the first is logged.
         """
         self._counters.count_dropped(self.name, kind)
         late = kind is UnexpectedMessage.LATE_RESPONSE
--- a/emberlatch/cluster/rpc/server.py
+++ b/emberlatch/cluster/rpc/server.py
@@ -1,4 +1,4 @@
-"""Accepting connections of other processes."""
+"""Accepts connections from other processes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RpcServer:
-    """Listens for other processes from its construction on. `connections`: those that are open."""
+    """Listens for other processes from construction until `close`. `connections` are the open connections."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         return connection
 
     def close(self) -> None:
-        """Stop listening, and close accepted connections once what is queued on them is written."""
+        """Stop listening, and close each accepted connection after its queued frames are written."""
         self._acceptor.close()
         for connection in list(self.connections):
             connection.close()
