--- a/emberlatch/cluster/rpc/dedupe.py
+++ b/emberlatch/cluster/rpc/dedupe.py
@@ -1,7 +1,8 @@
 """Deduplication of at-most-once calls: the receiver retains each call for as long as a duplicate may arrive.
 
-The number of calls and the bytes of retained responses are both bounded; the oldest are dropped first. A
-response that is too long is not retained: a duplicate of its call gets none, and does not run either. No I/O.
+The number of calls and the total size of the retained responses are bounded; the oldest calls are dropped
+first. A response that is too long is not retained: a duplicate of its call does not run and gets no response.
+No I/O.
 """
 
 from __future__ import annotations
@@ -11,13 +12,13 @@
 
 RETENTION_S = 10.0  # longer than any caller waits for a response
 MAX_CALLS = 8192
-MAX_RESPONSE_BYTES = 16 * 1024  # of one retained response
-MAX_RETAINED_BYTES = 4 * 1024 * 1024  # of all retained responses
+MAX_RESPONSE_BYTES = 16 * 1024  # limit for one retained response
+MAX_RETAINED_BYTES = 4 * 1024 * 1024  # limit for all retained responses together
 
 
 @dataclass(frozen=True, slots=True)
 class CallKey:
-    """A request of one incarnation of a node, which never uses its number again."""
+    """Identifies a request. One incarnation of a node never reuses a number."""
 
     node: str
     incarnation: int
@@ -27,12 +28,15 @@
 @dataclass(slots=True)
 class _Call:
     started_at: float
-    response: bytes | None = None  # the encoded frame; None while the call runs, and if it is not retained
+    response: bytes | None = None  # the encoded frame; None while the call runs, or if it is not retained
 
 
 @dataclass(frozen=True, slots=True)
 class DuplicateCall:
-    """A call that was received before; `response` is the encoded frame, None if it is not retained."""
+    """A call that was received before.
+
+    `response` is the encoded frame; None while the call runs, or if the response is not retained.
+    """
 
     response: bytes | None
 
@@ -45,12 +49,14 @@
         self._bytes = 0
 
     def __len__(self) -> int:
-        """Number of calls retained."""
+        """The number of retained calls."""
         return len(self._calls)
 
     def begin(self, key: CallKey, now: float) -> DuplicateCall | None:
-        """Register a call that is about to run; a DuplicateCall if it must not run, for it was received
-        before."""
+        """Register a call that is about to run.
+
+        Return a DuplicateCall if the call was received before and must not run again; None otherwise.
+        """
         self._expire(now)
         known = self._calls.get(key)
         if known is not None:
@@ -61,7 +67,7 @@
         return None
 
     def finish(self, key: CallKey, response: bytes) -> None:
-        """Retain the encoded response for duplicates."""
+        """Retain the encoded response for duplicates of the call."""
         call = self._calls.get(key)
         if call is None or call.response is not None or len(response) > MAX_RESPONSE_BYTES:
             return
--- a/emberlatch/cluster/rpc/incarnation.py
+++ b/emberlatch/cluster/rpc/incarnation.py
@@ -1,4 +1,4 @@
-"""Who takes part in a call: one incarnation of one process, and what its connections share."""
+"""The identity of a process in calls: its incarnation, and the state that its connections share."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Incarnation:
-    """One start of a node's process. `number` grows with each start; 0 is earlier than any."""
+    """One start of a node's process. `number` increases with each start; 0 is below all numbers of starts."""
 
     node: str
     number: int
@@ -19,23 +19,25 @@
         return f"{self.node}/{self.number}"
 
     def satisfies(self, expected: Incarnation) -> bool:
-        """Whether this is the expected node, in that incarnation or a later one; an empty node name in
-        `expected` matches any."""
+        """Whether this is the expected node in the expected incarnation or a later one.
+
+        An empty node name in `expected` matches any node.
+        """
         return not expected.node or (self.node == expected.node and self.number >= expected.number)
 
 
 ANY_NODE = Incarnation("", 0)
-"""Expected by a caller who does not know which node has an address."""
+"""The expected peer of a caller that does not know which node uses an address."""
 
 
 @dataclass(slots=True)
 class LocalEndpoint:
-    """What all connections of this process share: its incarnation, request numbers, and calls that ran."""
+    """State that all connections of this process share: incarnation, request numbers and completed calls."""
 
     incarnation: Incarnation
     completed: CompletedCalls = field(default_factory=CompletedCalls)
     _numbers: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
 
     def next_request_number(self) -> int:
-        """A number that no other request of this incarnation has, on whatever connection."""
+        """A number that no other request of this incarnation has, on any connection."""
         return next(self._numbers)
--- a/emberlatch/cluster/rpc/methods.py
+++ b/emberlatch/cluster/rpc/methods.py
@@ -1,8 +1,8 @@
-"""The methods that processes call on each other, and what happens if a request is received twice.
+"""The methods that processes call on each other, and how a receiver treats duplicate requests.
 
-This layer sends a request once, on one connection, and never retries: a caller that wants the effect after a
-time-out calls again, under the rules of the method. Of at-most-once methods the receiver retains the numbers
-of the requests that it ran, so that a duplicate does not run.
+This layer sends a request once, on one connection, and never retries. A caller that still wants the effect
+after a time-out must call again, as the rule of the method permits. For at-most-once methods, the receiver
+retains the numbers of the requests that it ran, so that a duplicate does not run.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class RpcMethod(StrEnum):
-    """Methods by their names on the wire, which must not change: versions of the program run side by side."""
+    """Methods with their names on the wire. No name may change: versions of the program run side by side."""
 
     HANDSHAKE = "hello"
     HEARTBEAT = "beat"
@@ -39,13 +39,16 @@
 class Idempotency(Enum):
     """What a receiver does with a request that it has received before."""
 
-    IDEMPOTENT = "idempotent"  # runs it again: the outcome is the same
-    AT_MOST_ONCE = "at most once"  # does not run it: it is recognized by its number
+    IDEMPOTENT = "idempotent"  # the receiver runs it again: the outcome is the same
+    AT_MOST_ONCE = "at most once"  # the receiver recognizes it by its number and does not run it
 
 
 @dataclass(frozen=True, slots=True)
 class MethodRule:
-    """`reason` says why a duplicate of the method is harmless, or what it would do."""
+    """How a receiver treats duplicates of one method.
+
+    `reason` says why running a duplicate is harmless, or what harm it would do.
+    """
 
     method: RpcMethod
     idempotency: Idempotency
@@ -65,37 +68,38 @@
 _RULES = (
     _idempotent(RpcMethod.HANDSHAKE, "members merge by incarnation; the response is read from memory"),
     _idempotent(RpcMethod.HEARTBEAT, "renews the caller's lease; the response is read from memory"),
-    _idempotent(RpcMethod.HEARTBEAT_NOTICE, "a heartbeat; the newest reported revision only grows"),
+    _idempotent(RpcMethod.HEARTBEAT_NOTICE, "as HEARTBEAT; the newest reported revision only increases"),
     _idempotent(RpcMethod.ROSTER, _READ_ONLY),
     _idempotent(RpcMethod.MEMBERSHIP_UPDATE, "members merge by incarnation"),
     _at_most_once(
-        RpcMethod.ACCEPT, "could accept a message that was rejected with the promise that it never runs"
+        RpcMethod.ACCEPT,
+        "a duplicate could accept a message that was rejected with the promise that it never runs",
     ),
     _at_most_once(RpcMethod.PROBE, "merges by epoch; a duplicate may find the message already ended"),
-    _idempotent(RpcMethod.REPLICATE, "the replica merges: state, epoch and owner only grow"),
-    _idempotent(RpcMethod.COMMIT_STATE, "merges: an end is final, and success wins over every other end"),
+    _idempotent(RpcMethod.REPLICATE, "replicas merge: state, epoch and owner only advance"),
+    _idempotent(RpcMethod.COMMIT_STATE, "merges: an outcome is final, and success overrides any other"),
     _idempotent(RpcMethod.MESSAGE_STATE, _READ_ONLY),
     _idempotent(RpcMethod.MESSAGE_BODY, _READ_ONLY),
-    _idempotent(RpcMethod.ASSUME_OWNERSHIP, "merges by an epoch that the sender has drawn for this handover"),
+    _idempotent(RpcMethod.ASSUME_OWNERSHIP, "merges by the epoch that the sender chose for this handover"),
     _idempotent(RpcMethod.DIGEST_RANGES, _READ_ONLY),
     _idempotent(RpcMethod.RECORDS, _READ_ONLY),
     _idempotent(RpcMethod.REPAIR, "replicas merge as in REPLICATE"),
     _idempotent(RpcMethod.CONFIGURATION, _READ_ONLY),
     _idempotent(
-        RpcMethod.TARGET, "a target's incarnation only grows; its sequence numbers order its heartbeats"
+        RpcMethod.TARGET, "a target's incarnation only increases; its sequence numbers order its heartbeats"
     ),
-    _idempotent(RpcMethod.TARGETS, "as TARGET, for several"),
+    _idempotent(RpcMethod.TARGETS, "as TARGET, for several targets"),
     _at_most_once(
         RpcMethod.CONTROL_API,
-        "orders merge by revision or decommission mark, but a late heartbeat would renew a lease",
+        "commands merge by revision or decommission mark, but a late heartbeat would renew a lease",
     ),
     _idempotent(
-        RpcMethod.CONTROL_STATE, "ballots order promises; a command that was applied changes nothing"
+        RpcMethod.CONTROL_STATE, "ballots order promises; a command that is already applied changes nothing"
     ),
 )
 
 METHOD_RULES: dict[str, MethodRule] = {rule.method: rule for rule in _RULES}
-"""The rule of each method, by its name on the wire."""
+"""The rule of each method, by the method's name on the wire."""
 
 
 def runs_once(name: str) -> bool:
--- a/emberlatch/cluster/rpc/peer.py
+++ b/emberlatch/cluster/rpc/peer.py
@@ -1,4 +1,4 @@
-"""A peer process: the connection that this process keeps to it, dialled again whenever it is lost."""
+"""A peer process and the connection to it, which is dialled again whenever it is lost."""
 
 from __future__ import annotations
 
@@ -17,24 +17,28 @@
 from emberlatch.cluster.rpc.methods import RpcMethod
 from emberlatch.engine import Tasks
 
-HEARTBEAT_INTERVAL_S = 0.4  # where the delegate wants no other
-LIVENESS_MISSED_HEARTBEATS = 2.0  # a connection is given up once nothing arrives for so many intervals
-LIVENESS_SLACK_S = 0.5  # ... and so many seconds more
-CONNECT_TIMEOUT_S = 0.6  # for the connection, and again for the handshake on it
-UNRESPONSIVE_AFTER_S = 0.25  # without a response: no call that somebody awaits is sent to it
-SLOW_AFTER_S = 0.1  # without a response: other peers are preferred
-REDIAL_BACKOFF_S = (0.05, 0.1, 0.2, 0.3)  # before the next dial, by the number that failed in a row
-EARLIER_INCARNATION_DIALS = 10  # that find an earlier incarnation until it is believed: a clock was set back
-SEED_PREFIX = "seed "  # of the name of a peer of which only the address is known
+HEARTBEAT_INTERVAL_S = 0.4  # default interval; a delegate may choose another one
+# A connection is closed if nothing arrives on it for this number of heartbeat intervals plus the slack.
+LIVENESS_MISSED_HEARTBEATS = 2.0
+LIVENESS_SLACK_S = 0.5
+CONNECT_TIMEOUT_S = 0.6  # time limit of the connection, and again of the handshake on it
+# Age of the oldest unanswered request above which no call whose response is awaited is sent to the peer.
+UNRESPONSIVE_AFTER_S = 0.25
+SLOW_AFTER_S = 0.1  # age of the oldest unanswered request above which other peers are preferred
+REDIAL_BACKOFF_S = (0.05, 0.1, 0.2, 0.3)  # delay before the next dial, by the number of consecutive failures
+# Number of consecutive dials that must find an earlier incarnation of the expected node before that
+# incarnation is accepted: the clock of its machine may have been set back.
+EARLIER_INCARNATION_DIALS = 10
+SEED_PREFIX = "seed "  # prefix of the name of a peer whose address is known but whose node is not
 
 
 class PeerState(Enum):
     """What is known of the peer's process."""
 
-    CONNECTING = "connecting"  # nothing is known yet, or the connection was lost a moment ago
+    CONNECTING = "connecting"  # nothing is known yet, or the connection was just lost
     UP = "up"
-    REFUSED = "refused"  # its machine refuses connections to the port: the process is dead
-    UNREACHABLE = "unreachable"  # nothing arrives from it: dead, without power or partitioned
+    REFUSED = "refused"  # the machine refuses connections to the port: the process is dead
+    UNREACHABLE = "unreachable"  # no response: the process is dead, or its machine is off or partitioned
 
 
 class PeerDelegate(Protocol):
@@ -49,7 +53,7 @@
         """The payload of the handshake, the first request on a new connection."""
 
     def on_handshake(self, peer: Peer, payload: object) -> None:
-        """The peer has responded to the handshake; it becomes UP after this."""
+        """Handle the response to the handshake; the peer becomes UP after this call."""
 
     def heartbeat_interval_s(self) -> float:
         """Seconds between two heartbeats."""
@@ -58,25 +62,25 @@
         """The payload of a heartbeat."""
 
     def on_heartbeat(self, peer: Peer, payload: object) -> None:
-        """The peer has responded to a heartbeat."""
+        """Handle the response to a heartbeat."""
 
     def on_state_change(self, peer: Peer) -> None:
-        """The state of a peer has changed, or its process was restarted."""
+        """Handle a change of a peer's state, or a restart of its process."""
 
 
 class Peer:
-    """Keeps a connection to one address from its construction until `close`.
+    """Keeps a connection to one address from construction until `close`.
 
-    A peer whose name begins with `SEED_PREFIX` may be any node; any other must be the node of that name.
+    A peer whose name begins with `SEED_PREFIX` may be any node; any other peer must be the node of that name.
 
     Attributes:
         state: See PeerState.
         state_since: Loop time in seconds of the last change of state.
-        created_at: Loop time in seconds.
-        last_up_at: Loop time at which it was last known to be up; -inf if never.
-        confirmed_at: Loop time at which the last heartbeat that it has responded to was sent; -inf if none.
-        last_inbound_handshake_at: Loop time of the last handshake on a connection that it dialled; -inf if
-            none.
+        created_at: Loop time in seconds of the construction.
+        last_up_at: Loop time at which the peer was last known to be up; -inf if never.
+        confirmed_at: Loop time at which the latest answered handshake or heartbeat was sent; -inf if none.
+        last_inbound_handshake_at: Loop time of the last handshake on a connection that the peer dialled; -inf
+            if none.
         connection: The connection while the state is UP.
     """
 
@@ -97,24 +101,24 @@
         self.last_up_at = self.confirmed_at = self.last_inbound_handshake_at = -math.inf
         self.connection: RpcConnection | None = None
         self._redial_now = asyncio.Event()
-        self._last_incarnation: Incarnation | None = None  # who was at the other end last
-        self._earlier_incarnation_dials = 0  # in a row
-        self._failed_dials = 0  # in a row
+        self._last_incarnation: Incarnation | None = None  # peer of the last established connection
+        self._earlier_incarnation_dials = 0  # consecutive ones
+        self._failed_dials = 0  # consecutive ones
         self._task = tasks.spawn(self._keep_connected())
 
     @property
     def up(self) -> bool:
-        """Whether it can be called now."""
+        """Whether the peer can be called now."""
         return self.state is PeerState.UP
 
     @property
     def slow(self) -> bool:
-        """Whether a response is overdue for so long that another peer should be preferred."""
+        """Whether the oldest unanswered request is so old that another peer should be preferred."""
         return self.connection is not None and self.connection.oldest_unanswered_s() > SLOW_AFTER_S
 
     @property
     def unresponsive(self) -> bool:
-        """Whether a response is overdue for so long that none is to be expected."""
+        """Whether the oldest unanswered request is so old that no response to a new one is expected."""
         return self.connection is not None and self.connection.oldest_unanswered_s() > UNRESPONSIVE_AFTER_S
 
     async def call(self, method: str, payload: object, timeout: float) -> object:
@@ -144,23 +148,23 @@
         return True
 
     def on_inbound_handshake(self) -> None:
-        """Its process has dialled us: the outcome of our last dial is out of date."""
+        """Dial again at once: the peer has dialled this process, so the last dial's result is outdated."""
         self.last_inbound_handshake_at = asyncio.get_running_loop().time()
         self._redial_now.set()
 
     def flush(self) -> None:
-        """Write what is queued for it now."""
+        """Write all frames queued for the peer now."""
         if self.connection is not None:
             self.connection.flush()
 
     def close(self) -> None:
-        """Stop dialling, and close the connection once what is queued is written."""
+        """Stop dialling, and close the connection after its queued frames are written."""
         self._task.cancel()
         if self.connection is not None:
             self.connection.close()
 
     def _set_state(self, state: PeerState) -> None:
-        """The one place in which the state changes."""
+        """Change the state, log the change and notify the delegate. No other method changes the state."""
         now = asyncio.get_running_loop().time()
         if state is PeerState.UP:
             self.last_up_at = now
@@ -185,18 +189,18 @@
                     await self._redial_now.wait()
             self._failed_dials += 1
 
-    def _expected(self) -> Incarnation:
-        """Any node for a seed, else the node of that name in its last known incarnation or a later one."""
+    def _expected_peer(self) -> Incarnation:
+        """Any node for a seed, else the node of this name, in its last known incarnation or a later one."""
         if self.name.startswith(SEED_PREFIX):
             return ANY_NODE
         last = self._last_incarnation
-        known = last.number if last is not None and last.node == self.name else 0
-        believed = self._earlier_incarnation_dials >= EARLIER_INCARNATION_DIALS
-        return Incarnation(self.name, 0 if believed else known)
+        known_number = last.number if last is not None and last.node == self.name else 0
+        accept_earlier = self._earlier_incarnation_dials >= EARLIER_INCARNATION_DIALS
+        return Incarnation(self.name, 0 if accept_earlier else known_number)
 
     async def _dial(self) -> None:
         """Connect, and send heartbeats until the connection is lost."""
-        expected, lost = self._expected(), asyncio.Event()
+        expected, lost = self._expected_peer(), asyncio.Event()
         try:
             connection = await self._connect(expected, lost)
         except ConnectionRefusedError:
@@ -250,7 +254,7 @@
         self._set_state(PeerState.UP)
 
     def _timed_out(self, connection: RpcConnection) -> bool:
-        """Whether nothing has arrived on a connection for so long that it is given up."""
+        """Whether nothing has arrived on a connection for so long that it counts as lost."""
         interval_s = self._delegate.heartbeat_interval_s()
         limit_s = LIVENESS_MISSED_HEARTBEATS * interval_s + LIVENESS_SLACK_S
         return asyncio.get_running_loop().time() - connection.last_received_at > limit_s
--- a/emberlatch/cluster/rpc/request_server.py
+++ b/emberlatch/cluster/rpc/request_server.py
@@ -16,8 +16,8 @@
 from emberlatch.cluster.rpc.methods import runs_once
 from emberlatch.engine import Tasks
 
-MAX_ERROR_TEXT_CHARS = 200  # of an error that is sent to the caller
-MAX_LOGGED_ERROR_CHARS = 300
+MAX_ERROR_TEXT_CHARS = 200  # limit for the text of an error that is sent to the caller
+MAX_LOGGED_ERROR_CHARS = 300  # limit for the text of an error in the log
 
 
 class ResponseChannel(Protocol):
@@ -29,13 +29,14 @@
         """Queue an encoded response to a request of this method."""
 
     def drop(self, kind: UnexpectedMessage, detail: str) -> None:
-        """Count a message that is not handled, and log it as event 207."""
+        """Count a message that is dropped, and log it as event 207."""
 
 
 class RequestServer:
     """Runs requests and sends their responses. Requests of at-most-once methods run once per number.
 
-    `handler` receives method and payload; it returns the response's payload, or a coroutine that does.
+    `handler` receives the method and the payload. It returns the response's payload, or a coroutine that
+    returns it.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
         self._tasks, self._completed = tasks, completed
 
     def handle_request(self, request: Request, remote: Incarnation) -> None:
-        """Run a request; a duplicate of one that must run once gets the retained response, if any."""
+        """Run a request. A duplicate of an at-most-once call is not run, but gets the retained response."""
         if not runs_once(request.method):
             return self._run(request, None)
         key = CallKey(remote.node, remote.number, request.number)
@@ -57,12 +58,13 @@
         if duplicate is None:
             return self._run(request, key)
         self._channel.drop(UnexpectedMessage.DUPLICATE_REQUEST, f"{request.method} number={request.number}")
-        if duplicate.response is not None:  # one that still runs is answered where it was received first
+        # A call that is still running is answered only on the connection that its first request arrived on.
+        if duplicate.response is not None:
             self._channel.send_response(duplicate.response, request.method)
         return None
 
     def handle_notification(self, notification: Notification) -> None:
-        """Run a notification; its errors are logged."""
+        """Run a notification; log its errors."""
         try:
             result = self._handler(notification.method, notification.payload)
         except Exception as error:
