--- a/emberlatch/cluster/membership/agreed_state.py
+++ b/emberlatch/cluster/membership/agreed_state.py
@@ -6,11 +6,11 @@
 
 
 class AgreedState:
-    """Written by the control plane alone; a process without a disk leaves it as it is created.
+    """Written only by the control plane. In a process without a disk, the initial values never change.
 
     Attributes:
-        control_state: The newest version that this process knows; empty before the founding.
-        identity: Of this machine's disk; empty without one, and while it can't be read.
+        control_state: The newest version that this process knows; empty before the cluster is founded.
+        identity: Identity of this machine's disk; empty if there is no disk, and while it can't be read.
     """
 
     __slots__ = ("control_state", "identity")
@@ -20,5 +20,5 @@
         self.identity = ""
 
     def update(self, control_state: ControlState, identity: str) -> None:
-        """The register of the control state has changed, or was attached to a disk."""
+        """Set both after the register of the control state has changed or was attached to a disk."""
         self.control_state, self.identity = control_state, identity
--- a/emberlatch/cluster/membership/control_links.py
+++ b/emberlatch/cluster/membership/control_links.py
@@ -1,4 +1,4 @@
-"""Carries the requests of the replicated register to other machines, on the links that this process keeps."""
+"""Sends the requests of the replicated register to other machines, over the links of this process."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ControlLinks:
-    """Implements the register's port to the other machines."""
+    """Implements the interface through which the register calls the other machines."""
 
     def __init__(self, view: MembershipView, agreed: AgreedState) -> None:
         self._view, self._agreed = view, agreed
@@ -22,11 +22,11 @@
         return [peer.name for peer in self._view.reachable_stores()]
 
     def node_of(self, voter: Voter) -> str | None:
-        """The machine of a voter; before the founding a voter is an address."""
+        """The machine of a voter. Before the cluster is founded, a voter is known only by its address."""
         return voter.node if voter.identity else self._view.node_at(voter.node)
 
     def lost_voters(self, voters: Iterable[Voter]) -> frozenset[Voter]:
-        """The voters whose machine itself has reported that it has another disk now."""
+        """The voters whose machine has itself reported that it now has a disk with another identity."""
         return frozenset(voter for voter in voters if voter.identity and self._has_another_disk(voter))
 
     def _has_another_disk(self, voter: Voter) -> bool:
@@ -35,7 +35,7 @@
         return self._view.reported.identities.get(voter.node, voter.identity) != voter.identity
 
     async def call(self, node: str, request: list[object], timeout: float) -> object:
-        """Send a request to a machine; UnreachableError if there is no answer within `timeout` seconds."""
+        """Send a request to a machine. Raises UnreachableError if no answer arrives in `timeout` seconds."""
         peer = self._view.stores().get(node)
         if peer is None or not peer.up:
             raise UnreachableError(f"{node}: no link")
--- a/emberlatch/cluster/membership/disk_reports.py
+++ b/emberlatch/cluster/membership/disk_reports.py
@@ -1,4 +1,4 @@
-"""What other machines report of their disks. Pure: time comes in with each call."""
+"""The disk states that other machines report. Pure: each call receives the current time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 @dataclass(frozen=True, slots=True)
 class _Report:
     state: DiskState
-    since: float  # loop time of the first report of this state
+    since: float  # loop time of the first report since the state last changed
 
 
 class DiskReports:
@@ -20,7 +20,7 @@
         self._reports: dict[str, _Report] = {}
 
     def report(self, node: str, state: DiskState, now: float) -> None:
-        """A machine reports the state of its disk."""
+        """Record the disk state that a machine reports."""
         known = self._reports.get(node)
         if known is None or known.state is not state:
             self._reports[node] = _Report(state, now)
@@ -30,11 +30,11 @@
         self._reports.pop(node, None)
 
     def writes(self, node: str) -> bool:
-        """Whether a machine's disk takes writes; true without a report."""
+        """Whether a machine's disk accepts writes; True if the machine has not reported."""
         known = self._reports.get(node)
         return known is None or known.state is DiskState.OK
 
     def unreadable_s(self, node: str, now: float) -> float:
-        """Seconds for which a machine has reported that its disk can't be read; 0.0 if it can."""
+        """Seconds since a machine first reported that its disk can't be read; 0.0 if the disk can be read."""
         known = self._reports.get(node)
         return now - known.since if known is not None and known.state is DiskState.UNREADABLE else 0.0
--- a/emberlatch/cluster/membership/member.py
+++ b/emberlatch/cluster/membership/member.py
@@ -7,7 +7,7 @@
 
 from emberlatch.cluster.rpc import MessageDecodeError
 
-MAX_TEXT_LENGTH = 100  # characters of a name or an address
+MAX_TEXT_LENGTH = 100  # maximum number of characters of a name or an address
 MAX_PORT = 65535
 
 
@@ -17,16 +17,16 @@
 
     node: str
     ip: str
-    port: int  # for other processes
+    port: int  # port for connections from other processes
     zone: str
     region: str
-    store: bool  # it stores messages and votes on the control state
-    counted: bool  # its loss counts among those that the system tolerates
-    control: str = ""  # `host:port` of its control API; empty without one
-    incarnation: int = 0  # grows with each start
+    store: bool  # whether it stores messages and votes on the control state
+    counted: bool  # whether its loss counts towards the losses that the system tolerates
+    control: str = ""  # `host:port` of its control API; empty if it has none
+    incarnation: int = 0  # increases with each start
 
     def to_wire(self) -> dict[str, object]:
-        """The payload, on the wire and on disk."""
+        """The payload that is sent to other processes and written to disk."""
         return {
             "node": self.node,
             "ip": self.ip,
@@ -41,7 +41,7 @@
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """Decode a payload; MessageDecodeError if it describes no member."""
+        """Decode a payload. Raises MessageDecodeError if it does not describe a member."""
         if not isinstance(payload, dict):
             raise MessageDecodeError("member", f"not a map but {type(payload).__name__}")
         try:
--- a/emberlatch/cluster/membership/messages.py
+++ b/emberlatch/cluster/membership/messages.py
@@ -1,7 +1,7 @@
 """Messages by which processes describe themselves to each other: handshakes, heartbeats, membership updates.
 
-Every key on the wire stays as it is, since versions of the program run side by side. A key that this version
-does not know is ignored; one that an older version does not send has a default.
+The keys on the wire must not change, because versions of the program run side by side. A key that this
+version does not know is ignored; a key that an older version does not send has a default.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlReport:
-    """What a store reports of the agreed control state, and of the machines that it can't reach."""
+    """What a store reports about the agreed control state, and about the machines that it can't reach."""
 
-    version: int = 0  # of the control state on its disk
+    version: int = 0  # version of the control state on its disk
     epoch: int = 0
-    cluster: str = ""  # the system that its disk belongs to; empty before the founding
-    identity: str = ""  # of its disk; empty while that can't be read
-    votes: bool = True  # false while its disk takes no writes
-    unreachable_s: Mapping[str, float] = field(default_factory=dict)  # by node, since the last contact
-    decommissions: Mapping[str, int] = field(default_factory=dict)  # by node, its `DecommissionMark`
+    cluster: str = ""  # the cluster that its disk belongs to; empty before the cluster is founded
+    identity: str = ""  # identity of its disk; empty while the disk can't be read
+    votes: bool = True  # False while its disk accepts no writes
+    unreachable_s: Mapping[str, float] = field(default_factory=dict)  # seconds since contact, by node
+    decommissions: Mapping[str, int] = field(default_factory=dict)  # value of `DecommissionMark`, by node
 
     def to_wire(self) -> dict[str, object]:
-        """The keys that a heartbeat carries of it; what is usual is left out."""
+        """The keys of this report in a heartbeat; `votes`, `silent` and `retire` only if not the default."""
         payload: dict[str, object] = {
             "version": self.version,
             "epoch": self.epoch,
@@ -45,25 +45,25 @@
 
     @classmethod
     def from_wire(cls, payload: Mapping[str, object]) -> Self:
-        """Decode the keys of a heartbeat; MessageDecodeError if a value has another type."""
+        """Decode the keys of a heartbeat. Raises MessageDecodeError if a value has the wrong type."""
         return cls(
-            _number(payload.get("version", 0)),
-            _number(payload.get("epoch", 0)),
+            _decode_integer(payload.get("version", 0)),
+            _decode_integer(payload.get("epoch", 0)),
             str(payload.get("cluster", "")),
             str(payload.get("identity") or ""),
             payload.get("votes") is not False,
-            _by_node(payload.get("silent")),
-            {node: int(mark) for node, mark in _by_node(payload.get("retire")).items()},
+            _decode_map_by_node(payload.get("silent")),
+            {node: int(mark) for node, mark in _decode_map_by_node(payload.get("retire")).items()},
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """What a process reports of itself with each heartbeat; `disk` and `control` are a store's."""
+    """What a process reports about itself with each heartbeat. Only stores report `disk` and `control`."""
 
-    phase: str | None  # value of `Phase`; None: no store
-    revision: int  # of the configuration that may be fetched from it; negative: none
-    roster_digest: int | None  # of the stores that it knows
+    phase: str | None  # value of `Phase`; None if the process is not a store
+    revision: int  # revision of the configuration that it can supply; negative if it has none
+    roster_digest: int | None  # digest of the stores that it knows
     disk: DiskState | None = None
     control: ControlReport | None = None
 
@@ -80,7 +80,7 @@
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """Decode a payload; MessageDecodeError if it is no heartbeat."""
+        """Decode a payload. Raises MessageDecodeError if it is not a heartbeat."""
         if not isinstance(payload, dict):
             raise MessageDecodeError("heartbeat", f"not a map but {type(payload).__name__}")
         phase, revision, digest = payload.get("phase"), payload.get("stands"), payload.get("stores")
@@ -89,20 +89,20 @@
         if phase is None:
             return cls(None, revision, digest)
         control = ControlReport.from_wire(payload)
-        return cls(str(phase), revision, digest, _disk_state(payload.get("disk")), control)
+        return cls(str(phase), revision, digest, _decode_disk_state(payload.get("disk")), control)
 
 
 class HeartbeatDecoder:
     """Decodes the heartbeats of the other stores.
 
-    Most heartbeats are equal to the sender's previous one, and a comparison costs far less than decoding.
+    Most heartbeats are equal to the sender's previous one, and comparing is much cheaper than decoding.
     """
 
     def __init__(self) -> None:
-        self._latest: dict[str, tuple[object, Heartbeat]] = {}  # payload and message, by sender
+        self._latest: dict[str, tuple[object, Heartbeat]] = {}  # payload and decoded heartbeat, by sender
 
     def decode(self, sender: str, payload: object) -> Heartbeat:
-        """The heartbeat of this sender; MessageDecodeError if the payload is none."""
+        """Decode a heartbeat of this sender. Raises MessageDecodeError if the payload is not a heartbeat."""
         latest = self._latest.get(sender)
         if latest is not None and latest[0] == payload:
             return latest[1]
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipUpdate:
-    """A process describes itself, and stores that it knows."""
+    """Description of a process, and of stores that it knows."""
 
     me: Member
     roster: tuple[Member, ...] = ()
@@ -124,7 +124,7 @@
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """Decode a payload; MessageDecodeError if it is no update."""
+        """Decode a payload. Raises MessageDecodeError if it is not an update."""
         match payload:
             case {"me": me, "roster": list(roster)}:
                 return cls(Member.from_wire(me), tuple(map(Member.from_wire, roster)))
@@ -137,7 +137,7 @@
 
     heartbeat: Heartbeat
     update: MembershipUpdate
-    identity: str = ""  # of the sender's disk; empty without one
+    identity: str = ""  # identity of the sender's disk; empty if it has none
 
     def to_wire(self) -> dict[str, object]:
         """The payload of a handshake: the keys of both parts, and the identity."""
@@ -145,7 +145,7 @@
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """Decode a payload; MessageDecodeError if it is no handshake."""
+        """Decode a payload. Raises MessageDecodeError if it is not a handshake."""
         heartbeat, update = Heartbeat.from_wire(payload), MembershipUpdate.from_wire(payload)
         identity = payload.get("identity") if isinstance(payload, dict) else None
         return cls(heartbeat, update, identity if isinstance(identity, str) else "")
@@ -153,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatNotice:
-    """A heartbeat of a store to a process that dialled it."""
+    """A heartbeat that a store sends to a process that dialled it."""
 
     node: str
     heartbeat: Heartbeat
@@ -164,21 +164,21 @@
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """Decode a payload; MessageDecodeError if it is no such notice."""
+        """Decode a payload. Raises MessageDecodeError if it is not such a notice."""
         match payload:
             case [str(node), heartbeat, *_]:
                 return cls(node, Heartbeat.from_wire(heartbeat))
         raise MessageDecodeError("heartbeat notice", "not a node and its heartbeat")
 
 
-def _number(value: object) -> int:
+def _decode_integer(value: object) -> int:
     if not isinstance(value, int):
         raise MessageDecodeError("heartbeat", f"not a number but {type(value).__name__}")
     return value
 
 
-def _by_node(value: object) -> Mapping[str, float]:
-    """A map by node, which is left out on the wire if it is empty."""
+def _decode_map_by_node(value: object) -> Mapping[str, float]:
+    """Decode a map by node; a missing value is an empty map, which senders omit."""
     if not value:
         return {}
     if not isinstance(value, dict):
@@ -186,8 +186,8 @@
     return value
 
 
-def _disk_state(value: object) -> DiskState:
-    """The state of the sender's disk; one that reports none has nothing to complain of."""
+def _decode_disk_state(value: object) -> DiskState:
+    """Decode the state of the sender's disk; a missing state means OK."""
     try:
         return DiskState.OK if value is None else DiskState(value)
     except ValueError as error:
--- a/emberlatch/cluster/rpc/request_server.py
+++ b/emberlatch/cluster/rpc/request_server.py
@@ -50,7 +50,7 @@
         self._tasks, self._completed = tasks, completed
 
     def handle_request(self, request: Request, remote: Incarnation) -> None:
-        """Run a request. A duplicate of an at-most-once call is not run, but gets the retained response."""
+        """Run a request. A duplicate of an at-most-once call only gets the retained response, if any."""
         if not runs_once(request.method):
             return self._run(request, None)
         key = CallKey(remote.node, remote.number, request.number)
