--- a/emberlatch/cluster/membership/links.py
+++ b/emberlatch/cluster/membership/links.py
@@ -1,4 +1,4 @@
-"""The links between this process and the others: those that it dials, and those that were dialled to it."""
+"""The links between this process and the others: those that it dials, and those that the others dial."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from emberlatch.cluster.settings import NodeSettings
 from emberlatch.engine import Tasks
 
-SEED_DIAL_PERIOD_S = 10.0  # seconds from the start for which all seeds are dialled
+SEED_DIAL_PERIOD_S = 10.0  # seconds after the start during which all seeds are dialled
 
 Address = tuple[str, int]
 
@@ -29,31 +29,35 @@
         self.counters = TrafficCounters()
         self.peers: dict[Address, Peer] = {}
         self._settings, self._roster, self._tasks = settings, roster, tasks
-        self._stores: dict[str, Peer] | None = None  # by node; None: to be computed
+        self._stores: dict[str, Peer] | None = None  # cache of `stores()`; None if it must be computed
         self._created_at = asyncio.get_running_loop().time()
-        self._opened: tuple[RpcServer, PeerDelegate, RequestHandler] | None = None
+        self._server_delegate_handler: tuple[RpcServer, PeerDelegate, RequestHandler] | None = None
 
     def open(self, rpc_server: RpcServer, delegate: PeerDelegate, handler: RequestHandler) -> None:
-        """Dial from now on.
+        """Start to dial.
 
         Args:
-            rpc_server: Has the connections of the processes that dialled us.
-            delegate: Supplies the heartbeats of this process, and receives those of the others.
-            handler: Serves the requests that come on the links that we dial.
+            rpc_server: Owns the connections that other processes dialled to this one.
+            delegate: Supplies the heartbeats of this process and receives those of the others.
+            handler: Serves the requests that arrive on the links that this process dials.
         """
-        self._opened = rpc_server, delegate, handler
+        self._server_delegate_handler = rpc_server, delegate, handler
         self.dial()
 
     def close(self) -> None:
         """Close all links."""
-        if self._opened is not None:
-            self._opened[0].close()
+        if self._server_delegate_handler is not None:
+            self._server_delegate_handler[0].close()
         for peer in list(self.peers.values()):
             peer.close()
 
     def inbound(self) -> list[RpcConnection]:
-        """The connections of the processes that dialled us."""
-        return list(self._opened[0].connections) if self._opened is not None else []
+        """The connections that other processes dialled to this one."""
+        return (
+            list(self._server_delegate_handler[0].connections)
+            if self._server_delegate_handler is not None
+            else []
+        )
 
     def stores(self) -> dict[str, Peer]:
         """The links to the other stores, by node, whether they are up or not."""
@@ -67,39 +71,42 @@
         return [peer for peer in self.stores().values() if peer.up]
 
     def dial(self) -> None:
-        """Keep a link to each store of the roster and to the seeds while they are needed; close the rest."""
-        if self._opened is None:
+        """Keep a link to each store of the roster and, while needed, to the seeds; close all other links."""
+        if self._server_delegate_handler is None:
             return
-        wanted = self._wanted()
-        for address, name in wanted.items():
+        addresses = self._addresses_to_dial()
+        for address, name in addresses.items():
             peer = self.peers.get(address)
             if peer is None:
-                self.peers[address] = self._create(name, address)
+                self.peers[address] = self._create_peer(name, address)
             elif not name.startswith(SEED_PREFIX):
                 peer.name = name
-        for address in [a for a in self.peers if a not in wanted]:
+        for address in [a for a in self.peers if a not in addresses]:
             self.peers.pop(address).close()
         self._stores = None
 
-    def _create(self, name: str, address: Address) -> Peer:
-        assert self._opened is not None
-        _, delegate, handler = self._opened
+    def _create_peer(self, name: str, address: Address) -> Peer:
+        assert self._server_delegate_handler is not None
+        _, delegate, handler = self._server_delegate_handler
         return Peer(name, address, handler, self._tasks, delegate, self.counters)
 
-    def _wanted(self) -> dict[Address, str]:
-        """The addresses that are to be dialled, with the name of who is expected there."""
+    def _addresses_to_dial(self) -> dict[Address, str]:
+        """The addresses to dial, each with the name of the peer that is expected there."""
         settings = self._settings
-        wanted = {(m.ip, m.port): m.node for m in self._roster.stores() if m.node != settings.node}
-        if self._needs_seeds(len(wanted)):
+        addresses = {(m.ip, m.port): m.node for m in self._roster.stores() if m.node != settings.node}
+        if self._needs_seeds(len(addresses)):
             for host, _ in settings.seeds:
                 if host != settings.ip:
-                    wanted.setdefault((host, settings.inner_port), f"{SEED_PREFIX}{host}")
-        return wanted
+                    addresses.setdefault((host, settings.inner_port), f"{SEED_PREFIX}{host}")
+        return addresses
 
     def _needs_seeds(self, known_stores: int) -> bool:
-        """Whether the seeds are dialled: for a while even if one has answered, since the first that answers
-        may know only some of the stores."""
+        """Whether to dial the seeds.
+
+        They are dialled for `SEED_DIAL_PERIOD_S` even if one has answered, since the first seed to answer may
+        know only some of the stores.
+        """
         if asyncio.get_running_loop().time() - self._created_at < SEED_DIAL_PERIOD_S:
             return True
-        enough = 1 if self._settings.stores else 2
-        return known_stores < enough or not any(peer.up for peer in self.peers.values())
+        required_stores = 1 if self._settings.stores else 2
+        return known_stores < required_stores or not any(peer.up for peer in self.peers.values())
--- a/emberlatch/cluster/membership/member_reports.py
+++ b/emberlatch/cluster/membership/member_reports.py
@@ -1,4 +1,4 @@
-"""What the maintenance of the group of voters needs to know of each machine."""
+"""What the maintenance of the group of voters needs to know about each machine."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from emberlatch.cluster.membership.roster import Roster
 from emberlatch.cluster.membership.store_reports import StoreReports
 
-UNKNOWN_VERSION = -1  # of the control state, on a disk that was never heard of
+UNKNOWN_VERSION = -1  # control state version of a store that has not reported one
 
 
 class MemberReports:
-    """Combines what this process sees with what the others report."""
+    """Combines the observations of this process with the reports of the others."""
 
     def __init__(self, roster: Roster, links: PeerLinks, reports: StoreReports, agreed: AgreedState) -> None:
         self._node, self._roster, self._links = roster.me.node, roster, links
@@ -24,17 +24,17 @@
         self._created_at = _now()
 
     def unreachable(self) -> dict[str, float]:
-        """The other stores whose link is down, each with the seconds since it last was up."""
+        """The other stores whose link is down, each with the seconds since the link was last up."""
         now, stores = _now(), self._links.stores()
         unreachable = {n: now - max(p.last_up_at, p.created_at) for n, p in stores.items() if not p.up}
         for voter in self._agreed.control_state.voters:
             known = voter.node == self._node or voter.node in stores
-            if voter.identity and not known:  # no process that runs now has ever heard from it
+            if voter.identity and not known:  # no running process has ever had contact with it
                 unreachable[voter.node] = now - self._created_at
         return unreachable
 
     def unreachable_s(self, node: str) -> float:
-        """Seconds for which a majority of the voters has not reached a machine; 0.0 if it is reached."""
+        """Seconds for which a majority of the voters has not reached a machine; 0.0 if there is none."""
         self._report_own()
         return self._unreachable_s(node)
 
@@ -46,7 +46,7 @@
         return self._reports.unreachability.unreachable_s(node, voters, _now())
 
     def reports(self) -> dict[str, MemberReport]:
-        """All stores, this one too, and all voters, by node."""
+        """The reports on all stores, this one included, and on all voters, by node."""
         self._report_own()
         reports = {member.node: self._report(member) for member in self._roster.stores()}
         for voter in self._agreed.control_state.voters:
--- a/emberlatch/cluster/membership/roster.py
+++ b/emberlatch/cluster/membership/roster.py
@@ -1,7 +1,8 @@
-"""The members that this process knows. Pure: time comes in with each call.
+"""The members that this process knows. Pure: each call receives the current time.
 
-A member is known by its node. Each message that it sends us renews its lease; a later incarnation of it has a
-higher number. What a third process reports of a member adds it to the roster, and renews nothing.
+A member is identified by its node, and its incarnation number increases with each start. Each message from a
+member to this process renews the member's lease. A report from a third process may add a member to the roster
+but does not renew its lease.
 """
 
 from __future__ import annotations
@@ -11,22 +12,22 @@
 from emberlatch.cluster.membership.member import Member
 
 MAX_MEMBERS = 4096
-_NEVER = -1e9  # loop time before any start
+_NEVER = -1e9  # a loop time before any start
 
 
 class Roster:
-    """The members by node, `me` always among them."""
+    """The members by node; `me` is always one of them."""
 
     def __init__(self, me: Member) -> None:
         self.me = me
         self.members: dict[str, Member] = {me.node: me}
-        self._renewed_at: dict[str, float] = {}  # loop time of the last message, by node
-        self._removed: dict[str, int] = {}  # incarnations that a late update must not bring back, by node
-        self._digest: int | None = None
-        self._stores: list[Member] | None = None  # sorted by node; None: to be computed
+        self._renewed_at: dict[str, float] = {}  # loop time of the last message from each node
+        self._removed: dict[str, int] = {}  # removed incarnations, which a late update must not add
+        self._digest: int | None = None  # None if it must be computed
+        self._stores: list[Member] | None = None  # sorted by node; None if it must be computed
 
     def add(self, member: Member) -> bool:
-        """Add a member or a later incarnation of it; whether the roster has changed."""
+        """Add a member or a later incarnation of one; return whether the roster has changed."""
         known = self.members.get(member.node)
         if member.node == self.me.node or (known is not None and known.incarnation >= member.incarnation):
             return False
@@ -44,12 +45,12 @@
         self._digest = self._stores = None
 
     def renew(self, node: str, now: float) -> None:
-        """Renew the lease of a member that sent us something at `now`, a loop time."""
+        """Renew the lease of a member whose message arrived at the loop time `now`."""
         if node in self.members:
             self._renewed_at[node] = now
 
     def remove(self, node: str) -> None:
-        """Remove a member for good: only a later incarnation of a store can join again."""
+        """Remove a member. A removed store can join again only with a later incarnation."""
         member = self.members.get(node)
         if member is not None and node != self.me.node:
             del self.members[node]
@@ -59,7 +60,7 @@
                 self._removed[node] = member.incarnation
 
     def expire_leases(self, before: float) -> None:
-        """Remove forwarders whose lease was last renewed before this loop time.
+        """Remove forwarders whose lease was last renewed before the loop time `before`.
 
         Stores stay until the control state excludes them, since the messages on their disks are still needed.
         """
@@ -74,7 +75,7 @@
         return self._stores
 
     def digest(self) -> int:
-        """A checksum of the stores and their incarnations: equal rosters have equal ones."""
+        """A checksum of the stores and their incarnations; equal rosters have equal checksums."""
         if self._digest is None:
             self._digest = crc32(" ".join(f"{m.node}/{m.incarnation}" for m in self.stores()).encode())
         return self._digest
--- a/emberlatch/cluster/membership/roster_exchange.py
+++ b/emberlatch/cluster/membership/roster_exchange.py
@@ -1,7 +1,8 @@
-"""How the rosters of all processes become alike.
+"""How the rosters of all processes become equal.
 
-A store passes on once what is new to it. Each heartbeat carries a digest of the sender's stores: whoever has
-another digest requests the sender's roster, so a lost update is made good.
+A store that learns of a new store sends one update about it to the others. Each heartbeat carries a digest of
+the sender's stores: a process with another digest requests the sender's roster, which makes up for a lost
+update.
 """
 
 from __future__ import annotations
@@ -18,33 +19,33 @@
 from emberlatch.cluster.rpc import CallFailedError, Peer, RpcConnection, RpcMethod
 from emberlatch.engine import Tasks
 
-ROSTER_REQUEST_INTERVAL_S = 1.5  # seconds between two requests for the roster of another process
-ROSTER_REQUEST_TIMEOUT_S = 1.0  # seconds for the answer
-UPDATE_BATCH_DELAY_S = 0.1  # seconds for which new stores are gathered before they are passed on
-_NEVER = -1e9  # loop time before any start
+ROSTER_REQUEST_INTERVAL_S = 1.5  # minimum seconds between two requests for another roster
+ROSTER_REQUEST_TIMEOUT_S = 1.0  # seconds to wait for the answer
+UPDATE_BATCH_DELAY_S = 0.1  # seconds for which new stores are collected into one update
+_NEVER = -1e9  # a loop time before any start
 
 
 class RosterExchange:
-    """Applies the updates of others to the roster. `storage`: where a store keeps it; None elsewhere."""
+    """Applies the updates of others to the roster. `storage` is where a store keeps it; None elsewhere."""
 
     def __init__(self, roster: Roster, links: PeerLinks, tasks: Tasks, storage: RosterStorage | None) -> None:
         self._roster, self._links, self._tasks, self._storage = roster, links, tasks, storage
         self._requested_at = _NEVER  # loop time of the last request for a roster
-        self._pending_updates: dict[str, Member] = {}  # stores that are to be passed on, by node
+        self._pending_stores: dict[str, Member] = {}  # stores to send with the next update, by node
 
     def restore(self) -> None:
-        """Add the stores that the previous incarnation knew; OSError if the disk can't be read."""
+        """Add the stores that the previous incarnation knew. Raises OSError if the disk can't be read."""
         assert self._storage is not None
         for member in self._storage.load():
             self._roster.add(member)
 
-    def update(self) -> MembershipUpdate:
-        """This process, and the stores that it knows if it is one itself."""
+    def create_update(self) -> MembershipUpdate:
+        """The description of this process and, if it is a store, of all stores that it knows."""
         me = self._roster.me
         return MembershipUpdate(me, tuple(self._roster.stores()) if me.store else ())
 
-    def apply(self, update: MembershipUpdate, link: Peer | RpcConnection | None) -> None:
-        """Another process describes itself and the stores that it knows; `link` is the one to it."""
+    def apply_update(self, update: MembershipUpdate, link: Peer | RpcConnection | None) -> None:
+        """Apply an update of another process; `link` is the link to that process."""
         sender, now = update.me, asyncio.get_running_loop().time()
         new_stores = [m for m in (*update.roster, sender) if self._roster.add(m) and m.store]
         self._roster.renew(sender.node, now)
@@ -57,16 +58,16 @@
         self._links.dial()
         if self._storage is not None:
             self._storage.save(self._roster.stores())
-            self._pass_on(new_stores)
+            self._schedule_update(new_stores)
 
-    def _pass_on(self, new_stores: list[Member]) -> None:
-        if not self._pending_updates:
+    def _schedule_update(self, new_stores: list[Member]) -> None:
+        if not self._pending_stores:
             asyncio.get_running_loop().call_later(UPDATE_BATCH_DELAY_S, self._send_updates)
-        self._pending_updates.update((member.node, member) for member in new_stores)
+        self._pending_stores.update((member.node, member) for member in new_stores)
 
     def _send_updates(self) -> None:
-        """Notify the other stores, and the forwarders that dialled us, of the stores that are new."""
-        new_stores, self._pending_updates = self._pending_updates, {}
+        """Notify the other stores, and the forwarders that dialled this one, of the new stores."""
+        new_stores, self._pending_stores = self._pending_stores, {}
         payload = MembershipUpdate(self._roster.me, tuple(new_stores.values())).to_wire()
         for peer in self._links.reachable_stores():
             peer.notify(RpcMethod.MEMBERSHIP_UPDATE, payload)
@@ -76,7 +77,7 @@
                 connection.notify(RpcMethod.MEMBERSHIP_UPDATE, payload)
 
     def compare_digest(self, peer: Peer, digest: int | None) -> None:
-        """Request the roster of a peer whose digest differs from ours, at most once in an interval."""
+        """Request the roster of a peer with another digest, at most once per `ROSTER_REQUEST_INTERVAL_S`."""
         now = asyncio.get_running_loop().time()
         differs = digest is not None and digest != self._roster.digest()
         if differs and now - self._requested_at > ROSTER_REQUEST_INTERVAL_S:
@@ -84,6 +85,6 @@
             self._tasks.spawn(self._request_roster(peer))
 
     async def _request_roster(self, peer: Peer) -> None:
-        with contextlib.suppress(CallFailedError):  # the next heartbeat shows again that the rosters differ
+        with contextlib.suppress(CallFailedError):  # the next heartbeat with another digest causes a retry
             payload = await peer.call(RpcMethod.ROSTER, None, ROSTER_REQUEST_TIMEOUT_S)
-            self.apply(MembershipUpdate.from_wire(payload), peer)
+            self.apply_update(MembershipUpdate.from_wire(payload), peer)
--- a/emberlatch/cluster/membership/store_reports.py
+++ b/emberlatch/cluster/membership/store_reports.py
@@ -1,4 +1,4 @@
-"""What the other stores have reported of themselves, with handshakes and heartbeats."""
+"""What the other stores have reported about themselves in handshakes and heartbeats."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
     """The latest report of each store, by node.
 
     Attributes:
-        phases: Values of `Phase`; of stores with a link that is up.
-        disks: The states of their disks; of stores with a link that is up.
-        identities: Of their disks.
-        versions: Of the control state on their disks, this machine's among them.
-        clusters: The systems that their disks belong to; empty before the founding.
-        unreachability: Which machines they can't reach.
+        phases: Values of `Phase`, only for stores whose link is up.
+        disks: States of the disks, only for stores whose link is up.
+        identities: Identities of the disks.
+        versions: Versions of the control state on the disks, this machine's included.
+        clusters: Clusters that the disks belong to; empty strings before the cluster is founded.
+        unreachability: The machines that each store can't reach.
     """
 
     def __init__(self) -> None:
@@ -29,12 +29,12 @@
         self.unreachability = UnreachabilityReports()
 
     def apply(self, node: str, phase: str, disk: DiskState, now: float) -> None:
-        """A store reports its phase and its disk; `now` is a loop time."""
+        """Record the phase and the disk state that a store reports; `now` is a loop time."""
         self.phases[node] = phase
         self.disks.report(node, disk, now)
 
     def apply_control(self, node: str, report: ControlReport, now: float) -> None:
-        """A store reports what it knows of the control state; `now` is a loop time."""
+        """Record what a store reports about the control state; `now` is a loop time."""
         self.clusters[node] = report.cluster
         self.set_version(node, report.version)
         if report.identity:
@@ -42,18 +42,18 @@
         self.unreachability.report(node, report.unreachable_s, now)
 
     def set_version(self, node: str, version: int) -> None:
-        """The version of the control state on a store's disk, this one's too."""
+        """Record the version of the control state on a store's disk, which may be this one's."""
         self.versions[node] = version
 
     def link_down(self, node: str) -> None:
-        """The link to a store went down: its phase and its disk's state are not known any more."""
+        """Forget the phase and the disk state of a store whose link went down."""
         self.phases.pop(node, None)
         self.disks.forget(node)
 
     def serving(self, node: str) -> bool:
-        """Whether a store reports the phase `SERVING` and a disk that takes writes.
+        """Whether a store reports the phase `SERVING` and a disk that accepts writes.
 
-        It may reject messages all the same: a nearly full disk (event 507) is not reported.
+        Such a store may still reject messages, because a nearly full disk (event 507) is not reported.
         """
         return self.phases.get(node) == Phase.SERVING.value and self.disks.writes(node)
 
--- a/emberlatch/cluster/membership/store_selection.py
+++ b/emberlatch/cluster/membership/store_selection.py
@@ -13,11 +13,11 @@
 from emberlatch.cluster.rpc import Peer
 from emberlatch.cluster.settings import NodeSettings
 
-Penalty = tuple[bool, ...]  # what speaks against a store, the weightiest first
+Penalty = tuple[bool, ...]  # reasons not to choose a store, the most important first
 
 
 class StoreSelection:
-    """Chooses by failure domains (zones and regions), by load, and by rank for a key."""
+    """Selects stores by failure domain (zone and region), by response time and by rank for a key."""
 
     def __init__(
         self,
@@ -29,13 +29,13 @@
     ) -> None:
         self._settings, self._roster, self._links = settings, roster, links
         self._reports, self._agreed = reports, agreed
-        self._selections = 0  # varies the rank, so that replicas spread over stores that are alike
+        self._selections = 0  # varies the rank, so that replicas spread over equivalent stores
 
     def satisfies_quorum(self, nodes: Iterable[str]) -> bool:
         """Whether a message on the disks of these machines survives the losses that the setting `resilience`
-        names: machines, zones, regions. Stores that are being decommissioned do not count."""
-        known, leaving = self._roster.members, self._agreed.control_state.decommissioning
-        counted = (n for n in set(nodes) if n not in leaving)
+        tolerates: machines, zones, regions. Stores that are being decommissioned do not count."""
+        known, decommissioning = self._roster.members, self._agreed.control_state.decommissioning
+        counted = (n for n in set(nodes) if n not in decommissioning)
         members = [m for n in counted if (m := known.get(n)) is not None and m.store]
         tolerated = self._settings.resilience
         return (
@@ -45,7 +45,7 @@
         )
 
     def counted_stores(self) -> dict[str, Peer]:
-        """The other stores, by node, but those that are decommissioned or removed by agreement."""
+        """The other stores, by node, except those that are decommissioned or removed by agreement."""
         excluded_nodes = self._agreed.control_state.excluded_nodes
         if not excluded_nodes:
             return self._links.stores()
@@ -53,18 +53,21 @@
 
     def writable_stores(self) -> list[Peer]:
         """The other stores that accept messages and replicas: the link is up, the store reports the phase
-        `SERVING`, and its disk takes writes."""
+        `SERVING`, and its disk accepts writes."""
         return [p for n, p in self.counted_stores().items() if p.up and self._reports.serving(n)]
 
     def nearest_stores(self, key: str = "") -> list[Peer]:
-        """The writable stores, those of our zone and region first; among equals the highest rank for a key
-        first, so that the messages of one service are sent to few stores."""
-        here = self._settings
-        return list(self._ranked(key, set(), lambda m: (m.zone != here.zone, m.region != here.region)))
+        """The writable stores, those of this process's zone and region first. Equally near stores are in
+        order of their rank for the key, so that the messages of one service are sent to few stores."""
+        local = self._settings
+        return list(self._ranked(key, set(), lambda m: (m.zone != local.zone, m.region != local.region)))
 
     def replica_candidates(self, have: set[str]) -> Iterator[Peer]:
-        """The writable stores for one more replica beside those that `have` one, the best first: a region or
-        zone that is still lacking, else our own zone, since traffic between zones is paid for."""
+        """The writable stores for one more replica, the best first; `have` are the nodes with a replica.
+
+        Stores in a region or zone that `resilience` still requires come first. Once there are enough zones,
+        those of this process's zone are preferred, since traffic between zones is paid for.
+        """
         members, tolerated = self._roster.members, self._settings.resilience
         zones = {m.zone for n in have if (m := members.get(n)) is not None}
         regions = {m.region for n in have if (m := members.get(n)) is not None}
@@ -81,14 +84,15 @@
         return self._ranked(str(self._selections), have, penalty)
 
     def _ranked(self, key: str, excluded: set[str], penalty: Callable[[Member], Penalty]) -> Iterator[Peer]:
-        """The writable stores: one that is slow to answer last, then by penalty, then by rank for the key.
+        """Yield the writable stores: slow ones last, then by ascending penalty, then by descending rank.
 
-        A generator that sorts class by class: stores are many, and callers want the first few.
+        Sorts one class of equal penalty at a time, because there may be many stores and callers use only the
+        first few.
         """
         classes: dict[Penalty, list[Peer]] = {}
         for peer in self.writable_stores():
             if peer.name not in excluded:
-                kind = peer.slow, *penalty(self._roster.members[peer.name])
-                classes.setdefault(kind, []).append(peer)
-        for kind in sorted(classes):
-            yield from sorted(classes[kind], key=lambda peer: -rank(key, peer.name))
+                store_class = peer.slow, *penalty(self._roster.members[peer.name])
+                classes.setdefault(store_class, []).append(peer)
+        for store_class in sorted(classes):
+            yield from sorted(classes[store_class], key=lambda peer: -rank(key, peer.name))
--- a/emberlatch/cluster/membership/unreachability.py
+++ b/emberlatch/cluster/membership/unreachability.py
@@ -1,8 +1,8 @@
-"""For how long a majority of the voters has not heard from a machine. Pure: time comes in with each call.
+"""For how long a majority of the voters has not reached a machine. Pure: each call receives the current time.
 
-A process that does not hear from another one may be partitioned itself. Each voter reports with its
-heartbeats which machines it can't reach, and a machine counts as unreachable only by the reports of a
-majority: a machine that still reaches a majority, and may act for that reason, is never counted so.
+A process that can't reach another one may itself be partitioned. Therefore each voter reports in its
+heartbeats which machines it can't reach, and a machine counts as unreachable only if a majority reports it. A
+machine that is in contact with a majority, and may therefore act, never counts as unreachable.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-REPORT_VALID_S = 2.0  # seconds for which the report of a voter counts
+REPORT_VALID_S = 2.0  # seconds for which the report of a voter is valid
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,13 +20,13 @@
 
 
 class UnreachabilityReports:
-    """The latest report of each voter, this process among them. All times are loop times."""
+    """The latest report of each voter, this process included. All times are loop times."""
 
     def __init__(self) -> None:
         self._reports: dict[str, _Report] = {}
 
     def report(self, voter: str, unreachable_s: Mapping[str, float], now: float) -> None:
-        """A process reports which machines it can't reach, each with the seconds since it last did."""
+        """Record which machines a process can't reach, each with the seconds since the last contact."""
         self._reports[voter] = _Report(now, dict(unreachable_s))
 
     def forget(self, voter: str) -> None:
@@ -34,9 +34,9 @@
         self._reports.pop(voter, None)
 
     def unreachable_s(self, node: str, voters: Collection[str], now: float) -> float:
-        """Seconds for which more than half of the voters have not reached a machine; 0.0 if a half does.
+        """Seconds for which more than half of the voters have not reached a machine; 0.0 if half reach it.
 
-        A voter without a valid report counts as one that reaches it; the machine's own report is not asked.
+        A voter without a valid report counts as reaching the machine. The machine's own report is ignored.
         """
         reported = [self._reported_s(voter, node, now) for voter in voters if voter != node]
         longest_first = sorted(reported, reverse=True)
--- a/emberlatch/cluster/membership/view.py
+++ b/emberlatch/cluster/membership/view.py
@@ -1,7 +1,7 @@
-"""The membership as one process sees it: the face of this package for the rest of the process.
+"""The membership as one process sees it: the facade of this package for the rest of the process.
 
-It only puts the parts together. Each part owns its state: the roster of members, the links, the reports of
-the other stores, the exchange of rosters, the contact with the voters, the selection of stores.
+`MembershipView` only combines the parts, each of which owns its state: the roster of members, the links, the
+reports of the other stores, the exchange of rosters, the contact with the voters, the selection of stores.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
 from emberlatch.cluster.settings import NodeSettings
 from emberlatch.engine import Tasks
 
-FORGET_AFTER_S = 120.0  # seconds without a message after which a machine is forgotten
+FORGET_AFTER_S = 120.0  # seconds without contact after which a machine is removed
 
 
 class MembershipView:
-    """See the module.
+    """Provides the membership to the rest of the process; see the module docstring.
 
     Args:
-        settings: Of this process.
-        incarnation: Of this process; grows with each start.
-        tasks: Run the links.
-        agreed: The agreed control state, as the control plane keeps it up to date.
-        storage: Where a store keeps its roster over a restart; None without a disk.
+        settings: Settings of this process.
+        incarnation: Incarnation of this process; increases with each start.
+        tasks: Runs the links.
+        agreed: The agreed control state, which the control plane keeps up to date.
+        storage: Where a store keeps its roster across restarts; None without a disk.
     """
 
     def __init__(
@@ -78,15 +78,15 @@
 
     @property
     def counters(self) -> TrafficCounters:
-        """What was sent and dropped on all links."""
+        """Counters of the frames sent and the messages dropped on all links."""
         return self._links.counters
 
     def open_links(self, rpc_server: RpcServer, delegate: PeerDelegate, handler: RequestHandler) -> None:
-        """Dial the other processes from now on; see `PeerLinks.open`."""
+        """Start to dial the other processes; see `PeerLinks.open`."""
         self._links.open(rpc_server, delegate, handler)
 
     def dial(self) -> None:
-        """Dial the stores that are new to the roster, and close the links to those that left it."""
+        """Dial the stores that are new to the roster, and close the links to those removed from it."""
         self._links.dial()
 
     def close(self) -> None:
@@ -94,7 +94,7 @@
         self._links.close()
 
     def inbound(self) -> list[RpcConnection]:
-        """The connections of the processes that dialled us."""
+        """The connections that other processes dialled to this one."""
         return self._links.inbound()
 
     def stores(self) -> dict[str, Peer]:
@@ -108,19 +108,19 @@
     # The roster.
 
     def restore_roster(self) -> None:
-        """Add the stores that the previous incarnation knew; OSError if the disk can't be read."""
+        """Add the stores that the previous incarnation knew. Raises OSError if the disk can't be read."""
         self._exchange.restore()
 
     def update(self) -> MembershipUpdate:
-        """This process, and the stores that it knows if it is one itself."""
-        return self._exchange.update()
+        """The description of this process and, if it is a store, of all stores that it knows."""
+        return self._exchange.create_update()
 
     def apply_membership_update(self, update: MembershipUpdate, link: Peer | RpcConnection | None) -> None:
-        """Another process describes itself and the stores that it knows; `link` is the one to it."""
-        self._exchange.apply(update, link)
+        """Apply an update of another process; `link` is the link to that process."""
+        self._exchange.apply_update(update, link)
 
     def forget_removed_stores(self, now: float) -> None:
-        """Forget stores that are excluded by agreement and were unreachable for `FORGET_AFTER_S`."""
+        """Remove stores that are excluded by agreement and were unreachable for `FORGET_AFTER_S`."""
         excluded_nodes = self._agreed.control_state.excluded_nodes
         for name, peer in list(self.stores().items()):
             last_up_at = max(peer.last_up_at, peer.created_at)
@@ -133,13 +133,13 @@
         self.roster.expire_leases(now - FORGET_AFTER_S)
 
     def node_at(self, control: str) -> str | None:
-        """The machine whose control API has this address, `host:port`; None if it is not known."""
+        """The machine whose control API has the address `control` (`host:port`); None if it is unknown."""
         return next((m.node for m in self.roster.stores() if m.control == control), None)
 
-    # What the others report.
+    # Reports of the other processes.
 
     def apply_handshake(self, handshake: Handshake, link: Peer | RpcConnection) -> None:
-        """A process describes itself on a new connection: only it knows the identity of its disk."""
+        """Apply the handshake of a process. Only its sender knows the identity of the sender's disk."""
         sender = handshake.update.me
         if handshake.heartbeat.phase is not None:
             self.reported.phases[sender.node] = handshake.heartbeat.phase
@@ -148,13 +148,13 @@
             self.reported.identities[sender.node] = handshake.identity
 
     def apply_heartbeat(self, peer: Peer, heartbeat: Heartbeat) -> None:
-        """A store reports its phase, its disk and its roster; a forwarder's heartbeat has no phase."""
+        """Apply a store's phase, disk state and roster digest; a forwarder's heartbeat has no phase."""
         if heartbeat.phase is not None and heartbeat.disk is not None:
             self.reported.apply(peer.name, heartbeat.phase, heartbeat.disk, self.now())
             self._exchange.compare_digest(peer, heartbeat.roster_digest)
 
     def link_changed(self, peer: Peer) -> None:
-        """The state of a link has changed."""
+        """Handle a change of the state of a link."""
         if not peer.up:
             self.reported.link_down(peer.name)
         self.dial()
@@ -162,63 +162,63 @@
     # Contact with the voters.
 
     def has_majority_contact(self) -> bool:
-        """Whether no other machine can have a majority of the voters without us; see `VoterContact`."""
+        """Whether no other machine can have a majority of the voters without this one; see `VoterContact`."""
         return self._contact.has_majority_contact()
 
     def has_confirmed_majority(self) -> bool:
-        """Whether a majority of the voters answered a heartbeat that was sent a moment ago."""
+        """Whether a majority of the voters answered a recent heartbeat; see `VoterContact`."""
         return self._contact.has_confirmed_majority()
 
     def founding_voters(self) -> tuple[Voter, ...]:
-        """The voters on the founding: the seeds, by the addresses of their control APIs."""
+        """The voters when the cluster is founded: the seeds, by the addresses of their control APIs."""
         return tuple(Voter(f"{host}:{port}", "") for host, port in self.settings.seeds)
 
     def unreachable(self) -> dict[str, float]:
-        """The other stores whose link is down, each with the seconds since it last was up."""
+        """The other stores whose link is down, each with the seconds since the link was last up."""
         return self._members.unreachable()
 
     def unreachable_s(self, node: str) -> float:
-        """Seconds for which a majority of the voters has not reached a machine; 0.0 if it is reached."""
+        """Seconds for which a majority of the voters has not reached a machine; 0.0 if there is none."""
         return self._members.unreachable_s(node)
 
     def reports(self) -> dict[str, MemberReport]:
-        """What is known of all stores, this one too, and of all voters, by node."""
+        """The reports on all stores, this one included, and on all voters, by node."""
         return self._members.reports()
 
     # Selection of stores.
 
     def satisfies_quorum(self, nodes: Iterable[str]) -> bool:
         """Whether a message on the disks of these machines survives the losses that the setting `resilience`
-        names: machines, zones, regions. Stores that are being decommissioned do not count."""
+        tolerates: machines, zones, regions. Stores that are being decommissioned do not count."""
         return self._selection.satisfies_quorum(nodes)
 
     def counted_stores(self) -> dict[str, Peer]:
-        """The other stores, by node, but those that are decommissioned or removed by agreement."""
+        """The other stores, by node, except those that are decommissioned or removed by agreement."""
         return self._selection.counted_stores()
 
     def writable_stores(self) -> list[Peer]:
         """The other stores that accept messages and replicas: the link is up, the store reports the phase
-        `SERVING`, and its disk takes writes."""
+        `SERVING`, and its disk accepts writes."""
         return self._selection.writable_stores()
 
     def nearest_stores(self, key: str = "") -> list[Peer]:
-        """The writable stores, the nearest first; among equals by their rank for a key."""
+        """The writable stores, the nearest first; equally near ones are ordered by their rank for a key."""
         return self._selection.nearest_stores(key)
 
     def replica_candidates(self, have: set[str]) -> Iterator[Peer]:
-        """The writable stores for one more replica beside those that `have` one, the best first."""
+        """The writable stores for one more replica, the best first; `have` are the nodes with a replica."""
         return self._selection.replica_candidates(have)
 
     def leaving_stores(self) -> set[str]:
-        """The machines that are being decommissioned, or are already."""
+        """The machines that are being decommissioned or already are."""
         return set(self._agreed.control_state.decommissioning)
 
     def disk_writes(self, node: str) -> bool:
-        """Whether a machine's disk takes writes, as far as it has reported."""
+        """Whether a machine's disk accepts writes; True if the machine has not reported."""
         return self.reported.disks.writes(node)
 
     def disk_unreadable_s(self, node: str) -> float:
-        """Seconds for which a machine has reported that its disk can't be read; 0.0 if it can."""
+        """Seconds since a machine first reported that its disk can't be read; 0.0 if the disk can be read."""
         return self.reported.disks.unreadable_s(node, self.now())
 
 
--- a/emberlatch/cluster/membership/voter_contact.py
+++ b/emberlatch/cluster/membership/voter_contact.py
@@ -10,18 +10,18 @@
 from emberlatch.cluster.membership.store_reports import StoreReports
 from emberlatch.cluster.rpc import PeerState
 
-CONTACT_VALID_S = 1.3  # seconds for which a voter that answered a heartbeat counts as in contact
+CONTACT_VALID_S = 1.3  # seconds after sending for which an answered heartbeat proves contact
 
 
 class VoterContact:
-    """Two measures: one that holds on for as long as links do, and a strict one for operators' calls."""
+    """Two tests: one that depends on the state of the links, and a stricter one for operators' calls."""
 
     def __init__(self, node: str, agreed: AgreedState, links: PeerLinks, reports: StoreReports) -> None:
         self._node, self._agreed, self._links, self._reports = node, agreed, links, reports
 
     def has_majority_contact(self) -> bool:
-        """Whether a majority of the voters has a link with us, or has surely no process: then no other
-        machine can have a majority without us."""
+        """Whether each voter of a majority has a link to this process or certainly no running process: then
+        no other machine can have a majority without this one."""
         voters = self._agreed.control_state.voters
         in_contact = sum(voter.node == self._node or self._linked_or_dead(voter.node) for voter in voters)
         return 2 * in_contact > len(voters)
@@ -31,8 +31,8 @@
         return peer is not None and (peer.up or peer.state is PeerState.REFUSED)
 
     def has_confirmed_majority(self) -> bool:
-        """Whether a majority of the voters answered a heartbeat that was sent within `CONTACT_VALID_S`, each
-        with the disk that has the vote, and our own disk belongs to the system around us."""
+        """Whether a majority of the voters, each with the disk that has the vote, answered a heartbeat sent
+        within the last `CONTACT_VALID_S` seconds, and this machine's disk is not from another cluster."""
         voters, now = self._agreed.control_state.voters, asyncio.get_running_loop().time()
         majority = 2 * sum(self._confirmed(voter, now) for voter in voters) > len(voters)
         return majority and not self._has_foreign_disk()
@@ -45,10 +45,10 @@
         return identified and peer is not None and now - peer.confirmed_at <= CONTACT_VALID_S
 
     def _has_foreign_disk(self) -> bool:
-        """Whether clearly more reachable stores belong to another system than to ours."""
-        ours, clusters = self._agreed.control_state.cluster, self._reports.clusters
-        if all(cluster in ("", ours) for cluster in clusters.values()):
-            return False  # the usual case, decided without a look at each link
+        """Whether reachable stores of other clusters outnumber those of this one by at least two."""
+        own_cluster, clusters = self._agreed.control_state.cluster, self._reports.clusters
+        if all(cluster in ("", own_cluster) for cluster in clusters.values()):
+            return False  # the usual case, decided without checking each link
         reported = [clusters.get(node, "") for node, peer in self._links.stores().items() if peer.up]
-        foreign = [cluster for cluster in reported if cluster not in ("", ours)]
-        return len(foreign) > 1 + reported.count(ours)
+        foreign = [cluster for cluster in reported if cluster not in ("", own_cluster)]
+        return len(foreign) > 1 + reported.count(own_cluster)
