--- a/tests/cluster/recorded_frames.py
+++ b/tests/cluster/recorded_frames.py
@@ -1,4 +1,4 @@
-"""Frames that an earlier release sent, one by one, for tests of the messages that they carry."""
+"""Single frames of an earlier release, for tests of the messages that they carry."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 class RecordedFrame:
     """One frame.
 
-    `kind` is "greeting", "request", "answer", "notice" or "failure", `method` that of the request for an
-    answer too, and `variant` tells several of one method and kind apart.
+    `kind` is "greeting", "request", "answer", "notice" or "failure". `method` of an answer is the method of its
+    request. `variant` distinguishes frames of the same method and kind.
     """
 
     file: str
     method: str
     kind: str
     variant: str
-    recorded: bool  # sent by a simulated cluster; else made by the same release without one
+    recorded: bool  # sent in a simulated cluster; otherwise encoded directly by that release
     data: bytes
 
     @property
@@ -43,7 +43,7 @@
 
     @property
     def payload(self) -> object:
-        """What the frame carries, as it is handed to the receiver."""
+        """The content of the frame, as the receiver's handler gets it."""
         match self.frame:
             case Request(payload=payload) | Response(payload=payload) | Notification(payload=payload):
                 return payload
@@ -51,7 +51,7 @@
                 return text
             case Identify():
                 return None
-        raise TypeError(f"{self.file} holds no known frame")
+        raise TypeError(f"{self.file}: unknown class of frame")
 
 
 @cache
@@ -64,12 +64,12 @@
 
 
 def payloads(method: str, kind: str) -> list[object]:
-    """The payloads of all variants, the shortest frame first; `kind` is "request", "answer" or "notice"."""
+    """The payloads of all variants, in the order of the index. `kind` is "request", "answer" or "notice"."""
     return [each.payload for each in recorded_frames() if (each.method, each.kind) == (method, kind)]
 
 
 def payload(method: str, kind: str, variant: str = "") -> object:
-    """The payload of one variant, the first if none is named; LookupError if there is none."""
+    """The payload of one variant, or of the first if `variant` is empty. Raises LookupError if none matches."""
     for each in recorded_frames():
         if (each.method, each.kind) == (method, kind) and variant in ("", each.variant):
             return each.payload
--- a/tests/cluster/rpc_support.py
+++ b/tests/cluster/rpc_support.py
@@ -1,4 +1,4 @@
-"""A caller, a receiver and what lies between them, on a virtual network."""
+"""Callers, receivers and a relay between them, on a virtual network."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 from emberlatch.faults.network import Network
 from emberlatch.faults.process import Process, current_process
 
-Scenery = TypeVar("Scenery")
+Fixture = TypeVar("Fixture")
 
 RECEIVER = ("receiver", 1)
 RELAY = ("relay", 1)
 CALLER_INCARNATION, RECEIVER_INCARNATION = 3, 5
 
 
-def nothing_served(connection: RpcConnection, method: str, payload: Any) -> Any:
-    raise ValueError(f"{method}: nothing is served here")
+def reject_request(connection: RpcConnection, method: str, payload: Any) -> Any:
+    raise ValueError(f"{method}: this test process serves no requests")
 
 
 class World:
-    """A loop, a network and the machines on it."""
+    """A virtual event loop, a network and the machines on it."""
 
     def __init__(self) -> None:
         self.loop = VirtualLoop()
@@ -52,22 +52,22 @@
         address: tuple[str, int] = RECEIVER,
         expected: Incarnation = ANY_NODE,
     ) -> RpcConnection:
-        """A connection that is up. Raises ForeignPeerError or CallFailedError."""
+        """Open a connection and wait until it is established. Raises ForeignPeerError or CallFailedError."""
         connection: RpcConnection
         _, connection = await self.loop.create_connection(
-            lambda: RpcConnection(endpoint, nothing_served, Tasks(), counters, "receiver", expected), *address
+            lambda: RpcConnection(endpoint, reject_request, Tasks(), counters, "receiver", expected), *address
         )
         await connection.established()
         return connection
 
     async def scripted_receiver(self) -> tuple[ScriptedReceiver, RpcConnection, TrafficCounters]:
-        """A receiver that a test speaks for, a connection to it, and what the caller counted."""
+        """A receiver whose frames a test sends, a connection to it, and the counters of the caller."""
         receiver, counters = ScriptedReceiver(), TrafficCounters()
         self.network.serve(lambda: receiver, RECEIVER)
         return receiver, await self.connect(self.caller_endpoint(), counters), counters
 
     async def scripted_caller(self) -> ScriptedCaller:
-        """A caller that a test speaks for, whose greeting has arrived."""
+        """A caller whose frames a test sends, and whose Identify frame has arrived."""
         _, caller = await self.loop.create_connection(
             lambda: ScriptedCaller("caller", CALLER_INCARNATION), *RECEIVER
         )
@@ -76,10 +76,10 @@
 
 
 class Receiver:
-    """A process that records the requests it runs. Payloads are returned as they are, after `delay_s`."""
+    """A process that records the payloads of the requests it runs, and returns them after `delay_s` seconds."""
 
     def __init__(self, world: World, node: str = "receiver", incarnation: int = RECEIVER_INCARNATION) -> None:
-        self.world, self.ran, self.delay_s = world, list[Any](), 0.0
+        self.world, self.executed, self.delay_s = world, list[Any](), 0.0
         self.counters, self.process = TrafficCounters(), Process(node)
         self.endpoint = LocalEndpoint(Incarnation(node, incarnation))
 
@@ -94,16 +94,16 @@
     def _serve(self, connection: RpcConnection, method: str, payload: Any) -> Any:
         if method in ("hello", "beat"):
             return None
-        self.ran.append(payload)
-        return self._later(payload) if self.delay_s else payload
+        self.executed.append(payload)
+        return self._respond_later(payload) if self.delay_s else payload
 
-    async def _later(self, payload: Any) -> Any:
+    async def _respond_later(self, payload: Any) -> Any:
         await asyncio.sleep(self.delay_s)
         return payload
 
 
 class ConnectionEnd(asyncio.Protocol):
-    """One end of a connection, by whose `transport` a test writes and breaks off."""
+    """One end of a connection. A test writes to its `transport` and aborts it."""
 
     transport: asyncio.Transport
 
@@ -119,7 +119,7 @@
 
 
 class ScriptedReceiver(ConnectionEnd):
-    """The far end of one connection, which answers what a test tells it to."""
+    """The accepting end of one connection. It identifies itself, and a test sends all its other frames."""
 
     def __init__(self, node: str = "receiver", incarnation: int = RECEIVER_INCARNATION) -> None:
         super().__init__()
@@ -134,7 +134,7 @@
                 self.send(Identify(VERSION, me.node, me.number, frame.node, frame.incarnation))
 
     def send(self, *frames: Frame) -> None:
-        """In one piece."""
+        """Write the frames in one piece."""
         self.transport.write(b"".join(map(encode, frames)))
 
     def requests(self) -> list[Request]:
@@ -142,7 +142,7 @@
 
 
 class ScriptedCaller(ScriptedReceiver):
-    """The dialling end of one connection, which sends what a test tells it to."""
+    """The dialling end of one connection. It identifies itself, and a test sends all its other frames."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -154,11 +154,14 @@
 
 
 class Relay:
-    """Passes on so many bytes of each direction behind the greetings, then resets both sides."""
+    """Forwards a limited number of bytes after the Identify frame of a direction, then resets both connections.
+
+    `to_receiver` and `to_caller` are the limits of the two directions; None means no limit.
+    """
 
     def __init__(self, world: World, to_receiver: int | None, to_caller: int | None) -> None:
         self.world, self.limits = world, {"up": to_receiver, "down": to_caller}
-        self.passed = {"up": bytearray(), "down": bytearray()}
+        self.forwarded = {"up": bytearray(), "down": bytearray()}
         self.ends: dict[str, _RelayEnd] = {}
         world.network.serve(lambda: _RelayEnd(self, "up"), RELAY)
 
@@ -168,13 +171,13 @@
         await self.world.loop.create_connection(lambda: down, *RECEIVER)
         end.pump()
 
-    def cut(self) -> None:
+    def reset(self) -> None:
         for end in self.ends.values():
             end.transport.abort()
 
 
 class _RelayEnd(ConnectionEnd):
-    """Reads one direction and writes it to the other end."""
+    """Reads one direction and writes the bytes to the other end."""
 
     def __init__(self, relay: Relay, direction: str) -> None:
         super().__init__()
@@ -188,7 +191,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
-        self.relay.cut()
+        self.relay.reset()
 
     def data_received(self, data: bytes) -> None:
         self._buffer += data
@@ -203,17 +206,17 @@
             other.transport.write(bytes(self._buffer[:size]))
             del self._buffer[:size]
             self._identify_pending = False
-        limit, passed = self.relay.limits[self.direction], self.relay.passed[self.direction]
+        limit, forwarded = self.relay.limits[self.direction], self.relay.forwarded[self.direction]
         if self._identify_pending or not self._buffer:
             return
-        data = bytes(self._buffer if limit is None else self._buffer[: max(0, limit - len(passed))])
-        arrived = bool(self._buffer)
+        data = bytes(self._buffer if limit is None else self._buffer[: max(0, limit - len(forwarded))])
+        received = bool(self._buffer)
         self._buffer.clear()
-        passed += data
+        forwarded += data
         other.transport.write(data)
-        if limit is not None and arrived and len(passed) >= limit:
-            # What was passed on arrives ahead of the reset.
-            self.relay.world.network.call_later(0.1, self.relay.cut)
+        if limit is not None and received and len(forwarded) >= limit:
+            # The delay lets the forwarded bytes arrive before the reset.
+            self.relay.world.network.call_later(0.1, self.relay.reset)
 
 
 async def wait_until_up(peer: Peer, timeout_s: float = 10.0) -> None:
@@ -227,9 +230,9 @@
 async def linked_peer(
     world: World, name: str = "receiver"
 ) -> AsyncIterator[tuple[Receiver, Peer, TrafficCounters]]:
-    """A receiver, a peer of that name whose link to it is up, and what the peer counted."""
+    """A receiver, a peer of this name whose link to the receiver is up, and the counters of the peer."""
     receiver, counters = Receiver(world), TrafficCounters()
-    peer = Peer(name, RECEIVER, nothing_served, Tasks(), IdleDelegate(world.caller_endpoint()), counters)
+    peer = Peer(name, RECEIVER, reject_request, Tasks(), IdleDelegate(world.caller_endpoint()), counters)
     await wait_until_up(peer)
     try:
         yield receiver, peer, counters
@@ -238,7 +241,7 @@
 
 
 class IdleDelegate:
-    """A process that has nothing to say on its links."""
+    """A delegate with empty handshakes and heartbeats that ignores all responses."""
 
     def __init__(self, endpoint: LocalEndpoint) -> None:
         self.endpoint = endpoint
@@ -262,21 +265,21 @@
         pass
 
 
-def play(scene: Callable[[World], Awaitable[None]]) -> None:
-    """Run a scene on its own world; nothing may have died in it unseen."""
+def run_in_world(steps: Callable[[World], Awaitable[None]]) -> None:
+    """Run the steps in a new world, and check that no task or callback failed unnoticed."""
     world = World()
 
-    async def whole() -> None:
-        await scene(world)
+    async def run_steps() -> None:
+        await steps(world)
 
-    world.loop.run_until_complete(world.loop.create_task(whole()))
+    world.loop.run_until_complete(world.loop.create_task(run_steps()))
     assert not world.loop.failures, str(world.loop.failures)
 
 
-def play_with(make: Callable[[World], Scenery], scene: Callable[[Scenery], Awaitable[None]]) -> None:
-    """Run a scene on what is made in a world of its own."""
+def play_with(make: Callable[[World], Fixture], steps: Callable[[Fixture], Awaitable[None]]) -> None:
+    """Run the steps on a fixture that `make` creates in a new world."""
 
-    async def made(world: World) -> None:
-        await scene(make(world))
+    async def run_with_fixture(world: World) -> None:
+        await steps(make(world))
 
-    play(made)
+    run_in_world(run_with_fixture)
--- a/tests/cluster/test_rpc.py
+++ b/tests/cluster/test_rpc.py
@@ -1,4 +1,4 @@
-"""An answer belongs to the call that asked, and a call is sent once."""
+"""Tests that a response reaches only the call that it belongs to, and that a call is sent once."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     ScriptedReceiver,
     World,
     linked_peer,
-    play,
+    run_in_world,
     wait_until_up,
 )
 
@@ -67,26 +67,26 @@
 ]
 
 
-async def outcome(answer: asyncio.Future[Any]) -> Any:
-    """The response, or the CallFailedError in its place."""
+async def outcome(response: asyncio.Future[Any]) -> Any:
+    """The payload of the response, or the CallFailedError that was raised instead."""
     try:
-        return await answer
-    except CallFailedError as lost:
-        return lost
+        return await response
+    except CallFailedError as error:
+        return error
 
 
-@test("each frame comes back, in pieces of any size")
+@test("a stream of frames is decoded to the same frames, in pieces of any size")
 def _() -> None:
     data = b"".join(map(encode, FRAMES))
     for size in (1, 2, 3, 7, 64, len(data)):
-        reader, found = FrameReader(), list[Frame]()
-        for at in range(0, len(data), size):
-            found += reader.feed(data[at : at + size])
-        assert found == FRAMES
+        reader, decoded = FrameReader(), list[Frame]()
+        for offset in range(0, len(data), size):
+            decoded += reader.feed(data[offset : offset + size])
+        assert decoded == FRAMES
 
 
 def malformed_frames() -> list[bytes]:
-    """Bytes that are no frame, or none that may come."""
+    """Byte strings that are not valid frames."""
     bodies = [
         b"", b"\xff", b"\x9f", cbor2.dumps(7), cbor2.dumps([]), cbor2.dumps({}), cbor2.dumps([9, 1]),
         cbor2.dumps(["1", 1, 2, 3, "x", None]), cbor2.dumps([True, 1, 2, 3, "x", None]),
@@ -99,72 +99,73 @@
     return [*framed, (MAX_FRAME_BYTES + 1).to_bytes(4, "big")]
 
 
-@test("what is no frame is an error")
+@test("malformed bytes raise FrameError")
 def _() -> None:
     for data in malformed_frames():
         with raises(FrameError):
             list(FrameReader().feed(data))
 
 
-@test("random bytes are frames or errors, and nothing else")
+@test("random bytes are decoded or raise FrameError, and raise no other error")
 def _() -> None:
-    chance = random.Random(5)
+    generator = random.Random(5)
     for _ in range(3000):
-        body = chance.randbytes(chance.randrange(24))
+        body = generator.randbytes(generator.randrange(24))
         try:
             list(FrameReader().feed(len(body).to_bytes(4, "big") + body))
         except FrameError:
             continue
 
 
-@test("a frame that can't be read costs its sender the connection, and no other caller anything")
+@test("a malformed or unexpected frame closes its connection and does not affect another caller")
 def _() -> None:
-    async def scene(world: World) -> None:
+    async def steps(world: World) -> None:
         receiver = Receiver(world)
         receiver.delay_s = 1.0
-        sound = await world.connect(world.caller_endpoint(), TrafficCounters())
-        call = sound.call("echo", "mine")
-        early = [encode(Request(1, 1, RECEIVER_INCARNATION, "echo", 1)), encode(Response(1, 1, 1, 1))]
-        again = encode(Identify(VERSION, "x", 1, "", 0)) * 2
-        other = encode(Identify(VERSION + 1, "x", 1, "", 0))
-        for data in [*malformed_frames(), *early, again, other]:
-            _, bad = await world.loop.create_connection(ScriptedReceiver, *RECEIVER)
-            bad.transport.write(data)
+        healthy = await world.connect(world.caller_endpoint(), TrafficCounters())
+        call = healthy.call("echo", "mine")
+        before_identify = [
+            encode(Request(1, 1, RECEIVER_INCARNATION, "echo", 1)),
+            encode(Response(1, 1, 1, 1)),
+        ]
+        two_identifies = encode(Identify(VERSION, "x", 1, "", 0)) * 2
+        other_version = encode(Identify(VERSION + 1, "x", 1, "", 0))
+        for data in [*malformed_frames(), *before_identify, two_identifies, other_version]:
+            _, faulty = await world.loop.create_connection(ScriptedReceiver, *RECEIVER)
+            faulty.transport.write(data)
             await asyncio.sleep(0.01)
-            assert bad.lost, repr(data)
-        assert await call.response == "mine" and receiver.ran == ["mine"]
+            assert faulty.lost, repr(data)
+        assert await call.response == "mine" and receiver.executed == ["mine"]
 
-    play(scene)
+    run_in_world(steps)
 
 
-@test(
-    "a dialling side that reaches another node, or an earlier incarnation, closes before it sends a request"
-)
+@test("a dialling side that reaches another node or an earlier incarnation closes before it sends a request")
 def _() -> None:
-    async def scene(world: World) -> None:
+    async def steps(world: World) -> None:
         receiver = ScriptedReceiver()
         world.network.serve(lambda: receiver, RECEIVER)
         for expected in (Incarnation("other", 0), Incarnation("receiver", RECEIVER_INCARNATION + 1)):
             receiver.__init__()  # type: ignore[misc]
             counters = TrafficCounters()
-            with raises(ForeignPeerError) as foreign:
+            with raises(ForeignPeerError) as error:
                 await world.connect(world.caller_endpoint(), counters, expected=expected)
-            assert foreign.raised.found == Incarnation("receiver", RECEIVER_INCARNATION)
+            assert error.raised.found == Incarnation("receiver", RECEIVER_INCARNATION)
             await asyncio.sleep(0.1)
-            (greeting,) = receiver.frames
-            assert isinstance(greeting, Identify) and receiver.lost
+            (identify,) = receiver.frames
+            assert isinstance(identify, Identify) and receiver.lost
             assert counters.count_unexpected(UnexpectedMessage.FOREIGN_PEER) == 1
         for expected in (ANY_NODE, Incarnation("receiver", RECEIVER_INCARNATION), Incarnation("receiver", 1)):
             receiver.__init__()  # type: ignore[misc]
             connection = await world.connect(world.caller_endpoint(), TrafficCounters(), expected=expected)
             assert connection.remote == Incarnation("receiver", RECEIVER_INCARNATION)
 
-    play(scene)
+    run_in_world(steps)
 
 
-@test("a process that is taken for another says who it is, and closes")
+@test("a process that is not the expected peer identifies itself and closes the connection")
 def _() -> None:
-    async def scene(world: World) -> None:
+    async def steps(world: World) -> None:
         receiver = Receiver(world)
         _, caller = await world.loop.create_connection(ScriptedReceiver, *RECEIVER)
         greeting = Identify(VERSION, "caller", CALLER_INCARNATION, "other", 0)
@@ -173,15 +174,15 @@
         (identify,) = caller.frames
         assert isinstance(identify, Identify)
         assert (identify.node, identify.incarnation) == ("receiver", RECEIVER_INCARNATION)
-        assert caller.lost and not receiver.ran
+        assert caller.lost and not receiver.executed
         assert receiver.counters.count_unexpected(UnexpectedMessage.FOREIGN_PEER) == 1
 
-    play(scene)
+    run_in_world(steps)
 
 
-@test("the numbers of requests are never used again, also on another connection")
+@test("request numbers are never reused, on the same connection or on another one")
 def _() -> None:
-    async def scene(world: World) -> None:
+    async def steps(world: World) -> None:
         Receiver(world)
         endpoint, numbers = world.caller_endpoint(), list[int]()
         for _ in range(3):
@@ -192,73 +193,73 @@
             connection.abort()
         assert len(set(numbers)) == 15 and numbers == sorted(numbers)
 
-    play(scene)
+    run_in_world(steps)
 
 
-@test("reset at every byte of a request: lost, perhaps sent, and it ran once if all of it came, else never")
+@test("after a reset at any byte of a request, the call fails and has run only if the request arrived whole")
 def _() -> None:
-    whole = len(encode(Request(1, *INCARNATIONS, "take", "payload")))
-    ran_at = set[int]()
-    for cut in range(whole + 1):
+    frame_length = len(encode(Request(1, *INCARNATIONS, "take", "payload")))
+    executed_at = set[int]()
+    for reset_at in range(frame_length + 1):
 
-        async def scene(world: World, cut: int = cut) -> None:
+        async def steps(world: World, reset_at: int = reset_at) -> None:
             receiver = Receiver(world)
             receiver.delay_s = 1.0
-            Relay(world, cut, None)
+            Relay(world, reset_at, None)
             endpoint = world.caller_endpoint()
             other = await world.connect(endpoint, TrafficCounters())
-            beside = other.call("take", "beside")
+            unaffected = other.call("take", "beside")
             connection = await world.connect(endpoint, TrafficCounters(), RELAY)
-            lost = await outcome(connection.call("take", "payload").response)
-            assert isinstance(lost, CallFailedError) and lost.may_have_arrived, str(cut)
-            assert await beside.response == "beside"
+            error = await outcome(connection.call("take", "payload").response)
+            assert isinstance(error, CallFailedError) and error.may_have_arrived, str(reset_at)
+            assert await unaffected.response == "beside"
             await asyncio.sleep(5.0)
-            assert receiver.ran.count("payload") <= 1 and receiver.ran.count("beside") == 1
-            if "payload" in receiver.ran:
-                ran_at.add(cut)
+            assert receiver.executed.count("payload") <= 1 and receiver.executed.count("beside") == 1
+            if "payload" in receiver.executed:
+                executed_at.add(reset_at)
 
-        play(scene)
-    assert ran_at == {whole}
+        run_in_world(steps)
+    assert executed_at == {frame_length}
 
 
-@test("reset at every byte of an answer: lost unless all of it came, ran once, and nobody else gets it")
+@test("after a reset at any byte of a response, the call fails unless the response is whole, and ran once")
 def _() -> None:
-    whole = len(encode(Response(1, *INCARNATIONS, "payload")))
+    frame_length = len(encode(Response(1, *INCARNATIONS, "payload")))
     answered_at = set[int]()
-    for cut in range(whole + 1):
+    for reset_at in range(frame_length + 1):
 
-        async def scene(world: World, cut: int = cut) -> None:
+        async def steps(world: World, reset_at: int = reset_at) -> None:
             receiver = Receiver(world)
             receiver.delay_s = 0.5
-            Relay(world, None, cut)
+            Relay(world, None, reset_at)
             endpoint = world.caller_endpoint()
             other = await world.connect(endpoint, TrafficCounters())
             connection = await world.connect(endpoint, TrafficCounters(), RELAY)
-            call, beside = connection.call("take", "payload"), other.call("take", "beside")
-            found = await outcome(call.response)
-            if found == "payload":
-                answered_at.add(cut)
+            call, unaffected = connection.call("take", "payload"), other.call("take", "beside")
+            result = await outcome(call.response)
+            if result == "payload":
+                answered_at.add(reset_at)
             else:
-                assert isinstance(found, CallFailedError) and found.may_have_arrived, str(cut)
-            assert await beside.response == "beside"
+                assert isinstance(result, CallFailedError) and result.may_have_arrived, str(reset_at)
+            assert await unaffected.response == "beside"
             await asyncio.sleep(5.0)
-            assert sorted(receiver.ran) == ["beside", "payload"]
+            assert sorted(receiver.executed) == ["beside", "payload"]
 
-        play(scene)
-    assert answered_at == {whole}
+        run_in_world(steps)
+    assert answered_at == {frame_length}
 
 
 @test(
-    "what waits behind a receiver that does not read is surely not sent: at a reset, and when it is given up"
+    "a request queued for a receiver that does not read counts as not sent when it is abandoned or at a reset"
 )
 def _() -> None:
-    async def scene(world: World) -> None:
+    async def steps(world: World) -> None:
         receiver, connection, _ = await world.scripted_receiver()
         receiver.transport.pause_reading()
         long = connection.call("take", b"x" * 1_000_000)
         await asyncio.sleep(0.1)
-        given_up, waiting = connection.call("take", "given up"), connection.call("take", "waiting")
-        assert not connection.abandon(given_up)
+        abandoned, waiting = connection.call("take", "given up"), connection.call("take", "waiting")
+        assert not connection.abandon(abandoned)
         assert connection.abandon(long)
         receiver.transport.resume_reading()
         await asyncio.sleep(1.0)
@@ -266,18 +267,18 @@
         receiver.transport.pause_reading()
         long = connection.call("take", b"x" * 1_000_000)
         await asyncio.sleep(0.1)
-        behind = connection.call("take", "behind")
+        queued = connection.call("take", "behind")
         receiver.transport.abort()
-        sent = [(await outcome(call.response)).may_have_arrived for call in (waiting, long, behind)]
+        sent = [(await outcome(call.response)).may_have_arrived for call in (waiting, long, queued)]
         assert sent == [True, True, False]
         assert not (await outcome(connection.call("take", "after").response)).may_have_arrived
 
-    play(scene)
+    run_in_world(steps)
 
 
-@test("answers in another order reach those who asked")
+@test("responses in another order than the requests reach the right calls")
 def _() -> None:
-    async def scene(world: World) -> None:
+    async def steps(world: World) -> None:
         receiver, connection, counters = await world.scripted_receiver()
         calls = [connection.call("take", n) for n in range(20)]
         await asyncio.sleep(0.1)
@@ -287,12 +288,12 @@
         assert [await call.response for call in calls] == list(range(20))
         assert not counters.unexpected and not connection.closed
 
-    play(scene)
+    run_in_world(steps)
 
 
-@test("an answer that comes late is dropped and counted; the next call gets its own")
+@test("a late response is dropped and counted, and the next call gets its own response")
 def _() -> None:
-    async def scene(world: World) -> None:
+    async def steps(world: World) -> None:
         receiver, connection, counters = await world.scripted_receiver()
         early = connection.call("take", "early")
         await asyncio.sleep(0.1)
@@ -305,20 +306,21 @@
         receiver.send(Response(later.number, *INCARNATIONS, "later"))
         assert await later.response == "later" and not connection.closed
 
-    play(scene)
+    run_in_world(steps)
 
 
+# The kind of unexpected message that each stray response is counted as.
 STRAY_RESPONSES = {
     "doubled": UnexpectedMessage.DUPLICATE_RESPONSE,
     "never asked": UnexpectedMessage.UNKNOWN_RESPONSE,
     "another caller's": UnexpectedMessage.UNKNOWN_RESPONSE,
     "another receiver's": UnexpectedMessage.UNKNOWN_RESPONSE,
-}  # and what each is counted as
+}
 
 
-@test("a response that answers no awaited call closes the connection: {name}")
+@test("a response that matches no awaited call closes the connection: {name}")
 def _(name: str = each(*STRAY_RESPONSES)) -> None:
-    async def scene(world: World) -> None:
+    async def steps(world: World) -> None:
         receiver, connection, counters = await world.scripted_receiver()
         first, second = connection.call("take", "first"), connection.call("take", "second")
         await asyncio.sleep(0.1)
@@ -333,18 +335,18 @@
             ),
         }
         receiver.send(frames[name], Response(second.number, *INCARNATIONS, "second"))
-        lost = await outcome(second.response)
-        assert isinstance(lost, CallFailedError) and lost.may_have_arrived, name
+        error = await outcome(second.response)
+        assert isinstance(error, CallFailedError) and error.may_have_arrived, name
         await asyncio.sleep(0.1)
         assert connection.closed and receiver.lost
         assert counters.unexpected == {("receiver", STRAY_RESPONSES[name]): 1}
 
-    play(scene)
+    run_in_world(steps)
 
 
-@test("a request that comes twice, on one connection or on two, runs once if it must")
+@test("a duplicate request of an at-most-once method does not run, on the same connection or on another")
 def _() -> None:
-    async def scene(world: World) -> None:
+    async def steps(world: World) -> None:
         receiver = Receiver(world)
         callers = [await world.scripted_caller() for _ in range(2)]
         request = Request(7, *INCARNATIONS, "take", "x")
@@ -352,35 +354,35 @@
         await asyncio.sleep(0.1)
         callers[1].send(request)
         await asyncio.sleep(0.1)
-        assert receiver.ran == ["x"]
+        assert receiver.executed == ["x"]
         assert receiver.counters.count_unexpected(UnexpectedMessage.DUPLICATE_REQUEST) == 2
         answers = [f for caller in callers for f in caller.frames if isinstance(f, Response)]
         assert answers == [Response(7, *INCARNATIONS, "x")] * 3
         callers[0].send(Request(8, *INCARNATIONS, "take", "y"), Request(9, *INCARNATIONS, "state", "z"))
         callers[0].send(Request(9, *INCARNATIONS, "state", "z"))
         await asyncio.sleep(0.1)
-        assert receiver.ran == ["x", "y", "z", "z"]
+        assert receiver.executed == ["x", "y", "z", "z"]
 
-    play(scene)
+    run_in_world(steps)
 
 
-@test("a repeat of a call that still runs does not run, and is answered where it was asked first")
+@test("duplicates of a call that is still running do not run and get no response of their own")
 def _() -> None:
-    async def scene(world: World) -> None:
+    async def steps(world: World) -> None:
         receiver = Receiver(world)
         receiver.delay_s = 1.0
         caller = await world.scripted_caller()
         caller.send(*[Request(7, *INCARNATIONS, "take", "x")] * 3)
         await asyncio.sleep(2.0)
-        assert receiver.ran == ["x"]
+        assert receiver.executed == ["x"]
         assert [f for f in caller.frames if isinstance(f, Response)] == [Response(7, *INCARNATIONS, "x")]
 
-    play(scene)
+    run_in_world(steps)
 
 
-@test("a request to or from another incarnation does not run and costs the connection")
+@test("a request to or from another incarnation does not run and closes the connection")
 def _() -> None:
-    async def scene(world: World) -> None:
+    async def steps(world: World) -> None:
         receiver = Receiver(world)
         for incarnations in (
             (CALLER_INCARNATION, RECEIVER_INCARNATION - 1),
@@ -390,12 +392,15 @@
             caller.send(Request(7, *incarnations, "state", "x"))
             await asyncio.sleep(0.1)
             assert caller.lost
-        assert not receiver.ran and receiver.counters.count_unexpected(UnexpectedMessage.FOREIGN_REQUEST) == 2
+        assert (
+            not receiver.executed
+            and receiver.counters.count_unexpected(UnexpectedMessage.FOREIGN_REQUEST) == 2
+        )
 
-    play(scene)
+    run_in_world(steps)
 
 
-@test("calls that ran are remembered within bounds of number, bytes and time")
+@test("calls are retained within limits of number, bytes and time")
 def _() -> None:
     calls = CompletedCalls()
     for number in range(MAX_CALLS + 10):
@@ -414,71 +419,71 @@
     assert len(calls) * MAX_RESPONSE_BYTES <= MAX_RETAINED_BYTES
 
 
-@test("a receiver that stands still longer than any timer: its answer reaches nobody, and the call ran once")
+@test("calls to a receiver that is suspended for longer than all time-outs fail, and run at most once")
 def _() -> None:
-    async def scene(world: World) -> None:
+    async def steps(world: World) -> None:
         async with linked_peer(world) as (receiver, peer, _):
             receiver.delay_s = 0.2
             before = asyncio.create_task(peer.call("take", "before", 0.5))
-            await asyncio.sleep(0.1)  # it has come and is being served
+            await asyncio.sleep(0.1)  # the request has arrived and is being served
             receiver.process.suspend()
             during = asyncio.create_task(peer.call("take", "during", 0.5))
             for task in (before, during):
-                with raises(CallFailedError) as lost:
+                with raises(CallFailedError) as error:
                     await task
-                assert lost.raised.may_have_arrived
+                assert error.raised.may_have_arrived
             await asyncio.sleep(60.0)
             assert not peer.up
-            with raises(CallFailedError) as refused:
+            with raises(CallFailedError) as not_sent:
                 await peer.call("take", "cut off", 0.5)
-            assert not refused.raised.may_have_arrived
+            assert not not_sent.raised.may_have_arrived
             receiver.process.resume(world.loop)
             await wait_until_up(peer)
             answers = [await peer.call("take", n, 2.0) for n in range(3)]
             assert answers == [0, 1, 2]
             await asyncio.sleep(10.0)
-            assert receiver.ran.count("before") == 1 and receiver.ran.count("during") <= 1
-            assert "cut off" not in receiver.ran
+            assert receiver.executed.count("before") == 1 and receiver.executed.count("during") <= 1
+            assert "cut off" not in receiver.executed
 
-    play(scene)
+    run_in_world(steps)
 
 
-@test("a short stand-still: the late answer is dropped on a link that stays, and later calls get theirs")
+@test("after a short suspension, the late response is dropped, the link is up and a later call succeeds")
 def _() -> None:
-    async def scene(world: World) -> None:
+    async def steps(world: World) -> None:
         async with linked_peer(world) as (receiver, peer, counters):
             receiver.process.suspend()
-            with raises(CallFailedError) as lost:
+            with raises(CallFailedError) as error:
                 await peer.call("take", "late", 0.3)
-            assert lost.raised.may_have_arrived
+            assert error.raised.may_have_arrived
             later = asyncio.create_task(peer.call("take", "later", 2.0))
             await asyncio.sleep(0.1)
             receiver.process.resume(world.loop)
-            assert await later == "later" and receiver.ran == ["late", "later"]
+            assert await later == "later" and receiver.executed == ["late", "later"]
             assert counters.count_unexpected(UnexpectedMessage.LATE_RESPONSE) == 1 and peer.up
 
-    play(scene)
+    run_in_world(steps)
 
 
-@test("a peer whose address belongs to another node now stays down until its own node's next incarnation")
+@test("a peer whose address another node now uses stays down until its own node's next incarnation")
 def _() -> None:
-    async def scene(world: World) -> None:
+    async def steps(world: World) -> None:
         async with linked_peer(world) as (first, peer, counters):
             first.process.kill()
             other = Receiver(world, "other", 99)
             await asyncio.sleep(5.0)
-            assert peer.state is PeerState.UNREACHABLE and not other.ran
+            assert peer.state is PeerState.UNREACHABLE and not other.executed
             assert counters.count_unexpected(UnexpectedMessage.FOREIGN_PEER) > 5
             other.process.kill()
             Receiver(world, "receiver", RECEIVER_INCARNATION + 1)
             await wait_until_up(peer)
 
-    play(scene)
+    run_in_world(steps)
 
 
-@test("an earlier incarnation is believed after some dials only, for a clock may have been set back")
+@test("an earlier incarnation is accepted only after several dials: a clock may have been set back")
 def _() -> None:
-    async def scene(world: World) -> None:
+    async def steps(world: World) -> None:
         async with linked_peer(world) as (first, peer, counters):
             first.process.kill()
             Receiver(world, "receiver", RECEIVER_INCARNATION - 1)
@@ -487,23 +492,23 @@
             await wait_until_up(peer, 5.0)
             assert counters.count_unexpected(UnexpectedMessage.FOREIGN_PEER) == EARLIER_INCARNATION_DIALS
 
-    play(scene)
+    run_in_world(steps)
 
 
-@test("a seed is any node; what it says is what it is dialled as from then on")
+@test("a seed may be any node; any other peer must be the expected node, in no earlier incarnation")
 def _() -> None:
     assert Incarnation("a", 3).satisfies(ANY_NODE)
     assert not Incarnation("a", 3).satisfies(Incarnation("a", 4))
     assert not Incarnation("b", 9).satisfies(Incarnation("a", 4))
 
-    async def scene(world: World) -> None:
+    async def steps(world: World) -> None:
         async with linked_peer(world, "seed receiver") as (_, peer, _):
             assert peer.up
 
-    play(scene)
+    run_in_world(steps)
 
 
-@test("an endpoint's request numbers begin anew only with its incarnation")
+@test("a new endpoint issues request numbers from 1 upwards")
 def _() -> None:
     endpoint = LocalEndpoint(Incarnation("a", 1))
     assert [endpoint.next_request_number() for _ in range(3)] == [1, 2, 3]
