--- a/tests/cluster/test_members.py
+++ b/tests/cluster/test_members.py
@@ -1,4 +1,4 @@
-"""Membership: discovery from three seeds, updates to all, removal for good; and the cost as a cluster grows."""
+"""Membership: discovery from seeds, updates, permanent removal, and the cost of growing clusters."""
 
 from __future__ import annotations
 
@@ -23,7 +23,9 @@
     }
 
 
-@test("nine stores and twelve forwarders that know three seeds all find each other")
+@test(
+    "nine stores and twelve forwarders that know only three seeds discover all stores and the configuration"
+)
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -35,7 +37,7 @@
     play(Plan(3, forwarders=12, stores=9), steps)
 
 
-@test("a store that is added is known to every forwarder a second later, though each update is sent once")
+@test("every forwarder knows an added store within 1.5 s, although each update is sent only once")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -48,7 +50,7 @@
     play(Plan(4, forwarders=9, stores=6), steps)
 
 
-@test("an update that got lost is made good, since the digests of rosters are compared")
+@test("rosters become equal even if updates are lost, because their digests are compared")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -59,7 +61,7 @@
         play(Plan(5, forwarders=6, stores=6), steps)
 
 
-@test("an incarnation that was removed is not added by a late update; a later incarnation is a new member")
+@test("a late update does not add a removed incarnation again, but a later incarnation can join")
 def _() -> None:
     roster, other = Roster(ME), replace(ME, node="b", incarnation=7)
     assert roster.add(other) and roster.digest() != Roster(ME).digest()
@@ -68,7 +70,7 @@
     assert roster.add(replace(other, incarnation=8))
 
 
-@test("a forwarder is a member while it renews its lease, a store until it is removed")
+@test("a forwarder is removed when its lease expires, and a store is not")
 def _() -> None:
     roster = Roster(ME)
     for node, store in (("f", False), ("s", True)):
@@ -80,7 +82,7 @@
     assert set(roster.members) == {"a", "s"}
 
 
-@test("the traffic of a start between zones grows with pairs of processes, not with rosters times pairs")
+@test("cross-zone traffic at start grows with the pairs of processes, not with roster size times pairs")
 def _() -> None:
     small, large = measure(6, 6), measure(24, 12)
     pairs = [f * s + s * s for f, s in ((6, 6), (24, 12))]
--- a/tests/cluster/test_membership_messages.py
+++ b/tests/cluster/test_membership_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the membership and the control API: what an earlier release sent is decoded, and sent alike."""
+"""Messages of the membership and the control API: decoding and encoding as in an earlier release."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
     """A message."""
 
     def to_wire(self) -> object:
-        """Its form on the wire."""
+        """The payload on the wire."""
 
 
 class Decodable(Protocol):
     """A type of message."""
 
     def from_wire(self, payload: object) -> Encodable:
-        """Decode a payload; MessageDecodeError if it is no such message."""
+        """Decode a payload. Raises MessageDecodeError if it is not such a message."""
 
 
 MESSAGES: dict[tuple[str, str], Decodable] = {
@@ -61,7 +61,7 @@
 MEMBER = Member("s0", "10.1.1.1", 7300, "z0", "r", True, True, "10.1.1.1:8002", 5)
 
 
-@test("recorded payloads of {method} ({kind}) are decoded, and encoded as before")
+@test("recorded payloads of {method} ({kind}) are decoded, and encoded to the same bytes")
 def _(method: str = each(*(m for m, _ in MESSAGES)), kind: str = each(*(k for _, k in MESSAGES))) -> None:
     recorded = payloads(method, kind)
     assert recorded
@@ -70,21 +70,21 @@
         assert cbor2.dumps(message.to_wire()) == cbor2.dumps(payload)
 
 
-@test("a recorded heartbeat of a store has all its parts, one of a forwarder has no phase")
+@test("a recorded heartbeat of a store has all parts, and one of a forwarder has no phase, disk or control")
 def _() -> None:
     heartbeats = [Heartbeat.from_wire(payload) for payload in payloads("beat", "request")]
     heartbeats += [Heartbeat.from_wire(payload) for payload in payloads("beat", "answer")]
-    of_stores = [heartbeat for heartbeat in heartbeats if heartbeat.phase is not None]
-    of_forwarders = [heartbeat for heartbeat in heartbeats if heartbeat.phase is None]
-    assert of_stores and of_forwarders
-    for heartbeat in of_stores:
+    store_heartbeats = [heartbeat for heartbeat in heartbeats if heartbeat.phase is not None]
+    forwarder_heartbeats = [heartbeat for heartbeat in heartbeats if heartbeat.phase is None]
+    assert store_heartbeats and forwarder_heartbeats
+    for heartbeat in store_heartbeats:
         assert heartbeat.disk is DiskState.OK and heartbeat.control is not None
         assert heartbeat.roster_digest is not None and heartbeat.control.votes
-    for heartbeat in of_forwarders:
+    for heartbeat in forwarder_heartbeats:
         assert heartbeat.disk is None and heartbeat.control is None
 
 
-@test("what is unusual goes with a heartbeat, in the order of the keys that older versions send")
+@test("a heartbeat encodes values other than the defaults, in the key order of older versions")
 def _() -> None:
     control = ControlReport(7, 3, "d00dfeed", "abcd", False, {"s1": 2.5}, {"s2": 1})
     heartbeat = Heartbeat("serving", 12, 99, DiskState.UNREADABLE, control)
@@ -105,7 +105,7 @@
     assert Heartbeat.from_wire(payload) == heartbeat
 
 
-@test("keys that are missing have defaults, and keys that are unknown are ignored")
+@test("missing keys get defaults, and unknown keys are ignored")
 def _() -> None:
     assert Heartbeat.from_wire({"phase": "serving", "later": 1}) == Heartbeat(
         "serving", -1, None, DiskState.OK, ControlReport()
@@ -118,7 +118,7 @@
     )
 
 
-@test("a heartbeat that is equal to the sender's previous one is decoded once")
+@test("a heartbeat that equals the sender's previous one is not decoded again")
 def _() -> None:
     decoder, payload = HeartbeatDecoder(), {"phase": "serving", "stands": 3, "silent": {"s2": 0.5}}
     first = decoder.decode("s0", payload)
@@ -130,14 +130,14 @@
         decoder.decode("s0", None)
 
 
-@test("{description} is a typed error")
+@test("{description} raises MessageDecodeError")
 def _(description: str = each(*UNDECODABLE)) -> None:
     message, payload = UNDECODABLE[description]
     with raises(MessageDecodeError):
         message.from_wire(payload)
 
 
-@test("a member with {field} = {value} is a typed error")
+@test("a member with {field} = {value} raises MessageDecodeError")
 def _(
     field: str = each("node", "node", "zone", "port", "port", "life"),
     value: object = each("", 7, "z" * 101, 0, "7300", "5"),
