--- a/emberlatch/cluster/membership/member_reports.py
+++ b/emberlatch/cluster/membership/member_reports.py
@@ -64,7 +64,7 @@
         return MemberReport(
             Voter(node, self._reports.identities.get(node, "")),
             *domain,
-            peer is not None and peer.up and not self._reports.closing(node),
+            peer is not None and peer.up and not self._reports.is_closing(node),
             self._unreachable_s(node),
             self._reports.versions.get(node, UNKNOWN_VERSION),
             self._reports.clusters.get(node, ""),
--- a/emberlatch/cluster/membership/store_reports.py
+++ b/emberlatch/cluster/membership/store_reports.py
@@ -50,13 +50,13 @@
         self.phases.pop(node, None)
         self.disks.forget(node)
 
-    def serving(self, node: str) -> bool:
+    def is_serving(self, node: str) -> bool:
         """Whether a store reports the phase `SERVING` and a disk that accepts writes.
 
         Such a store may still reject messages, because a nearly full disk (event 507) is not reported.
         """
         return self.phases.get(node) == Phase.SERVING.value and self.disks.writes(node)
 
-    def closing(self, node: str) -> bool:
+    def is_closing(self, node: str) -> bool:
         """Whether a store is shutting down."""
         return self.phases.get(node) == Phase.CLOSING.value
--- a/emberlatch/cluster/membership/store_selection.py
+++ b/emberlatch/cluster/membership/store_selection.py
@@ -54,7 +54,7 @@
     def writable_stores(self) -> list[Peer]:
         """The other stores that accept messages and replicas: the link is up, the store reports the phase
         `SERVING`, and its disk accepts writes."""
-        return [p for n, p in self.counted_stores().items() if p.up and self._reports.serving(n)]
+        return [p for n, p in self.counted_stores().items() if p.up and self._reports.is_serving(n)]
 
     def nearest_stores(self, key: str = "") -> list[Peer]:
         """The writable stores, those of this process's zone and region first. Equally near stores are in
--- a/emberlatch/cluster/membership/voter_contact.py
+++ b/emberlatch/cluster/membership/voter_contact.py
@@ -42,7 +42,7 @@
             return voter.identity == self._agreed.identity
         peer = self._links.stores().get(voter.node)
         identified = self._reports.identities.get(voter.node) == voter.identity
-        return identified and peer is not None and now - peer.confirmed_at <= CONTACT_VALID_S
+        return identified and peer is not None and now - peer.last_answered_sent_at <= CONTACT_VALID_S
 
     def _has_foreign_disk(self) -> bool:
         """Whether reachable stores of other clusters outnumber those of this one by at least two."""
--- a/emberlatch/cluster/rpc/peer.py
+++ b/emberlatch/cluster/rpc/peer.py
@@ -78,7 +78,8 @@
         state_since: Loop time in seconds of the last change of state.
         created_at: Loop time in seconds of the construction.
         last_up_at: Loop time at which the peer was last known to be up; -inf if never.
-        confirmed_at: Loop time at which the latest answered handshake or heartbeat was sent; -inf if none.
+        last_answered_sent_at: Loop time at which the latest answered handshake or heartbeat was sent; -inf if
+            none.
         last_inbound_handshake_at: Loop time of the last handshake on a connection that the peer dialled; -inf
             if none.
         connection: The connection while the state is UP.
@@ -98,7 +99,7 @@
         self.state = PeerState.CONNECTING
         self.state_since = asyncio.get_running_loop().time()
         self.created_at = self.state_since
-        self.last_up_at = self.confirmed_at = self.last_inbound_handshake_at = -math.inf
+        self.last_up_at = self.last_answered_sent_at = self.last_inbound_handshake_at = -math.inf
         self.connection: RpcConnection | None = None
         self._redial_now = asyncio.Event()
         self._last_incarnation: Incarnation | None = None  # peer of the last established connection
@@ -247,7 +248,7 @@
             self._earlier_incarnation_dials = 0
             sent_at = asyncio.get_running_loop().time()
             payload = await connection.call(RpcMethod.HANDSHAKE, self._delegate.handshake()).response
-        self.confirmed_at = sent_at
+        self.last_answered_sent_at = sent_at
         self.connection = connection
         self._delegate.on_handshake(self, payload)
         self._failed_dials = 0
@@ -274,5 +275,5 @@
 
     def _on_heartbeat_response(self, sent_at: float, response: asyncio.Future[object]) -> None:
         if not response.cancelled() and response.exception() is None:
-            self.confirmed_at = max(self.confirmed_at, sent_at)
+            self.last_answered_sent_at = max(self.last_answered_sent_at, sent_at)
             self._delegate.on_heartbeat(self, response.result())
