--- a/emberlatch/cluster/membership/member_reports.py
+++ b/emberlatch/cluster/membership/member_reports.py
@@ -34,7 +34,7 @@
         return unreachable
 
     def unreachable_s(self, node: str) -> float:
-        """Seconds for which a majority of the voters has not reached a machine; 0.0 if there is none."""
+        """The seconds during which a majority of the voters has not reached a machine, or 0.0."""
         self._report_own()
         return self._unreachable_s(node)
 
--- a/emberlatch/cluster/membership/messages.py
+++ b/emberlatch/cluster/membership/messages.py
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Handshake:
-    """The first message on a connection, and the answer to it."""
+    """The payload of the first request on a connection, and of the response to it."""
 
     heartbeat: Heartbeat
     update: MembershipUpdate
--- a/emberlatch/cluster/membership/view.py
+++ b/emberlatch/cluster/membership/view.py
@@ -178,7 +178,7 @@
         return self._members.unreachable()
 
     def unreachable_s(self, node: str) -> float:
-        """Seconds for which a majority of the voters has not reached a machine; 0.0 if there is none."""
+        """The seconds during which a majority of the voters has not reached a machine, or 0.0."""
         return self._members.unreachable_s(node)
 
     def reports(self) -> dict[str, MemberReport]:
--- a/emberlatch/cluster/membership/voter_contact.py
+++ b/emberlatch/cluster/membership/voter_contact.py
@@ -14,7 +14,7 @@
 
 
 class VoterContact:
-    """Two tests: one that depends on the state of the links, and a stricter one for operators' calls."""
+    """Two checks: one that depends on the state of the links, and a stricter one for operators' calls."""
 
     def __init__(self, node: str, agreed: AgreedState, links: PeerLinks, reports: StoreReports) -> None:
         self._node, self._agreed, self._links, self._reports = node, agreed, links, reports
--- a/emberlatch/cluster/rpc/connection.py
+++ b/emberlatch/cluster/rpc/connection.py
@@ -35,7 +35,7 @@
 from emberlatch.engine import Tasks
 
 MAX_OUTSTANDING_CALLS = 20_000  # limit of unanswered requests on one connection
-MAX_LOGGED_ERROR_CHARS = 200
+MAX_LOGGED_ERROR_CHARS = 200  # limit for the text of an error in the log
 
 RequestHandler = Callable[["RpcConnection", str, object], object]
 """Handles a request, given its connection, method and payload. Returns the response's payload, or a coroutine
--- a/emberlatch/cluster/rpc/peer.py
+++ b/emberlatch/cluster/rpc/peer.py
@@ -21,7 +21,7 @@
 # A connection is closed if nothing arrives on it for this number of heartbeat intervals plus the slack.
 LIVENESS_MISSED_HEARTBEATS = 2.0
 LIVENESS_SLACK_S = 0.5
-CONNECT_TIMEOUT_S = 0.6  # time limit of the connection, and again of the handshake on it
+CONNECT_TIMEOUT_S = 0.6  # time limit for connecting, and again for the handshake
 # Age of the oldest unanswered request above which no call whose response is awaited is sent to the peer.
 UNRESPONSIVE_AFTER_S = 0.25
 SLOW_AFTER_S = 0.1  # age of the oldest unanswered request above which other peers are preferred
--- a/tests/cluster/rpc_support.py
+++ b/tests/cluster/rpc_support.py
@@ -119,7 +119,7 @@
 
 
 class ScriptedReceiver(ConnectionEnd):
-    """The accepting end of one connection. It identifies itself, and a test sends all its other frames."""
+    """One end of a connection that answers an Identify frame; a test sends all its other frames."""
 
     def __init__(self, node: str = "receiver", incarnation: int = RECEIVER_INCARNATION) -> None:
         super().__init__()
@@ -142,7 +142,7 @@
 
 
 class ScriptedCaller(ScriptedReceiver):
-    """The dialling end of one connection. It identifies itself, and a test sends all its other frames."""
+    """The dialling end of a connection, which identifies itself; a test sends all its other frames."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
