--- a/emberlatch/cluster/message_store/__init__.py
+++ b/emberlatch/cluster/message_store/__init__.py
@@ -1,4 +1,4 @@
-"""The message store: messages on disk, their replicas, digests of ranges, repair."""
+"""The message store: keeps messages on disk, replicates them to other stores and repairs differing copies."""
 
 from emberlatch.cluster.message_store.database import INCARNATION_NOTE, RecordDatabase
 from emberlatch.cluster.message_store.disk_health import DiskState
--- a/emberlatch/cluster/message_store/accepting.py
+++ b/emberlatch/cluster/message_store/accepting.py
@@ -1,4 +1,7 @@
-"""A message is accepted once enough disks have it; else it is cancelled, and its client is promised so."""
+"""Accepts messages of clients: a message is accepted once enough stores have it on disk.
+
+Otherwise the message is cancelled, and the reply says whether it surely never runs.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 
 class AcceptService:
-    """Accepts messages of clients, for the forwarders. `max_body_bytes` bounds the bodies in memory."""
+    """Serves the ACCEPT calls of forwarders. `max_body_bytes` limits the total size of bodies in memory."""
 
     def __init__(
         self,
@@ -41,30 +44,30 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a message is being accepted."""
+        """Whether any message is being accepted."""
         return bool(self._pending)
 
     async def accept(self, request: AcceptRequest) -> AcceptReply:
-        """ACCEPT: whether it is durable; if not, whether it surely never runs."""
+        """Handle ACCEPT: make a message durable, or reply why not and whether it surely never runs."""
         id, epoch = request.message.id, 1 + request.prior_attempts
         if (pending := self._pending.get(id)) is not None:
             return await asyncio.shield(pending)
-        known = self._local_store.index.records.get(id)
-        if known is not None and known.state in (MessageState.COMPLETED, MessageState.DEAD_LETTERED):
+        existing = self._local_store.index.records.get(id)
+        if existing is not None and existing.state in (MessageState.COMPLETED, MessageState.DEAD_LETTERED):
             return ENDED
-        if known is not None and known.epoch >= epoch and known.owner != self._local_store.me:
+        if existing is not None and existing.epoch >= epoch and existing.owner != self._local_store.me:
             return OWNED_ELSEWHERE
         replicas: list[Peer] = []
         reason = self._local_obstacle(len(request.message.body))
         if not reason:
             replicas = self._replication.choose_replicas()
-            reason = "" if self._enough(replicas) else "too few other stores answer"
+            reason = "" if self._satisfies_promptly(replicas) else "too few other stores answer"
         if reason:
-            return AcceptReply(False, known is None, reason)
-        return await self._accept_once(request, epoch, known, replicas)
+            return AcceptReply(False, existing is None, reason)
+        return await self._accept_once(request, epoch, existing, replicas)
 
     def _local_obstacle(self, body_bytes: int) -> str:
-        """Why this process can't accept a message now; empty if it can."""
+        """Return why this process can't accept a message now; an empty string if it can."""
         local_store = self._local_store
         if local_store.phase is not Phase.SERVING:
             return str(local_store.phase.value)
@@ -72,19 +75,20 @@
             return "full"
         return "" if local_store.commits_promptly() else "its disk can't be written now"
 
-    def _enough(self, replicas: list[Peer]) -> bool:
+    def _satisfies_promptly(self, replicas: list[Peer]) -> bool:
+        """Return whether copies here and on those of the replicas that are not slow satisfy the quorum."""
         prompt = (peer.name for peer in replicas if not peer.slow)
         return self._cluster.satisfies_quorum([self._local_store.me, *prompt])
 
     async def _accept_once(
-        self, request: AcceptRequest, epoch: int, known: Record | None, replicas: list[Peer]
+        self, request: AcceptRequest, epoch: int, existing: Record | None, replicas: list[Peer]
     ) -> AcceptReply:
-        """Requests for the same message that come meanwhile have the same reply."""
+        """Store a message; requests for the same message that arrive meanwhile get the same reply."""
         id = request.message.id
         pending = self._pending[id] = asyncio.get_running_loop().create_future()
         self._local_store.probing.add(id)
         try:
-            reply = await self._store(request, epoch, known, replicas)
+            reply = await self._store(request, epoch, existing, replicas)
             pending.set_result(reply)
         finally:
             del self._pending[id]
@@ -94,26 +98,28 @@
         return reply
 
     async def _store(
-        self, request: AcceptRequest, epoch: int, known: Record | None, replicas: list[Peer]
+        self, request: AcceptRequest, epoch: int, existing: Record | None, replicas: list[Peer]
     ) -> AcceptReply:
         local_store = self._local_store
-        record = self._write(request, epoch, known, [peer.name for peer in replicas])
-        own = local_store.durable()
-        probed = self._cancellation.probe_for_copies(record, request.possible_holders)
-        copies, _ = await asyncio.gather(self._replication.replicate_until_quorum(record, replicas), probed)
-        local_store.probing.discard(record.id)  # whoever may deliver it has reported so by now
-        durable = await own and self._cluster.satisfies_quorum([local_store.me, *copies.durable])
-        if durable and (reply := await self._accepted(record, epoch)) is not None:
+        record = self._write_record(request, epoch, existing, [peer.name for peer in replicas])
+        local_commit = local_store.durable()
+        probe = self._cancellation.probe_for_copies(record, request.possible_holders)
+        outcome, _ = await asyncio.gather(self._replication.replicate_until_quorum(record, replicas), probe)
+        local_store.probing.discard(record.id)  # stores that may deliver it have replied or timed out
+        durable = await local_commit and self._cluster.satisfies_quorum([local_store.me, *outcome.durable])
+        if durable and (reply := await self._reply_if_accepted(record, epoch)) is not None:
             return reply
-        cancelled = await self._cancellation.cancel(record, copies.possible, epoch)
-        return AcceptReply(False, cancelled and known is None and epoch == 1, "no copy")
+        cancelled = await self._cancellation.cancel(record, outcome.possible, epoch)
+        return AcceptReply(False, cancelled and existing is None and epoch == 1, "no copy")
 
-    def _write(self, request: AcceptRequest, epoch: int, known: Record | None, replicas: list[str]) -> Record:
-        """The record of a message, owned by us; it names those that are asked first for copies, too."""
+    def _write_record(
+        self, request: AcceptRequest, epoch: int, existing: Record | None, replicas: list[str]
+    ) -> Record:
+        """Write and return the record, owned by this process. A new one names the chosen replicas."""
         me, message = self._local_store.me, request.message
-        if known is not None:
-            self._local_store.merge(known, MessageState.QUEUED, "", epoch, me, known.attempts)
-            return known
+        if existing is not None:
+            self._local_store.merge(existing, MessageState.QUEUED, "", epoch, me, existing.attempts)
+            return existing
         record = Record(
             message.id, message.host, message.method, message.path, message.content_type, message.body
         )
@@ -125,8 +131,8 @@
         self._local_store.add(record)
         return record
 
-    async def _accepted(self, record: Record, epoch: int) -> AcceptReply | None:
-        """The reply on what is durable here and elsewhere; None if it is cancelled, or an older epoch's."""
+    async def _reply_if_accepted(self, record: Record, epoch: int) -> AcceptReply | None:
+        """Return the reply on a durable record; None if it is cancelled or has an older epoch."""
         local_store = self._local_store
         if not record.open:
             return ENDED if record.state is not MessageState.CANCELLED else None
--- a/emberlatch/cluster/message_store/cancellation.py
+++ b/emberlatch/cluster/message_store/cancellation.py
@@ -1,4 +1,4 @@
-"""Messages that are not accepted after all, and messages that another store may have accepted already."""
+"""Cancels messages that too few stores wrote to disk, and probes for copies that were accepted before."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 from emberlatch.cluster.message_store.record import MessageState, Record
 from emberlatch.cluster.rpc import CallFailedError, Peer, RpcMethod
 
-CANCEL_TIMEOUT_S = 0.15  # for another store to have a cancellation on its disk
-PROBE_TIMEOUT_S = 0.1  # for another store to report what it knows of a message that is accepted here
+CANCEL_TIMEOUT_S = 0.15  # time for another store to write a cancellation to its disk
+PROBE_TIMEOUT_S = 0.1  # time for another store to report its copy of a message that is being accepted
 
 
 class Cancellation:
-    """Cancels messages, and probes for copies of them that were accepted elsewhere."""
+    """Cancels messages, and probes for copies of them that other stores accepted."""
 
     def __init__(self, local_store: LocalStore, cluster: ClusterView) -> None:
         self._local_store, self._cluster = local_store, cluster
 
-    async def cancel(self, record: Record, asked: set[str], epoch: int) -> bool:
-        """It is not accepted; whether no copy of it that was written under this epoch can ever run.
+    async def cancel(self, record: Record, possible_holders: set[str], epoch: int) -> bool:
+        """Cancel a message; return whether no copy of it that was written under this epoch can ever run.
 
-        `asked` are the stores that have a copy, or may come to have one.
+        `possible_holders` are the stores that have a copy or may still receive one.
         """
         me, attempts = self._local_store.me, record.attempts
         self._local_store.merge(record, MessageState.CANCELLED, "", epoch, me, attempts)
-        own = self._local_store.durable()
+        local_commit = self._local_store.durable()
         report = StateReport(record.id, MessageState.CANCELLED, "", epoch, me, record.attempts)
         request = CommitStateRequest((report,))
-        peers = [peer for node, peer in self._cluster.counted_stores().items() if node in asked]
+        peers = [peer for node, peer in self._cluster.counted_stores().items() if node in possible_holders]
         confirmed = await asyncio.gather(*(self._cancel_at(peer, request) for peer in peers))
-        everywhere = await own and all(confirmed) and len(peers) == len(asked)
-        return everywhere and record.state is MessageState.CANCELLED
+        durable_everywhere = await local_commit and all(confirmed) and len(peers) == len(possible_holders)
+        return durable_everywhere and record.state is MessageState.CANCELLED
 
     @staticmethod
     async def _cancel_at(peer: Peer, request: CommitStateRequest) -> bool:
@@ -44,7 +44,10 @@
         return DurableReply.from_wire(reply).durable
 
     async def probe_for_copies(self, record: Record, possible_holders: list[str]) -> None:
-        """Others may have accepted it for the same client: it is ours now, unless they deliver it or have."""
+        """Ask the stores that may have accepted the message for the same client, and merge their reports.
+
+        This process then owns the message, unless another store is delivering it or has ended it.
+        """
         stores = self._cluster.stores()
         peers = [peer for node, peer in stores.items() if node in possible_holders]
         if not peers:
@@ -56,10 +59,13 @@
                 self._local_store.merge_report(record, StateReport.from_wire(reply))
 
     def probe(self, report: StateReport) -> StateReport:
-        """PROBE: another store accepts what we may have accepted; what we know of it now."""
+        """Handle PROBE: another store is accepting a message that this store may have accepted.
+
+        Return the state of the record here after it was merged with the report.
+        """
         local_store, epoch = self._local_store, report.epoch
         record = local_store.index.records.get(report.id)
-        if record is None:  # should it come here yet, it is cancelled
+        if record is None:  # the tombstone cancels a copy of an earlier epoch that arrives later
             record = local_store.add_tombstone(report.id, epoch - 1, report.owner)
         elif record.open and record.owner == local_store.me and not local_store.delivery.withdraw(record):
             local_store.merge(record, record.state, "", epoch + 1, local_store.me, record.attempts)
