--- a/emberlatch/cluster/message_store/database.py
+++ b/emberlatch/cluster/message_store/database.py
@@ -1,10 +1,10 @@
 """Records on disk: one sqlite file, written in group commits.
 
-The file belongs to this process alone (`EXCLUSIVE` before `WAL`, so that no shared memory is needed), and a
-commit returns once it survives a loss of power (`synchronous=FULL`). Times on disk are the time of day.
+No other process opens the file: `EXCLUSIVE` is set before `WAL`, so that sqlite needs no shared memory. A
+commit returns once it survives a loss of power (`synchronous=FULL`). Times are stored as Unix time.
 
-A commit that failed is executed again, which writes its pages anew: after a failed sync the kernel may take
-pages for clean that are not on the disk (docs/design/disks.md).
+A commit that failed is executed again, which writes its pages anew: after a failed sync the kernel may mark
+pages as clean that are not on the disk (docs/design/disks.md).
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from emberlatch.cluster.message_store.record import MessageState, Record
 
 INCARNATION_NOTE = "life"
-"""The note that says that an earlier incarnation of the process used this disk."""
+"""Name of the note that is on the disk if an earlier incarnation of the process used it."""
 
 TABLES = (
     "CREATE TABLE IF NOT EXISTS records (id TEXT PRIMARY KEY, meta BLOB, body BLOB) WITHOUT ROWID",
@@ -45,18 +45,18 @@
 
 
 class RecordDatabase:
-    """The database file of one store. `wall` gives the time of day in seconds."""
+    """The database file of one store. `wall` returns the Unix time in seconds."""
 
     def __init__(self, path: Path, disk: Disk, wall: Callable[[], float]) -> None:
         self._path, self._disk, self._wall = path, disk, wall
         self._db: sqlite3.Connection | None = None
-        self._log_renewed = False  # whether the write-ahead log was emptied since the file was opened
+        self._old_log_emptied = False  # whether `_empty_old_log` succeeded since the file was opened
         self._closed = False
         self.health = DiskHealth()
         self.group_commit = GroupCommit(self._commit, disk.offload, self.health)
 
     def open(self) -> None:
-        """Open the file, making it if there is none; OSError if the disk does not allow it."""
+        """Open the file, and create it if there is none. Raises OSError if that fails."""
         if self._db is not None:
             return
         if self._closed:
@@ -71,10 +71,10 @@
                 raise
         except sqlite3.Error as error:
             raise OSError(str(error)) from error
-        self._db, self._log_renewed = db, False
+        self._db, self._old_log_emptied = db, False
 
-    async def open_later(self) -> None:
-        """Open the file where it may block; OSError if the disk does not allow it."""
+    async def open_offloaded(self) -> None:
+        """Open the file by `Disk.offload`, as opening may block. Raises OSError if that fails."""
         if self._db is None:
             await self._disk.offload(self.open)
 
@@ -84,28 +84,28 @@
             raise OSError("the database is not open")
         return self._db
 
-    def _meta(self, record: Record, now: float) -> bytes:
-        fields = record.to_wire(now - self._wall(), None)  # its times become times of day
-        del fields["body"], fields["id"]  # columns of their own
+    def _encode_meta(self, record: Record, now: float) -> bytes:
+        fields = record.to_wire(now - self._wall(), None)  # converts loop times to Unix times
+        del fields["body"], fields["id"]  # both have their own columns
         return cbor2.dumps(fields)
 
     # Writing.
 
     def put(self, record: Record, now: float) -> None:
         """Write a record with its body."""
-        self.group_commit.pending.add(record.id, PutRecord(self._meta(record, now), record.body))
+        self.group_commit.pending.add(record.id, PutRecord(self._encode_meta(record, now), record.body))
 
     def update(self, record: Record, now: float) -> None:
-        """Write what has changed of a record; the body of a success is deleted."""
+        """Write the fields of a record other than its body; the body of a completed record is deleted."""
         drop_body = record.state is MessageState.COMPLETED
-        self.group_commit.pending.add(record.id, UpdateRecord(self._meta(record, now), drop_body))
+        self.group_commit.pending.add(record.id, UpdateRecord(self._encode_meta(record, now), drop_body))
 
     def delete(self, id: str) -> None:
         """Delete a record."""
         self.group_commit.pending.add(id, DeleteRecord())
 
     def write_note(self, name: str, value: object) -> None:
-        """Write a single value by its name."""
+        """Write a note: a single value under a name."""
         self.group_commit.pending.notes[name] = cbor2.dumps(value)
 
     def when_durable(self, committed: Callable[[], None], failed: Callable[[], None] = lambda: None) -> None:
@@ -117,10 +117,10 @@
         self.group_commit.schedule_commit()
 
     def _commit(self, writes: PendingWrites) -> None:
-        """Commit all of these, or none; OSError if the disk did not take them."""
+        """Commit all of these writes or none. Raises OSError if the commit fails."""
         try:
             self.open()
-            self._renew_log()
+            self._empty_old_log()
             db = self._open_db
             db.execute("BEGIN")
             for id, write in writes.records():
@@ -132,21 +132,21 @@
             self._roll_back()
             raise OSError(str(error)) from error
 
-    def _renew_log(self) -> None:
-        """Before the first commit: move what an earlier incarnation wrote from the log into the file.
+    def _empty_old_log(self) -> None:
+        """Before the first commit, move what an earlier incarnation wrote from the log into the file.
 
-        Its last sync may have failed. Commits behind frames that are only in the page cache would be lost
-        with them.
+        The last sync of that incarnation may have failed and left frames of the log only in the page cache.
+        A loss of power would lose these frames, and with them every commit that follows them in the log.
         """
-        if self._log_renewed:
+        if self._old_log_emptied:
             return
         busy, _, _ = self._open_db.execute("PRAGMA wal_checkpoint(TRUNCATE)").fetchone()
         if busy:
-            raise OSError("the write-ahead log can't be emptied")
-        self._log_renewed = True
+            raise OSError(f"can't empty the write-ahead log of {self._path}: got busy={busy}, expected 0")
+        self._old_log_emptied = True
 
     def _roll_back(self) -> None:
-        """End a failed transaction; a connection that can't is closed, and opened anew."""
+        """Roll back a failed transaction. If that fails, close the connection; the next commit reopens it."""
         if self._db is None or not self._db.in_transaction:
             return
         try:
@@ -159,7 +159,7 @@
     # Reading.
 
     def read_note(self, name: str) -> object:
-        """The value of that name, decoded; None if there is none. OSError if it can't be read."""
+        """Return the decoded value of a note; None if there is none. Raises OSError if it can't be read."""
         try:
             row = self._open_db.execute("SELECT value FROM marks WHERE name = ?", (name,)).fetchone()
         except sqlite3.Error as error:
@@ -167,25 +167,25 @@
         return cbor2.loads(row[0]) if row is not None else None
 
     def load(self, now: float) -> list[Record]:
-        """All records; bodies only of those that have not ended. OSError if they can't be read."""
-        found, back = [], now - self._wall()
+        """Return all records, with bodies of queued and cancelled ones. Raises OSError if reading fails."""
+        records, time_offset = [], now - self._wall()
         try:
             for id, meta, body in self._open_db.execute("SELECT id, meta, body FROM records"):
                 fields = cbor2.loads(meta)
                 fields |= {"id": id, "body": body if fields["state"] <= MessageState.CANCELLED else None}
-                found.append(Record.from_wire(fields, back))
+                records.append(Record.from_wire(fields, time_offset))
         except sqlite3.Error as error:
             raise OSError(str(error)) from error
-        return found
+        return records
 
     async def body(self, id: str) -> bytes | None:
-        """The body of a record, whatever its state. OSError if it can't be read."""
+        """Return the stored body of a record in any state, or None. Raises OSError if it can't be read."""
         rows = await self._read("SELECT body FROM records WHERE id = ?", (id,))
-        found = rows[0][0] if rows else None
-        return found if isinstance(found, bytes) else None
+        body = rows[0][0] if rows else None
+        return body if isinstance(body, bytes) else None
 
-    async def used(self) -> int:
-        """Bytes of the file that are in use. OSError if that can't be read."""
+    async def used_bytes(self) -> int:
+        """Return the bytes of the file that are in use. Raises OSError if that can't be read."""
         rows = await self._read(USED_BYTES)
         return int(str(rows[0][0]))
 
@@ -204,13 +204,13 @@
     # Closing.
 
     def abandon(self) -> None:
-        """Close without writing what is pending, as the death of the process does."""
+        """Close without the pending writes, as if the process had been killed."""
         self._closed = True
         if self._db is not None:
             self._db.close()
 
     def close(self) -> None:
-        """Write what is pending, and close; OSError if the disk does not take it."""
+        """Commit the pending writes and close. Raises OSError if the commit fails."""
         try:
             self._commit(self.group_commit.take())
         finally:
--- a/emberlatch/cluster/message_store/disk_health.py
+++ b/emberlatch/cluster/message_store/disk_health.py
@@ -1,30 +1,30 @@
-"""The health of the disk, as the outcomes of its commits show it. Pure."""
+"""The health of the disk, derived from the outcomes of its commits. Pure: no disk, no clock."""
 
 from __future__ import annotations
 
 import math
 from enum import Enum
 
-STALLED_S = 0.5  # a commit that runs for longer shows a stalled disk
-RETRY_S = (0.1, 0.2, 0.4, 0.8, 1.0)  # backoff of a failed commit, by how many failed in a row
+STALLED_S = 0.5  # the disk counts as stalled while a commit has been running for longer
+RETRY_S = (0.1, 0.2, 0.4, 0.8, 1.0)  # backoff of a failed commit, by the number of failures in a row
 
 
 class DiskState(Enum):
-    """What the disk does."""
+    """The state of the disk."""
 
     OK = "ok"
-    STALLED = "stalled"  # a commit has been running for long
-    FAILING = "failing"  # the last commit failed: the disk is full, or broken
-    UNREADABLE = "unreadable"  # this incarnation of the process has not read it yet
+    STALLED = "stalled"  # a commit has been running for more than `STALLED_S`
+    FAILING = "failing"  # the last commit failed: the disk is full or faulty
+    UNREADABLE = "unreadable"  # this incarnation of the process has not read the disk yet
 
 
 class DiskHealth:
-    """Keeps the outcomes of the commits of one database. Times are the loop's, in seconds."""
+    """Tracks the outcomes of the commits of one database. Times are the event loop's, in seconds."""
 
     def __init__(self) -> None:
         self._readable = False
-        self._failures = 0  # commits that failed since one succeeded
-        self._busy_since = math.inf
+        self._failures = 0  # number of failed commits since the last successful one
+        self._busy_since = math.inf  # start of the running commit; infinite while none runs
 
     @property
     def failing(self) -> bool:
@@ -33,31 +33,31 @@
 
     @property
     def retry_s(self) -> float:
-        """The backoff in seconds before a failed commit is retried."""
+        """Seconds to wait before a failed commit is retried."""
         return RETRY_S[min(max(self._failures, 1), len(RETRY_S)) - 1]
 
-    def read(self) -> None:
-        """The content of the disk was read."""
+    def mark_readable(self) -> None:
+        """Note that the records on the disk were read."""
         self._readable = True
 
-    def began(self, now: float) -> None:
-        """A commit runs from now on."""
+    def commit_started(self, now: float) -> None:
+        """Note that a commit has started."""
         self._busy_since = now
 
-    def succeeded(self) -> None:
-        """The commit succeeded."""
+    def commit_succeeded(self) -> None:
+        """Note that the commit succeeded."""
         self._busy_since, self._failures = math.inf, 0
 
-    def failed(self) -> None:
-        """The commit failed, and was rolled back."""
+    def commit_failed(self) -> None:
+        """Note that the commit failed and was rolled back."""
         self._busy_since, self._failures = math.inf, self._failures + 1
 
     def lag(self, now: float) -> float:
-        """For how many seconds the present commit has been running; 0.0 if none is."""
+        """Return for how many seconds the current commit has been running; 0.0 if there is none."""
         return max(0.0, now - self._busy_since)
 
     def state(self, now: float) -> DiskState:
-        """What the disk does now."""
+        """Return the state of the disk at the time `now`."""
         if not self._readable:
             return DiskState.UNREADABLE
         if self.failing:
--- a/emberlatch/cluster/message_store/disk_watch.py
+++ b/emberlatch/cluster/message_store/disk_watch.py
@@ -1,7 +1,10 @@
-"""What a store does by the state of its disk: notifies others, hands over what waits, compares afterwards.
+"""Reacts to the state of the disk: notifies other processes, hands messages over, has copies compared.
 
-While the disk is not OK nothing new is accepted or sent. The outcomes of calls that are in flight are kept in
-memory and sent to the other replicas; no message with an outcome that is not durable goes to another owner.
+Waiting messages are handed over to other stores while the disk has a fault; once the disk has recovered, all
+copies are compared again.
+
+While the state is not OK the store accepts no message and starts no delivery. The outcomes of calls in flight
+are kept in memory and sent to the other replicas; a message whose outcome is not durable is not handed over.
 """
 
 from __future__ import annotations
@@ -18,9 +21,9 @@
 from emberlatch.cluster.message_store.repair import Repair
 from emberlatch.engine import Tasks
 
-HAND_OVER_AFTER_S = 0.5  # of a fault, after which others deliver what waits here
-HAND_OVER_INTERVAL_S = 0.5  # between two attempts
-READ_RETRY_S = 0.2  # between two attempts to read the disk at the start
+HAND_OVER_AFTER_S = 0.5  # duration of a fault after which waiting messages are handed over
+HAND_OVER_INTERVAL_S = 0.5  # pause between two hand-overs
+READ_RETRY_S = 0.2  # pause between two attempts to read the disk at startup
 EVENTS = {
     DiskState.OK: Event.DISK_RECOVERED,
     DiskState.STALLED: Event.DISK_STALLED,
@@ -31,7 +34,7 @@
 
 
 class DiskWatch:
-    """Follows the state of the disk, and acts on each change of it."""
+    """Watches the state of the disk and reacts to each change."""
 
     def __init__(
         self,
@@ -47,63 +50,63 @@
         self._state = DiskState.OK
         self._faulty_since = 0.0
         self._error = ""
-        self._withheld: list[Record] = []  # ours, and not to be delivered while the fault lasts
+        self._withheld: list[Record] = []  # owned records that are not delivered while the fault lasts
         self._handing_over = False
-        local_store.database.group_commit.subscribe(self._commit_ended)
+        local_store.database.group_commit.subscribe(self._on_commit)
 
-    async def read(self) -> tuple[list[Record], bool]:
-        """All earlier records, and whether the disk is empty; waits until they can be read."""
+    async def read_records(self) -> tuple[list[Record], bool]:
+        """Return all stored records, and whether the disk is empty; retry until the disk can be read."""
         loop, database = asyncio.get_running_loop(), self._local_store.database
         while True:
             try:
-                await database.open_later()
+                await database.open_offloaded()
                 records, empty = database.load(loop.time()), database.read_note(INCARNATION_NOTE) is None
             except OSError as error:
                 self._error = str(error)
                 self.tick(loop.time())
-                self._ownership.tick(loop.time())  # this process waits, it does not stand still
+                self._ownership.tick(loop.time())  # the process waits for its disk; it is not suspended
                 await asyncio.sleep(READ_RETRY_S)
                 continue
-            database.health.read()
+            database.health.mark_readable()
             self.tick(loop.time())
             return records, empty
 
-    def _commit_ended(self, error: OSError | None) -> None:
+    def _on_commit(self, error: OSError | None) -> None:
         if error is not None:
             self._error = str(error)
         self.tick(asyncio.get_running_loop().time())
 
     def tick(self, now: float) -> None:
-        """Look at the disk: to be called often, and after each commit."""
+        """Check the state of the disk. Must be called often, and after each commit."""
         state = self._local_store.database.health.state(now)
         if state is not self._state:
-            self._enter(state, now)
-        due = now - self._faulty_since > HAND_OVER_AFTER_S and not self._handing_over
-        if state is DiskState.OK or not due or not self._local_store.delivers:
+            self._enter_state(state, now)
+        hand_over_due = now - self._faulty_since > HAND_OVER_AFTER_S and not self._handing_over
+        if state is DiskState.OK or not hand_over_due or not self._local_store.delivers:
             return
         if self._cluster.writable_stores():
             self._start_hand_over()
 
-    def _enter(self, state: DiskState, now: float) -> None:
-        """The one place in which the state changes for the rest of the process and for the others."""
-        before, self._state = self._state, state
-        if before is DiskState.OK:
+    def _enter_state(self, state: DiskState, now: float) -> None:
+        """Change the state, log it and notify the other processes. Every change goes through this method."""
+        previous, self._state = self._state, state
+        if previous is DiskState.OK:
             self._faulty_since = now
         log_event(EVENTS[state], *([self._error] if state in STATES_WITH_ERROR else []))
         if state is DiskState.OK:
             self._error = ""
-            self._repair.repaired_at.clear()  # what was learned may not be on disk: compare with all
+            self._repair.repaired_at.clear()  # merged copies may be missing on disk: compare with all stores
             self._deliver_withheld()
         self._listener.notify()
 
     def _deliver_withheld(self) -> None:
-        """What could not be handed over is ours to deliver."""
+        """Deliver the records that could not be handed over."""
         withheld, self._withheld = self._withheld, []
         for record in filter(self._local_store.owns_with_body, withheld):
             self._local_store.delivery.deliver(record)
 
     def _start_hand_over(self) -> None:
-        """Have others deliver what is not in flight; what is being accepted is not ours to give yet."""
+        """Hand over records without a call in flight; messages still being accepted are not handed over."""
         waiting = [
             *filter(self._local_store.owns_with_body, self._withheld),
             *self._local_store.delivery.idle(),
--- a/emberlatch/cluster/message_store/group_commit.py
+++ b/emberlatch/cluster/message_store/group_commit.py
@@ -1,7 +1,7 @@
-"""Group commit: one commit for all that was written while the one before ran.
+"""Group commit: one commit contains all writes that were added while the previous commit ran.
 
-A commit that fails is rolled back, and whoever waited for it is notified that it failed. Its writes stay, in
-order and before those that came since, and are retried with a backoff until the disk takes them.
+A commit that fails is rolled back, and the callers that wait for it are notified. Its writes are kept in
+order, ahead of newer ones, and are retried with a backoff until a commit succeeds.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 log = logging.getLogger(__name__)
 
 CommitListener = Callable[[OSError | None], None]
-"""Hears how a commit ended: with its error, or None."""
+"""Called after each commit with its error, or None if the commit succeeded."""
 
 
 def _ignore() -> None:
@@ -27,16 +27,16 @@
 
 @dataclass(frozen=True, slots=True)
 class _Waiter:
-    """One of the two is called, once."""
+    """The callbacks of one waiting caller: one of the two is called, once."""
 
     committed: Callable[[], None]
     failed: Callable[[], None]
 
 
 class GroupCommit:
-    """Commits pending writes one group after the other.
+    """Commits pending writes, one group at a time.
 
-    `commit` blocks, runs by `offload`, and raises OSError once all that it wrote is rolled back.
+    `commit` blocks and is run by `offload`. If it raises OSError, it has rolled back all that it wrote.
     """
 
     def __init__(self, commit: Callable[[PendingWrites], None], offload: Offload, health: DiskHealth) -> None:
@@ -47,13 +47,13 @@
         self._listeners: list[CommitListener] = []
 
     def subscribe(self, listener: CommitListener) -> None:
-        """Have a listener hear how each commit ended."""
+        """Call `listener` after each commit."""
         self._listeners.append(listener)
 
     def when_durable(self, committed: Callable[[], None], failed: Callable[[], None] = _ignore) -> None:
-        """Call `committed` once all that is written by now is durable, or `failed` if a commit fails first.
+        """Call `committed` once all writes added so far are durable, or `failed` if a commit fails first.
 
-        While the disk is failing nothing waits: `failed` is called at once.
+        While the disk is failing, `failed` is called at once.
         """
         if self._health.failing:
             failed()
@@ -63,17 +63,17 @@
             self._task = asyncio.get_running_loop().create_task(self._run())
 
     def schedule_commit(self) -> None:
-        """Have what is written by now committed as soon as the disk takes it; nobody waits for it."""
+        """Commit the pending writes as soon as the disk allows, without callbacks."""
         if self.pending:
             self.when_durable(_ignore)
 
     def take(self) -> PendingWrites:
-        """Remove all pending writes, for whoever commits them now."""
+        """Remove and return all pending writes; the caller commits them."""
         taken, self.pending = self.pending, PendingWrites()
         return taken
 
     async def _run(self) -> None:
-        await asyncio.sleep(0)  # the rest of this turn of the loop joins the group
+        await asyncio.sleep(0)  # writes made later in this event loop iteration join the group
         while self._waiters or self.pending or self._health.failing:
             waiters, self._waiters = self._waiters, []
             if await self._attempt(self.take()):
@@ -85,17 +85,17 @@
         self._task = None
 
     async def _attempt(self, batch: PendingWrites) -> bool:
-        """Whether the disk took a group; if not, its writes are the first of the next one."""
-        self._health.began(asyncio.get_running_loop().time())
+        """Commit a batch and return whether that succeeded; a failed batch comes first in the next one."""
+        self._health.commit_started(asyncio.get_running_loop().time())
         try:
             await self._offload(lambda: self._commit(batch))
         except OSError as error:
             batch.add_all(self.pending)
             self.pending = batch
-            self._health.failed()
+            self._health.commit_failed()
             self._notify(error)
             return False
-        self._health.succeeded()
+        self._health.commit_succeeded()
         self._notify(None)
         return True
 
@@ -108,5 +108,5 @@
         for callback in callbacks:
             try:
                 callback()
-            except Exception:  # concerns only the one that waited
-                log.exception("a callback of a commit failed")
+            except Exception:  # the other callers must be called nevertheless
+                log.exception("commit callback %r raised an exception", callback)
--- a/emberlatch/cluster/message_store/retention.py
+++ b/emberlatch/cluster/message_store/retention.py
@@ -26,7 +26,7 @@
         if self._max_bytes <= 0:
             return
         try:
-            full = await self._database.used() > self._max_bytes
+            full = await self._database.used_bytes() > self._max_bytes
         except OSError:
             return  # the state of the disk shows it
         if full and not self.full:
--- a/emberlatch/cluster/message_store/startup.py
+++ b/emberlatch/cluster/message_store/startup.py
@@ -48,7 +48,7 @@
 
     async def _read_disk(self, first: bool) -> bool:
         """Whether the disk was lost."""
-        records, empty = await self._disk_watch.read()
+        records, empty = await self._disk_watch.read_records()
         lost = empty and not first
         for record in records:
             self._local_store.index.put(record)
--- a/tests/cluster/test_disks.py
+++ b/tests/cluster/test_disks.py
@@ -65,18 +65,18 @@
 def _() -> None:
     health = DiskHealth()
     assert health.state(0.0) is DiskState.UNREADABLE
-    health.read()
+    health.mark_readable()
     assert health.state(0.0) is DiskState.OK
-    health.began(1.0)
+    health.commit_started(1.0)
     assert health.state(1.0 + STALLED_S) is DiskState.OK
     assert health.state(1.1 + STALLED_S) is DiskState.STALLED
     pauses = []
     for _ in range(7):
-        health.failed()
+        health.commit_failed()
         assert health.state(99.0) is DiskState.FAILING
         pauses.append(health.retry_s)
     assert pauses == [*RETRY_S, RETRY_S[-1], RETRY_S[-1]] and sorted(pauses) == pauses
-    health.succeeded()
+    health.commit_succeeded()
     assert health.state(99.0) is DiskState.OK and health.retry_s == RETRY_S[0]
 
 
