--- a/emberlatch/cluster/message_store/index.py
+++ b/emberlatch/cluster/message_store/index.py
@@ -1,7 +1,7 @@
-"""All records of a process, and the digests by which copies are compared. Pure: no disk, no clock, no link.
+"""Indexes all records of a process, with digests to compare copies. Pure: no disk, no clock, no network.
 
-For each other replica there is a digest for each range of ids: the sum of the fingerprints of the records
-that both are to keep. It is updated with each change of a record, never computed anew.
+For each other store there is one digest for each range of ids: the sum of the fingerprints of the records
+that both stores are to keep. Each change of a record updates the digests; they are never recomputed.
 """
 
 from __future__ import annotations
@@ -17,49 +17,51 @@
 
 
 def range_of(id: str) -> int:
-    """The range that an id falls into."""
+    """Return the number of the range that an id belongs to."""
     return crc32(id.encode()) % RANGE_COUNT
 
 
 class RecordIndex:
-    """The records of one store in memory. `me` is this process's node."""
+    """The records of one store in memory. `me` is the name of this process's node."""
 
     def __init__(self, me: str) -> None:
         self.me = me
         self.records: dict[str, Record] = {}
         self._digests: dict[str, list[int]] = {}
         self._ranges: list[dict[str, Record]] = [{} for _ in range(RANGE_COUNT)]
-        self.body_bytes = 0  # of bodies in memory
+        self.body_bytes = 0  # total size of the bodies in memory
 
-    def _count(self, record: Record, fingerprint: int) -> None:
-        """Replace a record's share in the digests of all its replicas."""
-        number = range_of(record.id)
+    def _update_digests(self, record: Record, fingerprint: int) -> None:
+        """Replace a record's contribution to the digests of its other replicas by this fingerprint."""
+        range_number = range_of(record.id)
         for node in record.replicas:
             if node != self.me:
                 digests = self._digests.setdefault(node, [0] * RANGE_COUNT)
-                digests[number] = (digests[number] - record.counted_fingerprint + fingerprint) & _DIGEST_MASK
+                digests[range_number] = (
+                    digests[range_number] - record.counted_fingerprint + fingerprint
+                ) & _DIGEST_MASK
         record.counted_fingerprint = fingerprint
 
     def put(self, record: Record) -> None:
-        """Add a record that was not there."""
+        """Add a record that the index does not contain."""
         self.records[record.id] = self._ranges[range_of(record.id)][record.id] = record
         self.body_bytes += len(record.body or b"")
         record.counted_fingerprint = 0
-        self._count(record, record.fingerprint())
+        self._update_digests(record, record.fingerprint())
 
     def changed(self, record: Record) -> None:
-        """State, epoch or owner of a record have changed."""
+        """Update the digests after the state, epoch or owner of a record has changed."""
         if record.id in self.records:
-            self._count(record, record.fingerprint())
+            self._update_digests(record, record.fingerprint())
 
     def set_replicas(self, record: Record, replicas: Iterable[str]) -> None:
-        """These stores have a copy, or are to have one."""
-        self._count(record, 0)
+        """Set the stores that have a copy or are to receive one."""
+        self._update_digests(record, 0)
         record.replicas = tuple(replicas)
         self.changed(record)
 
-    def fill(self, record: Record, copy: Record) -> None:
-        """Give a tombstone without content the content of a copy; its state stays."""
+    def fill_tombstone(self, record: Record, copy: Record) -> None:
+        """Add the content of a copy to a tombstone that has none; its state does not change."""
         record.host, record.method, record.path = copy.host, copy.method, copy.path
         record.content_type, record.body, record.version = copy.content_type, copy.body, copy.version
         record.sent_at, record.due_at = copy.sent_at, copy.due_at
@@ -67,45 +69,45 @@
         self.body_bytes += len(record.body or b"")
 
     def unload_body(self, record: Record) -> None:
-        """Its body is not needed in memory any more."""
+        """Remove a record's body from memory."""
         self.body_bytes -= len(record.body or b"")
         record.body = None
 
     def drop(self, record: Record) -> None:
         """Remove a record."""
         if self.records.pop(record.id, None) is not None:
-            self._count(record, 0)
+            self._update_digests(record, 0)
             self.unload_body(record)
             del self._ranges[range_of(record.id)][record.id]
 
     def digests(self, node: str) -> list[int]:
-        """Digests of what that node and we are both to keep, by range."""
+        """Return the digests, by range, of the records that both that node and this one are to keep."""
         return list(self._digests.get(node, [0] * RANGE_COUNT))
 
-    def shared(self, node: str, ranges: Iterable[int]) -> Iterator[Record]:
-        """The records in these ranges of which both have copies."""
-        for number in ranges:
-            yield from (r for r in list(self._ranges[number].values()) if node in r.replicas)
+    def shared_records(self, node: str, ranges: Iterable[int]) -> Iterator[Record]:
+        """Yield the records in these ranges that both that node and this one are to keep."""
+        for range_number in ranges:
+            yield from (r for r in list(self._ranges[range_number].values()) if node in r.replicas)
 
     def summary(self, node: str, ranges: Iterable[int]) -> dict[str, CopySummary]:
-        """State, epoch and owner of those records by id, as they are sent."""
-        return {r.id: [int(r.state), r.epoch, r.owner] for r in self.shared(node, ranges)}
+        """Return state, epoch and owner of the shared records in these ranges by id, in their wire form."""
+        return {r.id: [int(r.state), r.epoch, r.owner] for r in self.shared_records(node, ranges)}
 
     def differing_ranges(self, node: str, theirs: list[int] | tuple[int, ...]) -> list[int]:
-        """The ranges in which that node's digests are not ours."""
+        """Return the ranges in which that node's digests differ from ours."""
         ours = self._digests.get(node, [0] * RANGE_COUNT)
         return [n for n in range(RANGE_COUNT) if n >= len(theirs) or ours[n] != theirs[n]]
 
     def differences(self, node: str, theirs: tuple[int, ...]) -> RangeDifferences:
-        """The ranges in which that node's digests are not ours, and what we know there."""
+        """Return the ranges in which that node's digests differ, with summaries of our records in them."""
         ranges = self.differing_ranges(node, theirs)
         return RangeDifferences(ranges, self.summary(node, ranges))
 
     def compare(
         self, node: str, ranges: list[int], theirs: dict[str, CopySummary]
     ) -> tuple[list[str], list[Record]]:
-        """The ids whose copies there outweigh ours, and our records that outweigh the copies there."""
-        ours = {r.id: r for r in self.shared(node, ranges)}
+        """Return the ids whose copies on that node outweigh ours, and our records that outweigh its own."""
+        ours = {r.id: r for r in self.shared_records(node, ranges)}
         newer_there = []
         for id, (state, epoch, owner) in theirs.items():
             record = self.records.get(id)
@@ -115,5 +117,5 @@
         return newer_there, newer_here
 
     def owned_by(self, owner: str) -> list[Record]:
-        """The queued records that this node owns."""
+        """Return the queued records that a node owns."""
         return [r for r in self.records.values() if r.owner == owner and r.state is MessageState.QUEUED]
--- a/emberlatch/cluster/message_store/local_store.py
+++ b/emberlatch/cluster/message_store/local_store.py
@@ -1,4 +1,4 @@
-"""The records of this process, in memory and on disk, and the queue that delivers those that it owns."""
+"""Changes the records of this process in memory and on disk, and queues the owned ones for delivery."""
 
 from __future__ import annotations
 
@@ -13,39 +13,39 @@
 from emberlatch.cluster.message_store.ports import DeliveryQueue
 from emberlatch.cluster.message_store.record import MessageState, Record, WireRecord
 
-MAX_COMMIT_LAG_S = 0.05  # a commit that runs for longer: other stores are better asked
+MAX_COMMIT_LAG_S = 0.05  # while a commit runs for longer, other stores are preferred
 
 
 class Phase(Enum):
-    """What a store does."""
+    """The phases of a store's life, from start to shutdown."""
 
-    STARTING = "starting"  # compares with the others; accepts and delivers nothing
+    STARTING = "starting"  # compares records with other stores; accepts and delivers nothing
     SERVING = "serving"
-    RETIRING = "retiring"  # accepts nothing, and copies all that it has elsewhere
-    CLOSING = "closing"  # accepts nothing, hands over, finishes what is in flight
+    RETIRING = "retiring"  # accepts nothing; copies its records to other stores
+    CLOSING = "closing"  # accepts nothing; hands messages over and finishes calls in flight
 
 
 class LocalStore:
-    """The records of one process. `me` is its node; `delivery` delivers what it owns."""
+    """The records of one process. `me` is its node; `delivery` delivers the messages that it owns."""
 
     def __init__(
         self, me: str, index: RecordIndex, database: RecordDatabase, delivery: DeliveryQueue
     ) -> None:
         self.me, self.index, self.database, self.delivery = me, index, database, delivery
-        self.probing: set[str] = set()  # messages that another store may deliver: it is being asked
+        self.probing: set[str] = set()  # ids of messages that another store may deliver: the probe is running
         self.phase = Phase.STARTING
 
     @property
     def delivers(self) -> bool:
-        """Whether what this process owns is delivered here."""
+        """Whether this process delivers the messages that it owns."""
         return self.phase is Phase.SERVING
 
     def owns_with_body(self, record: Record) -> bool:
-        """Whether this process owns it, and its body is here."""
+        """Return whether this process owns the queued record and has its body in memory."""
         return record.open and record.owner == self.me and record.body is not None
 
     def enter_phase(self, phase: Phase) -> bool:
-        """Change the phase, unless it is the last one; whether it changed."""
+        """Change the phase unless the current one is CLOSING; return whether it changed."""
         if phase is self.phase or self.phase is Phase.CLOSING:
             return False
         self.phase = phase
@@ -57,12 +57,12 @@
     # Changing records.
 
     def add(self, record: Record) -> None:
-        """Add a record that was not there."""
+        """Add a record that this store does not have."""
         self.index.put(record)
         self.database.put(record, self._now())
 
     def add_tombstone(self, id: str, epoch: int, owner: str) -> Record:
-        """Have nothing of an unknown message run that was written under this epoch."""
+        """Add a tombstone for an unknown message, so that no copy written under this epoch can run."""
         now = self._now()
         record = Record(id, "", "", "", "", None)
         record.state, record.epoch, record.owner = MessageState.CANCELLED, epoch, owner
@@ -73,38 +73,39 @@
     def merge(
         self, record: Record, state: MessageState, seal: str, epoch: int, owner: str, attempts: int
     ) -> bool:
-        """Adopt what another copy knows: in memory, on disk soon, and in the delivery queue.
+        """Merge another copy's state in memory, in the next commit and in the delivery queue.
 
-        The one place where a known record changes its owner: a message that we own no longer leaves the
-        delivery queue, one that we own now enters it. Whether state, epoch or owner changed.
+        Return whether state, epoch or owner changed. Only this method changes the owner of an existing
+        record: it removes a message from the delivery queue when this process ceases to own it, and adds a
+        message to the queue when this process becomes its owner.
         """
-        was_mine = record.open and record.owner == self.me
+        was_owned = record.open and record.owner == self.me
         if state is MessageState.QUEUED and record.state is MessageState.CANCELLED and record.body is None:
-            return False  # a tombstone without content: only a copy with the content knows the owner
+            return False  # only a copy with content can change the owner of an empty tombstone
         if not record.merge(state, seal, epoch, owner, attempts):
             return False
         record.ended_at = 0.0 if record.open else record.ended_at or self._now()
-        mine = record.open and record.owner == self.me
-        if was_mine and not mine:
+        owned = record.open and record.owner == self.me
+        if was_owned and not owned:
             self.delivery.withdraw(record)
         if record.state in (MessageState.COMPLETED, MessageState.DEAD_LETTERED):
             self.index.unload_body(record)
         self.index.changed(record)
         self._write_update(record)
-        if mine and not was_mine and self.delivers and record.id not in self.probing:
+        if owned and not was_owned and self.delivers and record.id not in self.probing:
             self.delivery.deliver(record)
         return True
 
     def merge_report(self, record: Record, report: StateReport) -> bool:
-        """See `merge`."""
+        """Merge a state report; see `merge`."""
         return self.merge(record, report.state, report.seal, report.epoch, report.owner, report.attempts)
 
     def set_owner(self, record: Record, epoch: int, owner: str, attempts: int) -> bool:
-        """A process owns it from this epoch on; its state stays."""
+        """Make a process the owner from this epoch on; the state does not change."""
         return self.merge(record, record.state, record.seal, epoch, owner, attempts)
 
     def absorb(self, copy: Record) -> Record | None:
-        """Add or merge a copy from another store; the record, or None if the copy is of no use."""
+        """Add or merge a received copy; return the record, or None for a queued copy without body."""
         record = self.index.records.get(copy.id)
         if record is not None:
             return self._absorb_known(record, copy)
@@ -121,17 +122,17 @@
         if set(copy.replicas) - set(record.replicas):
             self.add_replica_holders(record, copy.replicas)
         if record.body is None and copy.body is not None and copy.state <= MessageState.CANCELLED:
-            self.index.fill(record, copy)  # a tombstone was all that we had of it
+            self.index.fill_tombstone(record, copy)  # this store had only a tombstone
             self.database.put(record, self._now())
         self.merge(record, copy.state, copy.seal, copy.epoch, copy.owner, copy.attempts)
         return record
 
     def add_replica_holders(self, record: Record, nodes: Iterable[str]) -> None:
-        """These stores have a copy as well, or are to have one."""
+        """Add stores that have a copy or are to receive one."""
         self.set_replica_holders(record, (*record.replicas, *nodes))
 
     def set_replica_holders(self, record: Record, nodes: Iterable[str]) -> None:
-        """These stores have a copy, or are to have one."""
+        """Set the stores that have a copy or are to receive one."""
         self.index.set_replicas(record, dict.fromkeys(nodes))
         self._write_update(record)
 
@@ -139,23 +140,23 @@
         self.database.update(record, self._now())
         self.database.schedule_commit()
 
-    # What is sent to others.
+    # Wire forms for other stores.
 
     def to_wire(self, record: Record) -> WireRecord:
-        """A record as it is sent to another store; the body of one that has ended stays here."""
+        """Return a record's wire form; only queued and cancelled records are sent with their body."""
         with_body = record.state <= MessageState.CANCELLED
         return record.to_wire(self._now(), record.body if with_body else None)
 
     def state_report(self, record: Record) -> StateReport:
-        """What binds of a record, without its content."""
+        """Return the state of a record without its content."""
         return StateReport(record.id, record.state, record.seal, record.epoch, record.owner, record.attempts)
 
     # The disk.
 
     def durable(self) -> asyncio.Future[bool]:
-        """True once all that is written by now is on disk, false if the disk did not take it.
+        """Return a future: true once all writes added so far are on disk, false if the commit failed.
 
-        What was not taken is written later; nobody is to be notified before it is there.
+        Failed writes are retried later; nobody may be notified of them before they are on disk.
         """
         outcome: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
 
@@ -168,16 +169,16 @@
 
     @property
     def disk(self) -> DiskState:
-        """What the disk does now."""
+        """The current state of the disk."""
         return self.database.health.state(self._now())
 
     @property
     def writable(self) -> bool:
-        """Whether the disk can be written."""
+        """Whether the disk accepts writes."""
         return self.disk is DiskState.OK
 
     def commits_promptly(self) -> bool:
-        """Whether what is written now is on disk soon."""
+        """Return whether a write made now can be expected on disk without a long delay."""
         return self.writable and self.database.health.lag(self._now()) <= MAX_COMMIT_LAG_S
 
     @staticmethod
--- a/emberlatch/cluster/message_store/messages.py
+++ b/emberlatch/cluster/message_store/messages.py
@@ -1,7 +1,7 @@
-"""Messages of the message store's calls between processes. Pure.
+"""Requests and replies of the message store's calls between processes. Pure: no disk, no clock, no network.
 
-Each has `to_wire` and `from_wire`; a payload that is not the message raises `MessageDecodeError`. The keys
-and the order of items on the wire stay as they are: versions of the program run side by side.
+Each type has `to_wire` and `from_wire`, which raises `MessageDecodeError` for a payload of another form. The
+keys and the order of items on the wire must not change: versions of the program run side by side.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmittedMessage:
-    """What a client submits. `delay_s` and `retention_s` count from when it was sent."""
+    """A message as a client submits it. `delay_s` and `retention_s` count from when the client sent it."""
 
     id: str
     host: str
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptRequest:
-    """ACCEPT: make a message durable, and own it.
+    """Request of ACCEPT: the receiver is to make a message durable and own it.
 
-    `age_s` are the seconds since its client sent it. `possible_holders` are the stores that may have accepted
-    it in one of the `prior_attempts` for the same client.
+    `age_s` is the number of seconds since the client sent the message. `possible_holders` are the stores that
+    may have accepted it in one of the `prior_attempts` to submit it for the same client.
     """
 
     message: SubmittedMessage
@@ -45,7 +45,7 @@
     possible_holders: list[str]
 
     def to_wire(self) -> dict[str, object]:
-        """As it is sent."""
+        """Return the wire form."""
         message = self.message
         return {
             "id": message.id, "host": message.host, "method": message.method, "path": message.path,
@@ -56,7 +56,7 @@
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """From what was sent."""
+        """Decode the wire form."""
         fields = cast("dict[str, Any]", payload)
         try:
             message = SubmittedMessage(
@@ -70,19 +70,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptReply:
-    """Whether a message was accepted; if not, whether it surely was not executed and never will be."""
+    """Reply to ACCEPT: whether the message was accepted; if not, whether it surely never runs, and why."""
 
     accepted: bool
     surely_not_executed: bool = False
     reason: str = ""
 
     def to_wire(self) -> dict[str, object]:
-        """As it is sent."""
+        """Return the wire form."""
         return {"ok": self.accepted, "clear": self.surely_not_executed, "why": self.reason}
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """From what was sent."""
+        """Decode the wire form."""
         fields = cast("dict[str, Any]", payload)
         try:
             return cls(bool(fields["ok"]), bool(fields["clear"]), str(fields["why"]))
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateReport:
-    """What binds of a record, without its content: request and reply of PROBE, item of COMMIT_STATE."""
+    """The state of a record without its content: request and reply of PROBE, item of COMMIT_STATE."""
 
     id: str
     state: MessageState
@@ -102,12 +102,12 @@
     attempts: int
 
     def to_wire(self) -> list[object]:
-        """As it is sent."""
+        """Return the wire form."""
         return [self.id, int(self.state), self.seal, self.epoch, self.owner, self.attempts]
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """From what was sent."""
+        """Decode the wire form."""
         try:
             id, state, seal, epoch, owner, attempts = cast("list[Any]", payload)
             return cls(str(id), MessageState(state), str(seal), int(epoch), str(owner), int(attempts))
@@ -117,50 +117,50 @@
 
 @dataclass(frozen=True, slots=True)
 class CommitStateRequest:
-    """COMMIT_STATE: how messages ended, or who owns them."""
+    """Request of COMMIT_STATE: how messages ended, or who owns them."""
 
     reports: tuple[StateReport, ...]
 
     def to_wire(self) -> list[list[object]]:
-        """As it is sent."""
+        """Return the wire form."""
         return [report.to_wire() for report in self.reports]
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """From what was sent."""
+        """Decode the wire form."""
         return cls(tuple(map(StateReport.from_wire, _items("commit of states", payload))))
 
 
 @dataclass(frozen=True, slots=True)
 class DurableReply:
-    """Reply to COMMIT_STATE and REPAIR: whether all that was sent is on that store's disk now."""
+    """Reply to COMMIT_STATE and REPAIR: whether the receiver has all that was sent on its disk."""
 
     durable: bool
 
     def to_wire(self) -> bool:
-        """As it is sent."""
+        """Return the wire form."""
         return self.durable
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """From what was sent."""
+        """Decode the wire form."""
         return cls(bool(payload))
 
 
 class ReplicateReply(IntEnum):
-    """Reply to REPLICATE: what became of a copy at another store."""
+    """Reply to REPLICATE: whether the receiver has the copy on its disk."""
 
-    REJECTED = 0  # before anything of it was written
-    UNCERTAIN = 1  # it may be there, or come to be
-    DURABLE = 2  # it is on that store's disk
+    REJECTED = 0  # nothing of the copy was written
+    UNCERTAIN = 1  # the copy may be stored, now or later
+    DURABLE = 2  # the copy is on the receiver's disk
 
     def to_wire(self) -> int:
-        """As it is sent."""
+        """Return the wire form."""
         return int(self)
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """From what was sent."""
+        """Decode the wire form."""
         try:
             return cls(cast("int", payload))
         except ValueError as error:
@@ -169,17 +169,17 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageQuery:
-    """MESSAGE_STATE and MESSAGE_BODY: which message is asked for."""
+    """Request of MESSAGE_STATE and MESSAGE_BODY: the id of the message."""
 
     id: str
 
     def to_wire(self) -> str:
-        """As it is sent."""
+        """Return the wire form."""
         return self.id
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """From what was sent."""
+        """Decode the wire form."""
         if not isinstance(payload, str):
             raise MessageDecodeError("message query", f"{payload!r:.40} is no id")
         return cls(payload)
@@ -187,18 +187,18 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageStatus:
-    """Reply to MESSAGE_STATE: a name of `STATE_NAMES`, and the seal of a success."""
+    """Reply to MESSAGE_STATE: a name of `STATE_NAMES`, and the seal of a completed message."""
 
     name: str
     seal: str
 
     def to_wire(self) -> list[str]:
-        """As it is sent."""
+        """Return the wire form."""
         return [self.name, self.seal]
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """From what was sent."""
+        """Decode the wire form."""
         try:
             name, seal = cast("list[Any]", payload)
             return cls(str(name), str(seal))
@@ -208,17 +208,17 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageBody:
-    """Reply to MESSAGE_BODY: its bytes; None if that store does not have them."""
+    """Reply to MESSAGE_BODY: the body; None if the receiver does not have it."""
 
     body: bytes | None
 
     def to_wire(self) -> bytes | None:
-        """As it is sent."""
+        """Return the wire form."""
         return self.body
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """From what was sent."""
+        """Decode the wire form."""
         if payload is not None and not isinstance(payload, bytes):
             raise MessageDecodeError("message body", f"{payload!r:.40} are no bytes")
         return cls(payload)
@@ -233,12 +233,12 @@
     attempts: int
 
     def to_wire(self) -> list[object]:
-        """As it is sent."""
+        """Return the wire form."""
         return [self.id, self.epoch, self.attempts]
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """From what was sent."""
+        """Decode the wire form."""
         try:
             id, epoch, attempts = cast("list[Any]", payload)
             return cls(str(id), int(epoch), int(attempts))
@@ -248,73 +248,73 @@
 
 @dataclass(frozen=True, slots=True)
 class AssumeOwnershipRequest:
-    """ASSUME_OWNERSHIP: an owner that leaves makes the receiver the owner."""
+    """Request of ASSUME_OWNERSHIP: the owner makes the receiver the owner of these messages."""
 
     offers: tuple[OwnershipOffer, ...]
 
     def to_wire(self) -> list[list[object]]:
-        """As it is sent."""
+        """Return the wire form."""
         return [offer.to_wire() for offer in self.offers]
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """From what was sent."""
+        """Decode the wire form."""
         return cls(tuple(map(OwnershipOffer.from_wire, _items("assume ownership", payload))))
 
 
 @dataclass(frozen=True, slots=True)
 class MessageIds:
-    """Ids: request of RECORDS, and reply to ASSUME_OWNERSHIP (those of which the receiver has no copy)."""
+    """Request of RECORDS: the wanted ids; reply to ASSUME_OWNERSHIP: the ids that were not taken over."""
 
     ids: tuple[str, ...]
 
     def to_wire(self) -> list[str]:
-        """As it is sent."""
+        """Return the wire form."""
         return list(self.ids)
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """From what was sent."""
+        """Decode the wire form."""
         return cls(tuple(map(str, _items("ids", payload))))
 
 
 @dataclass(frozen=True, slots=True)
 class RangeDigests:
-    """DIGEST_RANGES: digests of the caller, one for each range, of what both stores are to keep."""
+    """Request of DIGEST_RANGES: the caller's digests, one per range, of records that both are to keep."""
 
     digests: tuple[int, ...]
 
     def to_wire(self) -> list[int]:
-        """As it is sent."""
+        """Return the wire form."""
         return list(self.digests)
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """From what was sent."""
+        """Decode the wire form."""
         return cls(tuple(cast("list[int]", _items("range digests", payload))))
 
 
 CopySummary = list[Any]
-"""State, epoch and owner of a copy, as they are sent."""
+"""State, epoch and owner of a copy, in wire form."""
 
 
 @dataclass(frozen=True, slots=True)
 class RangeDifferences:
-    """Reply to DIGEST_RANGES: the ranges that differ, and summaries of what is there by id.
+    """Reply to DIGEST_RANGES: the ranges that differ, and summaries of the receiver's records there by id.
 
-    The summaries stay in their wire form: a difference can name hundreds of thousands of records.
+    The summaries are kept in their wire form, as there can be hundreds of thousands of them.
     """
 
     ranges: list[int]
     summaries: dict[str, CopySummary]
 
     def to_wire(self) -> dict[str, object]:
-        """As it is sent."""
+        """Return the wire form."""
         return {"differ": self.ranges, "summary": self.summaries}
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """From what was sent."""
+        """Decode the wire form."""
         fields = cast("dict[str, Any]", payload)
         try:
             return cls(list(fields["differ"]), dict(fields["summary"]))
@@ -324,21 +324,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordBatch:
-    """Records with their content: request of REPAIR and reply to RECORDS, as they are sent."""
+    """Request of REPAIR and reply to RECORDS: records with their content, in wire form."""
 
     records: list[WireRecord]
 
     def to_wire(self) -> list[WireRecord]:
-        """As it is sent."""
+        """Return the wire form."""
         return self.records
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """From what was sent."""
+        """Decode the wire form."""
         return cls(cast("list[WireRecord]", _items("record batch", payload)))
 
     def decode(self, now: float) -> list[Record]:
-        """The records, their times counted from `now`."""
+        """Return the decoded records; `now` is added to their relative times."""
         return [Record.from_wire(record, now) for record in self.records]
 
 
--- a/emberlatch/cluster/message_store/pending_writes.py
+++ b/emberlatch/cluster/message_store/pending_writes.py
@@ -1,7 +1,7 @@
-"""The writes of the next commit: at most one for each record. Pure.
+"""The writes of the next commit: at most one for each record. Pure: no disk, no clock.
 
-A later write of a record is combined with the earlier one, so that what waits while a disk fails is bounded
-by the records that the process knows, however often they change.
+A later write of a record is combined with the earlier one. While a disk fails, the number of pending writes
+is thus limited to the number of records in the process, however often these change.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateRecord:
-    """Write what has changed of a record that was put; `drop_body`: its body is not needed any more."""
+    """Write the fields of a stored record other than its body; `drop_body`: delete the body as well."""
 
     meta: bytes
     drop_body: bool
@@ -35,20 +35,20 @@
 
 
 def combine(earlier: Write, later: Write) -> Write:
-    """One write with the effect of both, in this order."""
+    """Return one write that has the effect of both, in this order."""
     match earlier, later:
         case PutRecord(body=body), UpdateRecord(meta=meta, drop_body=drop_body):
             return PutRecord(meta, None if drop_body else body)
-        case UpdateRecord(drop_body=before), UpdateRecord(meta=meta, drop_body=drop_body):
-            return UpdateRecord(meta, before or drop_body)
+        case UpdateRecord(drop_body=drop_body_before), UpdateRecord(meta=meta, drop_body=drop_body):
+            return UpdateRecord(meta, drop_body_before or drop_body)
         case DeleteRecord(), UpdateRecord():
-            return earlier  # an update has no effect where no record is
+            return earlier  # updating a deleted record has no effect
         case _:
             return later
 
 
 class PendingWrites:
-    """The writes that wait for a commit. `notes` are single values by name, encoded."""
+    """The writes that wait for a commit. `notes` has encoded single values by name."""
 
     def __init__(self) -> None:
         self._records: dict[str, Write] = {}
@@ -58,16 +58,16 @@
         return bool(self._records or self.notes)
 
     def add(self, id: str, write: Write) -> None:
-        """One more write of a record."""
+        """Add a write of a record."""
         earlier = self._records.get(id)
         self._records[id] = write if earlier is None else combine(earlier, write)
 
     def add_all(self, later: PendingWrites) -> None:
-        """Append all writes of a later commit."""
+        """Add all writes of a later batch."""
         for id, write in later.records():
             self.add(id, write)
         self.notes |= later.notes
 
     def records(self) -> Iterator[tuple[str, Write]]:
-        """The writes, by the ids of their records."""
+        """Return an iterator over record ids and their writes."""
         return iter(self._records.items())
--- a/emberlatch/cluster/message_store/ports.py
+++ b/emberlatch/cluster/message_store/ports.py
@@ -1,4 +1,4 @@
-"""What the message store needs of the rest of its process."""
+"""Interfaces of the rest of the process that the message store uses."""
 
 from __future__ import annotations
 
@@ -10,64 +10,64 @@
 
 
 class ClusterView(Protocol):
-    """The other stores, as this process sees them; nodes are given by their names."""
+    """The other stores as this process sees them. Nodes are identified by name."""
 
     def satisfies_quorum(self, nodes: Iterable[str]) -> bool:
-        """Whether copies on these machines' disks survive the losses that the settings name."""
+        """Return whether copies on these machines' disks survive the losses that the settings specify."""
 
     def stores(self) -> dict[str, Peer]:
-        """All other stores that were ever heard of."""
+        """Return the links to all other known stores, whether they are up or not."""
 
     def counted_stores(self) -> dict[str, Peer]:
-        """Those of them that count: neither decommissioned nor given up."""
+        """Return the other stores that are neither decommissioned nor removed."""
 
     def writable_stores(self) -> list[Peer]:
-        """Those of them that accept messages and copies now."""
+        """Return the other stores that accept messages and copies now."""
 
     def replica_candidates(self, have: set[str]) -> Iterator[Peer]:
-        """The writable stores for one more copy beside those that have one, the best first."""
+        """Yield the writable stores for one more copy, best first, besides the stores in `have`."""
 
     def has_majority_contact(self) -> bool:
-        """Whether a majority of the voters hears this process, or is surely dead."""
+        """Return whether a majority of the voters hears this process or is surely dead."""
 
     def unreachable_s(self, node: str) -> float:
-        """For how many seconds a majority of the voters has not heard a machine."""
+        """Return for how many seconds a majority of the voters has not heard from a machine."""
 
     def leaving_stores(self) -> set[str]:
-        """The machines that are being decommissioned: their copies are not to count."""
+        """Return the machines that are being decommissioned: their copies must not be counted."""
 
     def disk_writes(self, node: str) -> bool:
-        """Whether a machine's disk can be written, as far as it reported."""
+        """Return whether a machine's disk accepts writes, by the machine's last report."""
 
     def disk_unreadable_s(self, node: str) -> float:
-        """For how many seconds a machine has been unable to read its disk."""
+        """Return for how many seconds a machine has been unable to read its disk."""
 
 
 class DeliveryQueue(Protocol):
     """Delivers the messages that this process owns."""
 
     def deliver(self, record: Record) -> None:
-        """This process owns it from now on."""
+        """Deliver a message that this process now owns."""
 
     def withdraw(self, record: Record) -> bool:
-        """It has ended, or another process owns it; false if a call of it is in flight."""
+        """Stop delivering a message that ended or has another owner; return False if a call is in flight."""
 
     def idle(self) -> list[Record]:
-        """Give up, and return, all of which no call is in flight."""
+        """Remove and return all messages without a call in flight."""
 
 
 class LateBoundDeliveryQueue:
-    """A delivery queue that is bound after the store was made.
+    """A delivery queue that is bound after the store was constructed.
 
-    The dispatcher asks the store whether a message is still owned, and the store hands messages to the
-    dispatcher: one of the two has to be made first.
+    The dispatcher asks the store whether a message is still owned, and the store passes messages to the
+    dispatcher, so one of the two has to be constructed before the other.
     """
 
     def __init__(self) -> None:
         self._queue: DeliveryQueue | None = None
 
     def bind(self, queue: DeliveryQueue) -> None:
-        """Use this queue from now on."""
+        """Set the queue to use."""
         self._queue = queue
 
     def deliver(self, record: Record) -> None:
@@ -89,7 +89,7 @@
 
 
 class ChangeListener(Protocol):
-    """Hears of changes that the other processes are to know of at once."""
+    """Receives changes of which other processes must be notified at once."""
 
     def notify(self) -> None:
-        """The phase of the store, or the state of its disk, has changed."""
+        """Handle a change of the store's phase or of its disk's state."""
--- a/emberlatch/cluster/message_store/record.py
+++ b/emberlatch/cluster/message_store/record.py
@@ -1,10 +1,9 @@
 """A stored message, and how copies of it are merged.
 
 Merging is commutative, associative and idempotent: copies that are merged in any order, any number of times,
-become the same. A copy outweighs another if it has ended while the other has not, if it is a success while
-the other is none, or if its owner came later (`epoch`). A cancellation outweighs what was written under its
-epoch or before, and nothing that was accepted after it. Attempts count only those that a target answered with
-500.
+become equal. A copy outweighs another if it has ended and the other has not, if it is completed and the other
+is dead-lettered, or else if its epoch is later. A cancellation outweighs queued copies of its epoch or an
+earlier one, but none of a later epoch. `attempts` counts only the attempts that a target answered with 500.
 """
 
 from __future__ import annotations
@@ -16,15 +15,15 @@
 from emberlatch.cluster.rpc.errors import MessageDecodeError
 
 WireRecord = dict[str, object]
-"""A record as it is sent and stored: its keys are those of `Record.to_wire`."""
+"""The wire form of a record, also stored on disk; its keys are those of `Record.to_wire`."""
 
 
 class MessageState(IntEnum):
-    """What became of a message. The numbers are stored and sent; later states outweigh earlier ones."""
+    """The state of a message. The numbers are stored and sent; `rank` says which state outweighs which."""
 
     QUEUED = 0
-    CANCELLED = 1  # a tombstone: never accepted under this epoch, and its client was promised so or nothing
-    DEAD_LETTERED = 2  # given up: not attempted again; log event 601 names the reason
+    CANCELLED = 1  # a tombstone: not accepted under this epoch; its client was informed so or got no reply
+    DEAD_LETTERED = 2  # no further attempts; log event 601 names the reason
     COMPLETED = 3
 
 
@@ -32,7 +31,11 @@
 
 
 def rank(state: int, epoch: int, owner: str) -> Rank:
-    """The order of copies: an end first, a success above all; then the epoch, and a cancellation under it."""
+    """Return the order of a copy: the highest is kept when copies are merged.
+
+    The end decides first (completed above dead-lettered above none), then the epoch, then within an epoch a
+    cancellation above a queued copy, then the owner's name.
+    """
     ended = max(0, state - MessageState.CANCELLED)
     return ended, epoch, int(state == MessageState.CANCELLED), owner
 
@@ -42,7 +45,7 @@
     MessageState.DEAD_LETTERED: "dead_letter",
     MessageState.COMPLETED: "completed",
 }
-"""States by their names in answers to clients, which never hear of a cancelled message."""
+"""Names of states in responses to clients; a cancelled message is not reported to clients."""
 
 STATE_LABELS = {
     MessageState.QUEUED: "queued",
@@ -50,14 +53,14 @@
     MessageState.DEAD_LETTERED: "dead",
     MessageState.COMPLETED: "done",
 }
-"""States by their names in what the operators' commands print."""
+"""Names of states in the output of the operators' commands."""
 
 
 class Record:
-    """One message as a store keeps it.
+    """One message in a store.
 
-    `sent_at`, `due_at`, `expires_at` and `ended_at` are the loop's time in seconds; on disk they are the time
-    of day, on the wire seconds from now.
+    `sent_at`, `due_at`, `expires_at` and `ended_at` are event loop times in seconds; on disk they are Unix
+    times, on the wire seconds relative to the time of sending.
     """
 
     __slots__ = (
@@ -86,40 +89,40 @@
     ) -> None:
         self.id, self.host, self.method, self.path = id, host, method, path
         self.content_type = content_type
-        self.body = body  # None: it has ended, or its body is only on disk
+        self.body = body  # None if the message has ended or the body is only on disk
         self.state, self.seal = MessageState.QUEUED, ""
-        self.owner = ""  # the one store that delivers it
-        self.epoch = 0  # of that ownership: each new owner draws a later one; see `ownership`
+        self.owner = ""  # node name of the only store that delivers the message
+        self.epoch = 0  # epoch of the ownership: each new owner has a later one; see `ownership`
         self.replicas: tuple[str, ...] = ()
         self.attempts = 0
-        self.version = -1  # of the configuration by which it was accepted
-        self.sent_at = 0.0  # about when its client sent it
-        self.due_at = 0.0  # it is not to run before
-        self.expires_at = 0.0  # its retention is over
-        self.ended_at = 0.0  # 0.0: it has not ended
-        self.counted_fingerprint = 0  # what it adds to the digests of its replicas
+        self.version = -1  # revision of the configuration under which the message was accepted
+        self.sent_at = 0.0  # approximate time at which the client sent the message
+        self.due_at = 0.0  # earliest time of delivery
+        self.expires_at = 0.0  # end of the retention time
+        self.ended_at = 0.0  # 0.0 while the message has not ended
+        self.counted_fingerprint = 0  # fingerprint that is included in the digests of its replicas
 
     @property
     def open(self) -> bool:
-        """Whether it waits to be delivered."""
+        """Whether the message is queued for delivery."""
         return self.state is MessageState.QUEUED
 
     def fingerprint(self) -> int:
-        """Equal for two copies that agree, of 64 bits."""
+        """Return a 64-bit hash that is equal for copies with equal state, epoch and owner."""
         text = f"{self.id} {self.state} {self.epoch} {self.owner}".encode()
         return int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
 
     def outweighs(self, state: int, epoch: int, owner: str) -> bool:
-        """Whether it ranks above a copy of this state, epoch and owner."""
+        """Return whether this copy ranks above one with this state, epoch and owner."""
         return self.rank > rank(state, epoch, owner)
 
     @property
     def rank(self) -> Rank:
-        """See the function `rank`."""
+        """The rank of this copy; see the function `rank`."""
         return rank(self.state, self.epoch, self.owner)
 
     def merge(self, state: MessageState, seal: str, epoch: int, owner: str, attempts: int) -> bool:
-        """Adopt what another copy knows if that outweighs it; whether state, epoch or owner changed."""
+        """Adopt another copy's state if that copy outweighs this one; return whether it does."""
         self.attempts = max(self.attempts, attempts)
         if rank(state, epoch, owner) <= self.rank:
             return False
@@ -127,7 +130,7 @@
         return True
 
     def to_wire(self, now: float, body: bytes | None) -> WireRecord:
-        """As it is sent to another process; its times are seconds from `now`."""
+        """Return the wire form; its times are in seconds relative to `now`."""
         return {
             "id": self.id, "host": self.host, "method": self.method, "path": self.path,
             "content": self.content_type, "body": body, "state": int(self.state), "seal": self.seal,
@@ -139,9 +142,9 @@
 
     @staticmethod
     def from_wire(payload: object, now: float) -> Record:
-        """From what was sent, or read from disk; its times are counted from `now`.
+        """Decode the wire form, received or read from disk; `now` is added to its relative times.
 
-        MessageDecodeError if the payload is no record.
+        Raises MessageDecodeError if the payload is not a record.
         """
         fields = cast("dict[str, Any]", payload)
         try:
