--- a/emberlatch/cluster/message_store/repair.py
+++ b/emberlatch/cluster/message_store/repair.py
@@ -1,6 +1,6 @@
-"""Anti-entropy: copies are compared by digests of ranges and repaired from the newer one.
+"""Anti-entropy: compares copies by digests of ranges and replaces older copies by newer ones.
 
-What has too few copies on machines that are there gets more of them.
+Messages with too few copies on reachable machines are copied to further stores.
 """
 
 from __future__ import annotations
@@ -24,31 +24,31 @@
 from emberlatch.cluster.rpc import CallFailedError, Peer, RpcMethod
 from emberlatch.engine import Tasks
 
-MAX_BATCH_BYTES = 256 * 1024  # of records in one frame
-RECORD_OVERHEAD_BYTES = 300  # of a record in a frame, beside its body
-MAX_REQUESTED_RECORDS = 200  # ids in one request for records
+MAX_BATCH_BYTES = 256 * 1024  # size of the records in one frame
+RECORD_OVERHEAD_BYTES = 300  # estimated size of a record in a frame without its body
+MAX_REQUESTED_RECORDS = 200  # ids in one RECORDS request
 MAX_COPIED_RECORDS = 100  # records in one batch of additional copies
-COMPARE_INTERVAL_S = 5.0  # between two comparisons with a peer that is up all the time
-CALL_TIMEOUT_S = 2.0
-UNREACHABLE_AFTER_S = 1.5  # a copy on a machine that is not there for longer is not counted
-SCAN_INTERVAL_S = 0.25  # between two scans for what has too few copies
-NEVER = -1e9  # a time before all others
+COMPARE_INTERVAL_S = 5.0  # interval of comparisons with a peer that stays up
+CALL_TIMEOUT_S = 2.0  # timeout of one call to a peer
+UNREACHABLE_AFTER_S = 1.5  # copies on a machine that is down for longer are not counted
+SCAN_INTERVAL_S = 0.25  # interval of scans for messages with too few copies
+NEVER = -1e9  # event loop time that precedes all others
 
 Item = TypeVar("Item")
 
 
 @dataclass(frozen=True, slots=True)
 class _PlannedCopy:
-    """A record, and the replicas that it has once the copy is there."""
+    """A record to copy, and its replicas once the copy is stored."""
 
     record: Record
     replicas: tuple[str, ...]
 
 
 class Repair:
-    """Compares copies with the other stores, and replicates what has too few of them.
+    """Compares copies with other stores, and makes more copies of messages that have too few.
 
-    `repaired_at` has the loop's time at which the last comparison with a store began that was finished.
+    `repaired_at` maps a store to the loop time at which the last completed comparison with it began.
     """
 
     def __init__(self, local_store: LocalStore, tasks: Tasks, cluster: ClusterView) -> None:
@@ -58,10 +58,10 @@
         self._re_replicating = False
         self._scanned_at = 0.0
 
-    # Comparing.
+    # Comparison with a peer.
 
     def start_due(self, now: float) -> None:
-        """Compare with those that came up since the last time, and with all now and then."""
+        """Start comparisons with peers that came up since the last one, and with each at an interval."""
         for name, peer in self._cluster.stores().items():
             if not peer.up or name in self._repairing:
                 continue
@@ -70,24 +70,24 @@
                 self._tasks.spawn(self.repair_peer(peer))
 
     async def repair_peer(self, peer: Peer) -> None:
-        """Compare with another store, and make both alike where they differ."""
+        """Compare with another store, and exchange records until both have the newer copies."""
         if peer.name in self._repairing:
             return
         self._repairing.add(peer.name)
-        began = asyncio.get_running_loop().time()
+        began_at = asyncio.get_running_loop().time()
         try:
-            taken, given = await self._exchange(peer)
-            await self._local_store.durable()  # what the disk does not take stays pending in memory
-            if taken or given:
-                log_event(Event.REPAIRED, peer.name, taken=taken, given=given)
-            self.repaired_at[peer.name] = began
+            received, sent = await self._exchange(peer)
+            await self._local_store.durable()  # writes that fail stay pending in memory
+            if received or sent:
+                log_event(Event.REPAIRED, peer.name, taken=received, given=sent)
+            self.repaired_at[peer.name] = began_at
         except CallFailedError:
             pass
         finally:
             self._repairing.discard(peer.name)
 
     async def _exchange(self, peer: Peer) -> tuple[int, int]:
-        """How many records outweighed ours, and how many of ours outweighed the peer's."""
+        """Exchange newer copies; return how many of the peer's and how many of ours were newer."""
         index = self._local_store.index
         digests = RangeDigests(tuple(index.digests(peer.name)))
         reply = await peer.call(RpcMethod.DIGEST_RANGES, digests.to_wire(), CALL_TIMEOUT_S)
@@ -97,7 +97,7 @@
             request = MessageIds(tuple(ids))
             reply = await peer.call(RpcMethod.RECORDS, request.to_wire(), CALL_TIMEOUT_S)
             self._absorb(RecordBatch.from_wire(reply))
-        if self._cluster.disk_writes(peer.name):  # else it rejects them, and compares once its disk is back
+        if self._cluster.disk_writes(peer.name):  # else it rejects them, and compares once it has recovered
             await self.send(peer, newer_here)
         return len(newer_there), len(newer_here)
 
@@ -106,7 +106,7 @@
             self._local_store.absorb(copy)
 
     async def send(self, peer: Peer, records: list[Record]) -> None:
-        """Send records; CallFailedError if that store does not have them on its disk now."""
+        """Send records. Raises CallFailedError if the peer does not confirm that they are on its disk."""
         batch, size = list[WireRecord](), 0
         for record in records:
             batch.append(self._local_store.to_wire(record))
@@ -122,41 +122,46 @@
         batch = RecordBatch(records)
         reply = await peer.call(RpcMethod.REPAIR, batch.to_wire(), CALL_TIMEOUT_S)
         if not DurableReply.from_wire(reply).durable:
-            raise CallFailedError(RpcMethod.REPAIR, peer.name, "its disk does not take them", True)
+            raise CallFailedError(
+                RpcMethod.REPAIR,
+                peer.name,
+                f"got durable=False for {len(records)} records, expected True",
+                True,
+            )
 
-    # Requests of other stores.
+    # Requests from other stores.
 
     def compare_digests(self, node: str, theirs: RangeDigests) -> RangeDifferences:
-        """DIGEST_RANGES: where our digests differ from another store's, and what we know there."""
+        """Handle DIGEST_RANGES: return the ranges that differ, with summaries of our records in them."""
         return self._local_store.index.differences(node, theirs.digests)
 
     def records(self, request: MessageIds) -> RecordBatch:
-        """RECORDS: those of the records that are here."""
+        """Handle RECORDS: return those of the requested records that this store has."""
         records = self._local_store.index.records
         found = (records.get(id) for id in request.ids)
         return RecordBatch([self._local_store.to_wire(record) for record in found if record is not None])
 
     async def receive(self, batch: RecordBatch) -> DurableReply:
-        """REPAIR: another store sends what we lack; whether it is on our disk now."""
+        """Handle REPAIR: merge the records that another store sends; reply whether they are on disk."""
         if not self._local_store.writable:
             return DurableReply(False)
         self._absorb(batch)
         return DurableReply(await self._local_store.durable())
 
-    # Replicating what has too few copies.
+    # Copying messages with too few copies.
 
     def _reachable(self, now: float) -> set[str]:
-        """Machines whose copies are counted."""
+        """Return the machines whose copies are counted."""
         stores = self._cluster.stores()
-        there = {
+        recently_up = {
             n
             for n, p in stores.items()
             if p.up or now - max(p.last_up_at, p.created_at) < UNREACHABLE_AFTER_S
         }
-        return ({self._local_store.me} | there) - self._cluster.leaving_stores()
+        return ({self._local_store.me} | recently_up) - self._cluster.leaving_stores()
 
     def re_replicate_if_due(self, now: float) -> None:
-        """What we own and too few reachable machines have gets another copy."""
+        """Start copying the owned messages that too few reachable machines have, if a scan is due."""
         if self._re_replicating or now - self._scanned_at < SCAN_INTERVAL_S:
             return
         self._scanned_at = now
@@ -165,10 +170,10 @@
             return
         records = self._local_store.index.records.values()
         owned = (r for r in records if r.open and r.owner == me)
-        lacking = [r for r in owned if not self._cluster.satisfies_quorum(reachable & set(r.replicas))]
-        if lacking:
+        under_quorum = [r for r in owned if not self._cluster.satisfies_quorum(reachable & set(r.replicas))]
+        if under_quorum:
             self._re_replicating = True
-            self._tasks.spawn(self._re_replicate(lacking, reachable))
+            self._tasks.spawn(self._re_replicate(under_quorum, reachable))
 
     async def _re_replicate(self, records: list[Record], reachable: set[str]) -> None:
         try:
@@ -179,11 +184,11 @@
             self._re_replicating = False
 
     async def add_copies(self, records: list[Record], counted: set[str]) -> int:
-        """Copy each of these until enough of the counted machines have it; how many copies were made."""
+        """Copy records until enough of the counted machines have each; return the number of copies made."""
         peers = {peer.name: peer for peer in self._cluster.writable_stores()}
-        done = 0
-        for name, theirs in self._plan_copies(records, counted, peers).items():
-            for part in split(theirs, MAX_COPIED_RECORDS):
+        copied = 0
+        for name, assigned in self._plan_copies(records, counted, peers).items():
+            for part in split(assigned, MAX_COPIED_RECORDS):
                 planned = [_PlannedCopy(record, (*record.replicas, name)) for record in part]
                 try:
                     await self._send_batch(peers[name], [self._planned_to_wire(copy) for copy in planned])
@@ -191,13 +196,13 @@
                     break
                 for copy in planned:
                     self._local_store.set_replica_holders(copy.record, copy.replicas)
-                done += len(part)
-        return done
+                copied += len(part)
+        return copied
 
     def _plan_copies(
         self, records: list[Record], counted: set[str], peers: dict[str, Peer]
     ) -> dict[str, list[Record]]:
-        """Which records are to be copied to which of these stores."""
+        """Return the records to copy, by the store that is to receive them."""
         by_peer: dict[str, list[Record]] = {}
         for record in records:
             have = counted & set(record.replicas)
@@ -214,7 +219,7 @@
         return self._local_store.to_wire(copy.record) | {"keepers": list(copy.replicas)}
 
     def under_replicated(self, counted: set[str]) -> list[Record]:
-        """Our records of which too few of the counted machines have a copy."""
+        """Return the records here of which too few of the counted machines have a copy."""
         return [
             record
             for record in self._local_store.index.records.values()
@@ -224,5 +229,5 @@
 
 
 def split(items: list[Item], size: int) -> Iterator[list[Item]]:
-    """A list in pieces of at most this size."""
+    """Yield a list in parts of at most this size."""
     return (items[start : start + size] for start in range(0, len(items), size))
--- a/emberlatch/cluster/message_store/replication.py
+++ b/emberlatch/cluster/message_store/replication.py
@@ -1,4 +1,4 @@
-"""Copies of a message on other stores, made before its client has an answer."""
+"""Replication of a message to other stores before its client is answered."""
 
 from __future__ import annotations
 
@@ -11,41 +11,41 @@
 from emberlatch.cluster.message_store.record import MessageState, Record
 from emberlatch.cluster.rpc import CallFailedError, Peer, RpcMethod
 
-REPLICATE_TIMEOUT_S = 0.25  # for another store to have a copy on its disk
-HEDGE_DELAY_S = 0.035  # after which one more store is asked as well
-ACCEPT_TIMEOUT_S = 0.42  # in which a message is durable, or is not accepted
+REPLICATE_TIMEOUT_S = 0.25  # timeout for another store to write a copy to its disk
+HEDGE_DELAY_S = 0.035  # delay after which one more store is asked as well
+ACCEPT_TIMEOUT_S = 0.42  # time limit for a message to be durable on enough stores; else it is not accepted
 
 
 @dataclass(slots=True)
 class ReplicationOutcome:
-    """The stores that have a copy on their disks, and those that have one or may come to have one."""
+    """The stores with a copy on disk, and the stores that have or may still receive one."""
 
     durable: set[str] = field(default_factory=set)
     possible: set[str] = field(default_factory=set)
 
 
 class Replication:
-    """Asks other stores for copies, and keeps the copies that others ask for."""
+    """Sends copies to other stores, and stores the copies that they send."""
 
     def __init__(self, local_store: LocalStore, cluster: ClusterView) -> None:
         self._local_store, self._cluster = local_store, cluster
 
     def _next_candidate(self, have: set[str]) -> Peer | None:
-        """Another store for a copy beside these."""
+        """Return the best store for one more copy besides the stores in `have`; None if there is none."""
         return next(self._cluster.replica_candidates({self._local_store.me, *have}), None)
 
-    def _satisfied(self, *nodes: str) -> bool:
-        """Whether copies on these stores and on our own disk are enough."""
+    def _satisfies_quorum_with(self, *nodes: str) -> bool:
+        """Return whether copies on these stores and on this one satisfy the quorum."""
         return self._cluster.satisfies_quorum([self._local_store.me, *nodes])
 
     def choose_replicas(self) -> list[Peer]:
-        """The stores that are to have copies.
+        """Choose the stores that are to receive copies.
 
-        All are known before the first is written, so that each copy names the others, and copies that are
-        compared with each other are alike from the start.
+        All are chosen before the first copy is written: each copy names the other stores, so that copies are
+        equal from the start when they are compared.
         """
         chosen: dict[str, Peer] = {}
-        while not self._satisfied(*chosen):
+        while not self._satisfies_quorum_with(*chosen):
             peer = self._next_candidate(set(chosen))
             if peer is None:
                 break
@@ -53,16 +53,16 @@
         return list(chosen.values())
 
     async def replicate_until_quorum(self, record: Record, chosen: list[Peer]) -> ReplicationOutcome:
-        """Ask other stores for copies until enough are durable.
+        """Send copies to other stores until enough are durable or the time limit is reached.
 
-        Nobody waits for a slow store alone: after `HEDGE_DELAY_S` one more is asked as well.
+        If no store replies within `HEDGE_DELAY_S`, one more is asked in parallel.
         """
         loop = asyncio.get_running_loop()
         deadline, outcome, rejected = loop.time() + ACCEPT_TIMEOUT_S, ReplicationOutcome(), set[str]()
         in_flight: dict[asyncio.Task[ReplicateReply], str] = {}
-        hedge = False  # whether those that were asked take long
-        while not self._satisfied(*outcome.durable) and loop.time() < deadline:
-            if hedge or not self._satisfied(*outcome.durable, *in_flight.values()):
+        hedge = False  # whether no store replied within `HEDGE_DELAY_S`
+        while not self._satisfies_quorum_with(*outcome.durable) and loop.time() < deadline:
+            if hedge or not self._satisfies_quorum_with(*outcome.durable, *in_flight.values()):
                 peer = chosen.pop(0) if chosen else self._next_candidate(outcome.possible | rejected)
                 if peer is not None:
                     hedge = False
@@ -72,8 +72,8 @@
             if not in_flight:
                 break
             is_last = self._next_candidate(outcome.possible | rejected) is None
-            left_s = deadline - loop.time()
-            timeout = left_s if is_last else min(HEDGE_DELAY_S, left_s)
+            remaining_s = deadline - loop.time()
+            timeout = remaining_s if is_last else min(HEDGE_DELAY_S, remaining_s)
             done, _ = await asyncio.wait(in_flight, timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
             hedge = not done
             for task in done:
@@ -86,7 +86,7 @@
         return asyncio.get_running_loop().create_task(self._replicate_to(peer, record))
 
     async def _replicate_to(self, peer: Peer, record: Record) -> ReplicateReply:
-        """Ask one store for a copy."""
+        """Send a copy to one store."""
         copy = self._local_store.to_wire(record)
         try:
             reply = await peer.call(RpcMethod.REPLICATE, copy, REPLICATE_TIMEOUT_S)
@@ -95,7 +95,7 @@
         return ReplicateReply.from_wire(reply)
 
     async def replicate(self, copy: Record) -> ReplicateReply:
-        """REPLICATE: another store sends a copy; whether it is on our disk now, as it was sent."""
+        """Handle REPLICATE: merge a copy that another store sends; reply whether it is on disk."""
         local_store = self._local_store
         if local_store.phase in (Phase.CLOSING, Phase.RETIRING) or not local_store.commits_promptly():
             return ReplicateReply.REJECTED
--- a/emberlatch/cluster/message_store/replicator.py
+++ b/emberlatch/cluster/message_store/replicator.py
@@ -1,7 +1,7 @@
-"""The message store of one process: messages on this machine's disk, and a copy of each on others'.
+"""The message store of one process: messages on this machine's disk, with copies on other machines.
 
-Who accepts a message owns it from the same write on and delivers it; the other replicas only store it. How
-another store comes to own it: `ownership`.
+The store that accepts a message owns it from the first write on and delivers it; the other replicas only
+store it. How ownership passes to another store is described in `ownership`.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 from emberlatch.cluster.message_store.state_commits import StateCommits
 from emberlatch.engine import Tasks
 
-MAX_DISK_FILL_RATIO = 0.8  # share of the disk that records may fill
-MAX_MEMORY_FILL_RATIO = 0.35  # share of the memory that queued bodies may fill
-MAINTENANCE_INTERVAL_S = 0.1
+MAX_DISK_FILL_RATIO = 0.8  # share of the disk limit that records may fill
+MAX_MEMORY_FILL_RATIO = 0.35  # share of the memory limit that bodies of messages may fill
+MAINTENANCE_INTERVAL_S = 0.1  # pause between two rounds of maintenance
 
 
 @dataclass(frozen=True, slots=True)
 class StoreLimits:
-    """What this process may use; `disk_bytes` of 0.0 is no limit.
+    """Resource limits of this process; a `disk_bytes` of 0.0 means no limit.
 
-    `retain_status_s`: for how many seconds the state of a message is kept after its end.
+    `retain_status_s` is the time in seconds for which the state of a message is kept after its end.
     """
 
     memory_bytes: float
@@ -40,9 +40,9 @@
 
 
 class Replicator:
-    """Wires the parts of the message store, and runs its maintenance.
+    """Constructs the parts of the message store, and runs its maintenance.
 
-    `cluster` shows the other stores; `listener` hears of each change of the phase and of the disk's state.
+    `cluster` gives access to the other stores; `listener` is notified of changes of the phase or disk state.
     """
 
     def __init__(
@@ -71,36 +71,36 @@
 
     @property
     def phase(self) -> Phase:
-        """What the store does now."""
+        """The current phase of the store."""
         return self.local_store.phase
 
     def enter_phase(self, phase: Phase) -> None:
-        """Change the phase; `Phase.CLOSING` is the last one."""
+        """Change the phase; `Phase.CLOSING` cannot be left again."""
         if self.local_store.enter_phase(phase):
             self._listener.notify()
 
     async def start(self, first: bool) -> None:
-        """See `Startup.run`; serves once it returns."""
+        """Run `Startup.run`, then enter the phase `SERVING`."""
         await self._startup.run(first)
         self.enter_phase(Phase.SERVING)
 
     @property
     def busy(self) -> bool:
-        """Whether a message is being accepted."""
+        """Whether any message is being accepted."""
         return self.accepting.busy
 
     def may_send(self) -> bool:
-        """Whether deliveries may begin: nobody else owns what we own, and their outcomes can be written."""
+        """Return whether deliveries may start: outcomes can be written, and no other store has taken over."""
         return self.local_store.writable and self.ownership.may_deliver()
 
     async def flush(self, timeout_s: float) -> bool:
-        """Whether all that was written by now is on disk within this time."""
+        """Wait up to `timeout_s`; return whether all writes made before the call are on disk."""
         durable = self.local_store.durable()
         await asyncio.wait({durable}, timeout=timeout_s)
         return durable.done() and durable.result()
 
     async def run_maintenance(self) -> None:
-        """Take over, compare, replicate and sweep now and then, for ever."""
+        """Take over, compare, copy and sweep at their intervals until the task is cancelled."""
         loop = asyncio.get_running_loop()
         swept_at = loop.time()
         while True:
--- a/emberlatch/cluster/message_store/request_handlers.py
+++ b/emberlatch/cluster/message_store/request_handlers.py
@@ -1,4 +1,4 @@
-"""The message store's methods, as other processes call them: payloads are decoded, replies encoded."""
+"""Handlers of the message store's calls: they decode payloads and encode replies."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from emberlatch.cluster.rpc import RpcConnection, RpcMethod
 
 Handler = Callable[[RpcConnection, object], object]
-"""Takes the connection and the payload; returns the payload of the reply, or a coroutine that brings it."""
+"""Takes the connection and the payload; returns the reply's payload, or a coroutine that returns it."""
 
 
 class MessageStoreHandlers:
-    """Serves the calls to one message store. A payload that can't be decoded raises MessageDecodeError."""
+    """Serves the calls to one message store. Handlers raise MessageDecodeError for an invalid payload."""
 
     def __init__(self, replicator: Replicator) -> None:
         self._accepting, self._replication = replicator.accepting, replicator.replication
@@ -32,7 +32,7 @@
         self._ownership, self._repair = replicator.ownership, replicator.repair
 
     def table(self) -> dict[str, Handler]:
-        """The handler of each method."""
+        """Return the handler of each method."""
         return {
             RpcMethod.ACCEPT: self._accept,
             RpcMethod.PROBE: self._probe,
--- a/emberlatch/cluster/message_store/retention.py
+++ b/emberlatch/cluster/message_store/retention.py
@@ -1,4 +1,4 @@
-"""Dead-letters messages whose retention is over, deletes ended records, watches how full the disk is."""
+"""Dead-letters messages after their retention time, deletes ended records, checks disk usage."""
 
 from __future__ import annotations
 
@@ -9,48 +9,50 @@
 from emberlatch.cluster.message_store.state_commits import StateCommits
 from emberlatch.cluster.message_store.undeliverable import UndeliverableReason, log_undeliverable
 
-RETENTION_SLACK_S = 0.5  # past its retention a message is dead-lettered, whatever clock says so
-STATUS_SLACK_S = 5.0  # for which an ended record is kept beyond the time that the settings name
-SWEEP_INTERVAL_S = 1.0
+RETENTION_SLACK_S = (
+    0.5  # delay of dead-lettering after the retention time, whichever store's clock counted it
+)
+STATUS_SLACK_S = 5.0  # time for which an ended record is kept in addition to the configured time
+SWEEP_INTERVAL_S = 1.0  # interval of sweeps over all records
 
 
 class DiskUsage:
-    """Whether the records fill their share of the disk: `max_bytes`, or 0.0 for no limit."""
+    """Tracks whether the records use more than `max_bytes` of the disk; 0.0 means no limit."""
 
     def __init__(self, database: RecordDatabase, max_bytes: float) -> None:
         self._database, self._max_bytes = database, max_bytes
         self.full = False
 
     async def check(self) -> None:
-        """Look how much of the disk is used."""
+        """Check how many bytes are used, and log when the limit is exceeded."""
         if self._max_bytes <= 0:
             return
         try:
             full = await self._database.used_bytes() > self._max_bytes
         except OSError:
-            return  # the state of the disk shows it
+            return  # `DiskHealth` reports faults of the disk
         if full and not self.full:
             log_event(Event.DISK_FULL)
         self.full = full
 
 
 class Retention:
-    """Dead-letters and deletes records by time; one is kept for `retain_status_s` seconds after its end."""
+    """Dead-letters and deletes expired records; ended ones are kept for `retain_status_s` seconds."""
 
     def __init__(self, local_store: LocalStore, state_commits: StateCommits, retain_status_s: float) -> None:
         self._local_store, self._state_commits = local_store, state_commits
         self._retain_status_s = retain_status_s
 
     def sweep(self, now: float) -> None:
-        """Look at all records."""
+        """Dead-letter or delete each expired record."""
         for record in list(self._local_store.index.records.values()):
             self._sweep_record(record, now)
         self._local_store.database.schedule_commit()
 
     def _sweep_record(self, record: Record, now: float) -> None:
         local_store = self._local_store
-        mine = record.open and record.owner == local_store.me and local_store.delivers
-        if mine and now > record.expires_at + RETENTION_SLACK_S:
+        deliverable = record.open and record.owner == local_store.me and local_store.delivers
+        if deliverable and now > record.expires_at + RETENTION_SLACK_S:
             if local_store.delivery.withdraw(record):
                 log_undeliverable(record, UndeliverableReason.RETENTION_EXPIRED)
                 self._state_commits.finish(record, MessageState.DEAD_LETTERED)
--- a/emberlatch/cluster/message_store/startup.py
+++ b/emberlatch/cluster/message_store/startup.py
@@ -1,4 +1,4 @@
-"""The start of a store: it reads its disk, and compares with the others until it knows what it owns."""
+"""Startup of a store: it reads its disk, and compares with other stores until it knows what it owns."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from emberlatch.cluster.message_store.repair import Repair
 from emberlatch.cluster.rpc import PeerState
 
-STARTUP_PEER_TIMEOUT_S = 1.5  # after which a start goes on without those that do not answer
-STARTUP_TICK_S = 0.02
+STARTUP_PEER_TIMEOUT_S = 1.5  # time after which the startup continues without stores that do not answer
+STARTUP_TICK_S = 0.02  # interval of checks whether the startup is complete
 
 
 class Startup:
-    """Brings the local store to the point from which on it may serve."""
+    """Prepares the local store so that it may serve."""
 
     def __init__(
         self,
@@ -34,20 +34,20 @@
     async def run(self, first: bool) -> None:
         """Return once this process knows what it owns.
 
-        `first`: nothing was ever accepted anywhere. An empty disk at any other start is a loss.
+        `first` says that no store has accepted a message yet. At any other start an empty disk was lost.
         """
         loop = asyncio.get_running_loop()
         lost = await self._read_disk(first)
-        began = loop.time()
-        # Polled: the ticks have to come often anyway, or this process counts as one that stood still.
-        while not first and not self._compared_with_enough(loop.time() - began, lost):
+        began_at = loop.time()
+        # Polling, as `Ownership.tick` must be called often: a gap would count as a suspension of the process.
+        while not first and not self._compared_with_enough(loop.time() - began_at, lost):
             self._ownership.tick(loop.time())
             self._disk_watch.tick(loop.time())
             self._repair.start_due(loop.time())
             await asyncio.sleep(STARTUP_TICK_S)
 
     async def _read_disk(self, first: bool) -> bool:
-        """Whether the disk was lost."""
+        """Read the records from disk; return whether the disk was lost."""
         records, empty = await self._disk_watch.read_records()
         lost = empty and not first
         for record in records:
@@ -60,13 +60,14 @@
         return lost
 
     def _compared_with_enough(self, waited_s: float, lost: bool) -> bool:
-        """Whether enough of the others were compared with to act.
+        """Return whether enough other stores were compared with for this store to serve.
 
-        Those whose port refuses own nothing now. A lost disk wants all that answer, and at least one.
+        Stores whose port refuses connections own nothing now, and are not waited for. After the loss of the
+        disk, all stores that answer must have been compared with, and at least one.
         """
         others, repaired_at = self._cluster.counted_stores(), self._repair.repaired_at
         compared = [node for node in others if node in repaired_at]
-        unheard = [
+        pending = [
             node
             for node, peer in others.items()
             if node not in repaired_at and peer.state is not PeerState.REFUSED
@@ -74,6 +75,6 @@
         if lost and not compared:
             return False
         waited_enough = waited_s > STARTUP_PEER_TIMEOUT_S
-        if not unheard and (compared or not others or waited_enough):
+        if not pending and (compared or not others or waited_enough):
             return True
         return waited_enough and 2 * (1 + len(compared)) > 1 + len(others)
--- a/emberlatch/cluster/message_store/state_commits.py
+++ b/emberlatch/cluster/message_store/state_commits.py
@@ -1,4 +1,4 @@
-"""How messages ended: outcomes of our deliveries, those that other stores report, and what a client asks."""
+"""Commits outcomes of own deliveries and of other stores' reports, and answers queries for messages."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 
 
 class StateCommits:
-    """Commits the states of messages, and reports them."""
+    """Commits the states of messages, and answers queries for them."""
 
     def __init__(self, local_store: LocalStore, cluster: ClusterView) -> None:
         self._local_store, self._cluster = local_store, cluster
 
     def finish(self, record: Record, state: MessageState, seal: str = "") -> None:
-        """The delivery of a message that we own has ended it: commit that, and notify its replicas."""
+        """Commit the end of a message that this process owns, and notify its replicas."""
         self._local_store.merge(record, state, seal, record.epoch, record.owner, record.attempts)
         payload = CommitStateRequest((self._local_store.state_report(record),)).to_wire()
         stores = self._cluster.stores()
         for node in {*record.replicas, record.owner}:
             peer = stores.get(node)
-            if peer is not None:  # who misses the notice learns of it when copies are compared
+            if peer is not None:  # a store that misses the notice gets the state when copies are compared
                 peer.notify(RpcMethod.COMMIT_STATE, payload)
 
     async def commit_states(self, request: CommitStateRequest) -> DurableReply:
-        """COMMIT_STATE: another store reports how messages ended, or who owns them; whether it is durable.
+        """Handle COMMIT_STATE: merge another store's reports; reply whether they are durable.
 
-        A cancellation that comes before its copy leaves a tombstone, so that the copy can't bring it back.
+        A cancellation that arrives before its copy leaves a tombstone, so that the copy does not run later.
         """
         for report in request.reports:
             self._merge(report)
@@ -50,10 +50,10 @@
             self._local_store.merge_report(record, report)
 
     def message_state(self, query: MessageQuery) -> MessageStatus | None:
-        """MESSAGE_STATE: state and seal; None if it is not known here.
+        """Handle MESSAGE_STATE: return state and seal of a message; None if it is unknown or cancelled.
 
-        CallFailedError while this store is starting and does not know the message: it may be on a disk that
-        is not read yet, or have been on one that was lost and is being repaired.
+        Raises CallFailedError while this store is starting and does not have the message: its record may be
+        on the disk that has not been read yet, or may have been lost and not yet been copied back.
         """
         record = self._local_store.index.records.get(query.id)
         if record is None:
@@ -63,9 +63,10 @@
         return MessageStatus(STATE_NAMES[record.state], record.seal)
 
     async def message_body(self, query: MessageQuery) -> MessageBody:
-        """MESSAGE_BODY: the body of a queued or dead message; CallFailedError if it can't be read.
+        """Handle MESSAGE_BODY: return the body of a queued or dead-lettered message.
 
-        CallFailedError, too, while this store is starting and does not know the message.
+        Raises CallFailedError if the body can't be read, and while this store is starting and does not have
+        the message.
         """
         record = self._local_store.index.records.get(query.id)
         if record is None:
@@ -81,6 +82,6 @@
             raise CallFailedError(RpcMethod.MESSAGE_BODY, me, str(error), True) from error
 
     def _require_started(self, method: RpcMethod) -> None:
-        """Raise CallFailedError while this store is starting: it can't say that it lacks a message."""
+        """Raise CallFailedError while this store is starting: it may not have loaded a message yet."""
         if self._local_store.phase is Phase.STARTING:
             raise CallFailedError(method, self._local_store.me, "the store is starting", True)
--- a/emberlatch/cluster/message_store/undeliverable.py
+++ b/emberlatch/cluster/message_store/undeliverable.py
@@ -1,4 +1,4 @@
-"""The reasons for which messages are dead-lettered, as log event 601 names them."""
+"""The reasons why messages are dead-lettered, as logged by event 601."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class UndeliverableReason(StrEnum):
-    """The reasons, by the texts that are logged and that operators search for.
+    """Reasons; the values are the logged texts, which operators search for.
 
-    Records do not keep them. docs/system/operators.md explains each, with its code.
+    Records do not contain the reason. docs/system/operators.md explains each one, with its code.
     """
 
-    REJECTED_PERMANENTLY = "422"  # the target's answer: no retry can succeed
-    ATTEMPTS_EXHAUSTED = "attempts"  # logged with how many attempts were answered with 500
+    REJECTED_PERMANENTLY = "422"  # status code of the target's response: no retry can succeed
+    ATTEMPTS_EXHAUSTED = "attempts"  # logged with the number of attempts that were answered with 500
     ROUTE_REMOVED = "its route is gone"
     RETENTION_EXPIRED = "retention"
 
 
 def log_undeliverable(record: Record, reason: UndeliverableReason) -> None:
-    """Log that this process, the owner of the message, gives it up."""
+    """Log that this process, the owner of the message, dead-letters it."""
     exhausted = reason is UndeliverableReason.ATTEMPTS_EXHAUSTED
     log_event(Event.DEAD_LETTERED, record.id, f"{reason}={record.attempts}" if exhausted else str(reason))
