--- a/emberlatch/cluster/message_store/accepting.py
+++ b/emberlatch/cluster/message_store/accepting.py
@@ -76,7 +76,7 @@
         return "" if local_store.commits_promptly() else "its disk can't be written now"
 
     def _satisfies_promptly(self, replicas: list[Peer]) -> bool:
-        """Return whether copies here and on those of the replicas that are not slow satisfy the quorum."""
+        """Return whether copies here and on the replicas that are not slow satisfy the quorum."""
         prompt = (peer.name for peer in replicas if not peer.slow)
         return self._cluster.satisfies_quorum([self._local_store.me, *prompt])
 
--- a/emberlatch/cluster/message_store/database.py
+++ b/emberlatch/cluster/message_store/database.py
@@ -146,7 +146,7 @@
         self._old_log_emptied = True
 
     def _roll_back(self) -> None:
-        """Roll back a failed transaction. If that fails, close the connection; the next commit reopens it."""
+        """Roll back a failed transaction. If that fails, close the file; the next commit opens it again."""
         if self._db is None or not self._db.in_transaction:
             return
         try:
--- a/emberlatch/cluster/message_store/local_store.py
+++ b/emberlatch/cluster/message_store/local_store.py
@@ -32,7 +32,7 @@
         self, me: str, index: RecordIndex, database: RecordDatabase, delivery: DeliveryQueue
     ) -> None:
         self.me, self.index, self.database, self.delivery = me, index, database, delivery
-        self.probing: set[str] = set()  # ids of messages that another store may deliver: the probe is running
+        self.probing: set[str] = set()  # ids of messages being accepted, until other stores have been probed
         self.phase = Phase.STARTING
 
     @property
@@ -154,7 +154,7 @@
     # The disk.
 
     def durable(self) -> asyncio.Future[bool]:
-        """Return a future: true once all writes added so far are on disk, false if the commit failed.
+        """Return a future: true once all writes added so far are on disk, false if a commit fails first.
 
         Failed writes are retried later; nobody may be notified of them before they are on disk.
         """
--- a/emberlatch/cluster/message_store/messages.py
+++ b/emberlatch/cluster/message_store/messages.py
@@ -264,7 +264,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageIds:
-    """Request of RECORDS: the wanted ids; reply to ASSUME_OWNERSHIP: the ids that were not taken over."""
+    """Request of RECORDS: the requested ids; reply to ASSUME_OWNERSHIP: the ids that were not taken over."""
 
     ids: tuple[str, ...]
 
--- a/emberlatch/cluster/message_store/ownership.py
+++ b/emberlatch/cluster/message_store/ownership.py
@@ -22,7 +22,7 @@
 REFUSED_PORT_S = 0.25  # a process whose port has refused connections for longer has ended
 MAX_TICK_GAP_S = 0.7  # a longer gap shows that this process was suspended: others may have taken over
 HAND_OVER_TIMEOUT_S = 1.0  # timeout of one ASSUME_OWNERSHIP call
-MAX_HANDED_OVER_RECORDS = 500  # records in one request
+MAX_HANDED_OVER_RECORDS = 500  # maximum number of records in one request
 
 
 class Ownership:
@@ -53,7 +53,7 @@
         return any(p.up and repaired_at.get(n, NEVER) < stalled_at for n, p in stores.items())
 
     def tick(self, now: float) -> None:
-        """Note the time. Must be called often: a gap shows that this process was suspended."""
+        """Record the time of a tick. Must be called often: a gap shows that this process was suspended."""
         if now - self._ticked_at > MAX_TICK_GAP_S:
             self._stalled_at = now
             self._repair.repaired_at.clear()
--- a/emberlatch/cluster/message_store/record.py
+++ b/emberlatch/cluster/message_store/record.py
@@ -31,10 +31,10 @@
 
 
 def rank(state: int, epoch: int, owner: str) -> Rank:
-    """Return the order of a copy: the highest is kept when copies are merged.
+    """Return the rank of a copy: merging keeps the state of the copy with the highest rank.
 
-    The end decides first (completed above dead-lettered above none), then the epoch, then within an epoch a
-    cancellation above a queued copy, then the owner's name.
+    Ranks compare by the end first (completed above dead-lettered above neither), then by epoch; within an
+    epoch a cancellation ranks above a queued copy, and equal states rank by the owner's name.
     """
     ended = max(0, state - MessageState.CANCELLED)
     return ended, epoch, int(state == MessageState.CANCELLED), owner
--- a/emberlatch/cluster/message_store/repair.py
+++ b/emberlatch/cluster/message_store/repair.py
@@ -24,10 +24,10 @@
 from emberlatch.cluster.rpc import CallFailedError, Peer, RpcMethod
 from emberlatch.engine import Tasks
 
-MAX_BATCH_BYTES = 256 * 1024  # size of the records in one frame
+MAX_BATCH_BYTES = 256 * 1024  # a batch is sent once its records exceed this size
 RECORD_OVERHEAD_BYTES = 300  # estimated size of a record in a frame without its body
-MAX_REQUESTED_RECORDS = 200  # ids in one RECORDS request
-MAX_COPIED_RECORDS = 100  # records in one batch of additional copies
+MAX_REQUESTED_RECORDS = 200  # maximum number of ids in one RECORDS request
+MAX_COPIED_RECORDS = 100  # maximum number of records in one batch of additional copies
 COMPARE_INTERVAL_S = 5.0  # interval of comparisons with a peer that stays up
 CALL_TIMEOUT_S = 2.0  # timeout of one call to a peer
 UNREACHABLE_AFTER_S = 1.5  # copies on a machine that is down for longer are not counted
--- a/emberlatch/cluster/message_store/replicator.py
+++ b/emberlatch/cluster/message_store/replicator.py
@@ -64,7 +64,7 @@
         self._disk_usage = DiskUsage(local_store.database, limits.disk_bytes * MAX_DISK_FILL_RATIO)
         self._retention = Retention(local_store, self.state_commits, limits.retain_status_s)
         self._startup = Startup(local_store, cluster, self.repair, self.ownership, self.disk_watch)
-        self.accepting = AcceptService(
+        self.accept_service = AcceptService(
             local_store, cluster, self.replication, self.cancellation, self.ownership, self._disk_usage,
             limits.memory_bytes * MAX_MEMORY_FILL_RATIO,
         )  # fmt: skip
@@ -87,7 +87,7 @@
     @property
     def busy(self) -> bool:
         """Whether any message is being accepted."""
-        return self.accepting.busy
+        return self.accept_service.busy
 
     def may_send(self) -> bool:
         """Return whether deliveries may start: outcomes can be written, and no other store has taken over."""
--- a/emberlatch/cluster/message_store/request_handlers.py
+++ b/emberlatch/cluster/message_store/request_handlers.py
@@ -27,7 +27,7 @@
     """Serves the calls to one message store. Handlers raise MessageDecodeError for an invalid payload."""
 
     def __init__(self, replicator: Replicator) -> None:
-        self._accepting, self._replication = replicator.accepting, replicator.replication
+        self._accept_service, self._replication = replicator.accept_service, replicator.replication
         self._cancellation, self._state_commits = replicator.cancellation, replicator.state_commits
         self._ownership, self._repair = replicator.ownership, replicator.repair
 
@@ -47,7 +47,7 @@
         }
 
     async def _accept(self, _: RpcConnection, payload: object) -> object:
-        return (await self._accepting.accept(AcceptRequest.from_wire(payload))).to_wire()
+        return (await self._accept_service.accept(AcceptRequest.from_wire(payload))).to_wire()
 
     def _probe(self, _: RpcConnection, payload: object) -> object:
         return self._cancellation.probe(StateReport.from_wire(payload)).to_wire()
--- a/emberlatch/cluster/message_store/retention.py
+++ b/emberlatch/cluster/message_store/retention.py
@@ -9,9 +9,7 @@
 from emberlatch.cluster.message_store.state_commits import StateCommits
 from emberlatch.cluster.message_store.undeliverable import UndeliverableReason, log_undeliverable
 
-RETENTION_SLACK_S = (
-    0.5  # delay of dead-lettering after the retention time, whichever store's clock counted it
-)
+RETENTION_SLACK_S = 0.5  # delay of dead-lettering after the retention time, on whichever store's clock
 STATUS_SLACK_S = 5.0  # time for which an ended record is kept in addition to the configured time
 SWEEP_INTERVAL_S = 1.0  # interval of sweeps over all records
 
