--- a/emberlatch/cluster/message_store/record.py
+++ b/emberlatch/cluster/message_store/record.py
@@ -23,7 +23,7 @@
 
     QUEUED = 0
     CANCELLED = 1  # a tombstone: not accepted under this epoch; its client was informed so or got no reply
-    DEAD_LETTERED = 2  # no further attempts; log event 601 names the reason
+    DEAD_LETTERED = 2  # no more attempts; log event 601 names the reason
     COMPLETED = 3
 
 
--- a/emberlatch/cluster/message_store/repair.py
+++ b/emberlatch/cluster/message_store/repair.py
@@ -1,6 +1,6 @@
 """Anti-entropy: compares copies by digests of ranges and replaces older copies by newer ones.
 
-Messages with too few copies on reachable machines are copied to further stores.
+Messages with too few copies on reachable machines are copied to more stores.
 """
 
 from __future__ import annotations
--- a/emberlatch/cluster/message_store/retention.py
+++ b/emberlatch/cluster/message_store/retention.py
@@ -42,7 +42,7 @@
         self._retain_status_s = retain_status_s
 
     def sweep(self, now: float) -> None:
-        """Dead-letter or delete each expired record."""
+        """Delete each expired record, or mark it as dead-lettered."""
         for record in list(self._local_store.index.records.values()):
             self._sweep_record(record, now)
         self._local_store.database.schedule_commit()
--- a/tests/cluster/test_disks.py
+++ b/tests/cluster/test_disks.py
@@ -160,7 +160,7 @@
     assert not play(Plan(1), steps)[1]
 
 
-@test("a transaction that sqlite can't commit is rolled back, and commits completely once there is room")
+@test("a transaction that sqlite can't commit is rolled back, and commits completely once there is space")
 def _() -> None:
     async def run_inline(work: Callable[[], None]) -> None:
         work()
@@ -209,7 +209,7 @@
         second.close()
 
 
-# Whole clusters.
+# Complete clusters.
 
 
 def assert_stores_recovered(cluster: SimulatedCluster, starts: int = 1) -> None:
@@ -255,7 +255,7 @@
     assert_stores_recovered(cluster)
 
 
-@test("a process that restarts on a full disk starts, and serves again once there is room")
+@test("a process that restarts on a full disk starts, and serves again once there is space")
 def _() -> None:
     cluster, breaches = play_faults(
         Fault(1.0, FaultKind.DISK_FULL, "s1", 6.0), Fault(2.5, FaultKind.KILL, "s1", 0.5), duration_s=10.0
@@ -380,7 +380,7 @@
 
 
 @test(
-    "a process first started on a full disk listens but neither votes nor stores, and joins once there is room"
+    "a process first started on a full disk listens but neither votes nor stores, and joins once there is space"
 )
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
