--- a/emberlatch/cluster/message_store/request_handlers.py
+++ b/emberlatch/cluster/message_store/request_handlers.py
@@ -1,4 +1,4 @@
-"""The message store's methods, as other processes call them: payloads are decoded, replies encoded."""
+"""Handlers of the message store's calls: they decode payloads and encode replies."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 from emberlatch.cluster.rpc import RpcConnection, RpcMethod
 
 Handler = Callable[[RpcConnection, object], object]
-"""Takes the connection and the payload; returns the payload of the reply, or a coroutine that brings it."""
+"""Takes the connection and the payload; returns the reply's payload, or a coroutine that returns it."""
 
 
 class MessageStoreHandlers:
-    """Serves the calls to one message store. A payload that can't be decoded raises MessageDecodeError."""
+    """Serves the calls to one message store. Handlers raise MessageDecodeError for an invalid payload."""
 
     def __init__(self, replicator: Replicator) -> None:
-        self._accepting, self._replication = replicator.accepting, replicator.replication
+        self._accept_service, self._replication = replicator.accept_service, replicator.replication
         self._cancellation, self._state_commits = replicator.cancellation, replicator.state_commits
         self._ownership, self._repair = replicator.ownership, replicator.repair
 
     def table(self) -> dict[str, Handler]:
-        """The handler of each method."""
+        """Return the handler of each method."""
         return {
             RpcMethod.ACCEPT: self._accept,
             RpcMethod.PROBE: self._probe,
@@ -47,7 +47,7 @@
         }
 
     async def _accept(self, _: RpcConnection, payload: object) -> object:
-        return (await self._accepting.accept(AcceptRequest.from_wire(payload))).to_wire()
+        return (await self._accept_service.accept(AcceptRequest.from_wire(payload))).to_wire()
 
     def _probe(self, _: RpcConnection, payload: object) -> object:
         return self._cancellation.probe(StateReport.from_wire(payload)).to_wire()
