--- a/emberlatch/cluster/dispatch/decision_inbox.py
+++ b/emberlatch/cluster/dispatch/decision_inbox.py
@@ -1,4 +1,4 @@
-"""Events for the decision module: it decides once for all that come in one turn of the event loop."""
+"""Event queue of the decision module, which decides once per iteration of the event loop."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
         self._scheduled = False
 
     def add(self, event: Event) -> None:
-        """Add an event for the next decision; this alone does not schedule one."""
+        """Add an event for the next decision; does not schedule a decision."""
         self._events.append(event)
 
     def schedule(self) -> None:
-        """Have `decide` called in the next turn of the loop, once however often this is called."""
+        """Schedule one call of `decide` for the next loop iteration; repeated calls have no effect."""
         if not self._scheduled:
             self._scheduled = True
             self._loop.call_soon(self._run)
--- a/emberlatch/cluster/dispatch/delay_queue.py
+++ b/emberlatch/cluster/dispatch/delay_queue.py
@@ -1,4 +1,4 @@
-"""Deliveries that wait for a point of time, and the one timer that wakes the dispatcher."""
+"""Deliveries that are delayed until a given time, and the timer that wakes the dispatcher."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 from emberlatch.cluster.dispatch.delivery import Delivery, DeliveryStage, DeliveryTable
 
-TIMER_TOLERANCE_S = 1e-4  # a timer may fire so much early: clocks are rounded
+TIMER_TOLERANCE_S = 1e-4  # a timer may fire this much early because clocks are rounded
 
 
 class DelayQueue:
-    """A heap of delayed deliveries; `on_wake` is called when one is due, or at a time asked for."""
+    """A heap of delayed deliveries; `on_wake` is called when one is due, or when `wake_at` requests it."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, deliveries: DeliveryTable, on_wake: Callable[[], None]
     ) -> None:
         self._loop, self._deliveries, self._on_wake = loop, deliveries, on_wake
         self._heap: list[tuple[float, int, Delivery]] = []
-        self._pushed = 0  # breaks ties: first come, first served
+        self._pushed = 0  # sequence number: deliveries with the same time stay in the order of insertion
         self._timer: asyncio.TimerHandle | None = None
         self._wakes_at = math.inf
 
@@ -33,22 +33,22 @@
             self.wake_at(at)
 
     def delay_for(self, delivery: Delivery, delay_s: float) -> None:
-        """Make a delivery DELAYED for so many seconds from now."""
+        """Make a delivery DELAYED for `delay_s` seconds from now."""
         self.delay_until(delivery, self._loop.time() + delay_s)
 
     def wake_at(self, at: float) -> None:
-        """Have `on_wake` called at `at` or before, in the loop's time."""
+        """Call `on_wake` no later than `at`, in the loop's time."""
         if at < self._wakes_at:
             if self._timer is not None:
                 self._timer.cancel()
             self._timer, self._wakes_at = self._loop.call_at(at, self._wake), at
 
     def pop_due(self) -> Iterator[Delivery]:
-        """Remove and yield what is due now, the earliest first, and set the timer for the rest."""
+        """Remove and yield the deliveries that are due, the earliest first; set the timer for the others."""
         latest = self._loop.time() + TIMER_TOLERANCE_S
         while self._heap and self._heap[0][0] <= latest:
             delivery = heapq.heappop(self._heap)[2]
-            # It may have been moved on, withdrawn or replaced since.
+            # Skip an outdated entry: the delivery was rescheduled, withdrawn or replaced after the push.
             if (
                 delivery.stage is DeliveryStage.DELAYED
                 and self._deliveries.by_id.get(delivery.record.id) is delivery
--- a/emberlatch/cluster/dispatch/delivery.py
+++ b/emberlatch/cluster/dispatch/delivery.py
@@ -1,7 +1,7 @@
 """The deliveries of this store and their stages.
 
-Life of a delivery: DELAYED -> READY -> QUEUED_IN_POOL -> IN_FLIGHT, and back to DELAYED for each retry. A
-delivery that has ended, or that another store takes over, leaves the table.
+Stages of a delivery: DELAYED -> READY -> QUEUED_IN_POOL -> IN_FLIGHT, and back to DELAYED for each retry. A
+delivery that has ended, or that another store takes over, is removed from the table.
 """
 
 from __future__ import annotations
@@ -14,51 +14,51 @@
 
 
 class DeliveryStage(Enum):
-    """Where a delivery is."""
+    """Stage of a delivery."""
 
-    DELAYED = "delayed"  # until the message is due, or its next retry
+    DELAYED = "delayed"  # waits until the message or its next retry is due
     READY = "ready"  # in the ready queue of its service
-    QUEUED_IN_POOL = "queued in pool"  # the decision module has it, and looks for a target
-    IN_FLIGHT = "in flight"  # a call to a target has begun
+    QUEUED_IN_POOL = "queued in pool"  # in the decision module, which looks for a target
+    IN_FLIGHT = "in flight"  # a call to a target has started
 
 
-IN_POOL = (DeliveryStage.QUEUED_IN_POOL, DeliveryStage.IN_FLIGHT)
+POOL_STAGES = (DeliveryStage.QUEUED_IN_POOL, DeliveryStage.IN_FLIGHT)
 
 
 class Locality(IntEnum):
-    """Where targets are, seen from this store; the value is an index of `PoolSizes`."""
+    """Whether targets are in this store's zone; the value is an index of `PoolSizes`."""
 
-    LOCAL = 0  # in our zone
+    LOCAL = 0  # in this store's zone
     REMOTE = 1
 
 
 PoolSizes = list[int]
-"""How many deliveries of one service the decision module has, by `Locality`."""
+"""Numbers of one service's deliveries in the decision module, by `Locality`."""
 
 
 class Delivery:
-    """A message that this store delivers.
+    """The delivery of one message by this store.
 
     Attributes:
-        record: the message; its `attempts` count what targets answered with a failure.
-        stage: changed by `DeliveryTable.change_stage` only.
-        ref: its name at the decision module, new with each offer; 0 before the first.
-        sends: calls under that name, also those that the rate quota rejected.
-        route: of the configuration by which it became ready.
-        offers: to the decision module that found no lease, since its last attempt.
-        pool_sizes, locality: where it counts while the decision module has it.
-        verdict, seal: what the response to the call in flight says, until its outcome is handled.
+        record: the message; its `attempts` count the attempts that targets reported as failed.
+        stage: current stage; only `DeliveryTable.change_stage` changes it.
+        ref: number of the delivery in the decision module, new with each offer; 0 before the first offer.
+        send_count: number of calls under this `ref`, including those that the rate quota rejected.
+        route: route from the configuration that was active when the delivery became ready.
+        offer_count: number of offers without a lease since the last attempt.
+        pool_sizes, locality: the counters, and the index in them, that count it in the decision module.
+        verdict, seal: verdict on the response to the call in flight, and its seal, until the outcome.
     """
 
     __slots__ = (
         "locality",
-        "offers",
+        "offer_count",
         "pool_sizes",
         "record",
         "ref",
         "route",
         "seal",
-        "sends",
+        "send_count",
         "stage",
         "verdict",
     )
@@ -66,9 +66,9 @@
     def __init__(self, record: Record) -> None:
         self.record = record
         self.stage = DeliveryStage.DELAYED
-        self.ref = self.sends = 0
+        self.ref = self.send_count = 0
         self.route: Route | None = None
-        self.offers = 0
+        self.offer_count = 0
         self.pool_sizes: PoolSizes = [0, 0]
         self.locality = Locality.LOCAL
         self.verdict: Verdict | None = None
@@ -79,9 +79,9 @@
     """All deliveries of this store that have not ended.
 
     Attributes:
-        by_id: by the message's id.
-        by_ref: those that the decision module has, by their name there.
-        draining: true once the process shuts down: nothing new is offered.
+        by_id: deliveries by the message's id.
+        by_ref: deliveries in the decision module, by `ref`.
+        draining: true once the process shuts down; no delivery is offered then.
     """
 
     def __init__(self) -> None:
@@ -91,14 +91,14 @@
         self._last_ref = 0
 
     def assign_ref(self, delivery: Delivery) -> None:
-        """Give a delivery a new name for its next offer to the decision module."""
+        """Assign a new `ref` to a delivery for its next offer to the decision module."""
         self._last_ref += 1
         delivery.ref = self._last_ref
         self.by_ref[delivery.ref] = delivery
 
     def change_stage(self, delivery: Delivery, stage: DeliveryStage) -> None:
-        """Move a delivery to a stage, and count it where it belongs."""
-        was_in_pool, is_in_pool = delivery.stage in IN_POOL, stage in IN_POOL
+        """Set the stage of a delivery, and update the pool size in which it is counted."""
+        was_in_pool, is_in_pool = delivery.stage in POOL_STAGES, stage in POOL_STAGES
         if is_in_pool and not was_in_pool:
             delivery.pool_sizes[delivery.locality] += 1
         elif was_in_pool and not is_in_pool:
@@ -107,5 +107,5 @@
         delivery.stage = stage
 
     def remove(self, delivery: Delivery) -> None:
-        """Forget a delivery that is ours no longer."""
+        """Remove a delivery that has ended, or that this store no longer performs."""
         self.by_id.pop(delivery.record.id, None)
--- a/emberlatch/cluster/dispatch/dispatcher.py
+++ b/emberlatch/cluster/dispatch/dispatcher.py
@@ -1,7 +1,7 @@
 """Connects the deliveries of this store with the decision module and the carrier.
 
-Messages become deliveries here; the decision module picks a target for each that is offered to it; the
-carrier calls the target, and its outcome goes back to the module and to `OutcomeHandler`.
+The dispatcher creates a delivery for each message and offers it to the decision module, which chooses a
+target. The carrier calls that target; the outcome of the call goes to the module and to `OutcomeHandler`.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 from emberlatch.core.rules import Forwarder
 from emberlatch.engine import CallItem, Tasks
 
-NO_ROUTE_RETRY_S = 0.1  # until a message is looked at again whose configuration is not here yet
-RESPONSE_MARGIN_S = 0.15  # after a delivery's guard time, in which its response may come in
-SHUTDOWN_ABANDON_S = 0.8  # before the grace period ends: calls in flight are abandoned then
+CONFIGURATION_RETRY_S = 0.1  # delay of a message whose configuration this store does not have yet
+RESPONSE_MARGIN_S = 0.15  # time after a delivery's guard time in which its response may arrive
+SHUTDOWN_ABANDON_S = 0.8  # time before the end of the grace period at which calls are abandoned
 SHUTDOWN_POLL_S = 0.02
 
 
 class Dispatcher:
-    """Delivers messages from the time that the store owns them until they end or are handed over.
+    """Delivers messages of the store until they reach a final state or are handed over.
 
-    It is created in a running event loop, and all times are that loop's. It is the message store's
-    `DeliveryQueue` and the carrier's `DeliverySource`.
+    It must be created in a running event loop, and all times are that loop's time. It implements the message
+    store's `DeliveryQueue` and the carrier's `DeliverySource`.
     """
 
     def __init__(self, settings: DispatchSettings, tasks: Tasks, owner: DeliveryOwner) -> None:
@@ -67,7 +67,7 @@
     # Called by the store.
 
     def configure(self, config: Configuration) -> None:
-        """Put a configuration in force; deliveries that have not been offered yet get their routes by it."""
+        """Apply a configuration; deliveries that were not offered yet are routed by it."""
         self._config = config
         for update in self._destinations.configure(config.services):
             self._announce(update)
@@ -77,13 +77,13 @@
         self._inbox.schedule()
 
     def update_target(self, target: Target) -> None:
-        """Take the new state of a target."""
+        """Apply the new state of a target."""
         if (update := self._destinations.update_target(target)) is not None:
             self._announce(update)
             self._inbox.schedule()
 
     def deliver(self, record: Record) -> None:
-        """Deliver a message that this store owns once it is due; ignore one that has a delivery already."""
+        """Deliver a message once it is due; ignore one that has a delivery already or has ended."""
         if record.id in self._deliveries.by_id or not record.open:
             return
         delivery = self._deliveries.by_id[record.id] = Delivery(record)
@@ -94,9 +94,10 @@
             self._inbox.schedule()
 
     def withdraw(self, record: Record) -> bool:
-        """Deliver a message no more; return false, and change nothing, while a call of it is in flight.
+        """Stop the delivery of a message, and return true.
 
-        The call of a message that has ended elsewhere is cancelled.
+        If the message is open and its call is in flight, nothing changes and the result is false. If another
+        store has ended the message, its call is cancelled.
         """
         delivery = self._deliveries.by_id.get(record.id)
         if delivery is None:
@@ -118,15 +119,15 @@
         return [delivery.record for delivery in idle]
 
     def schedule_decision(self) -> None:
-        """Decide again, since `DeliveryOwner.may_send` may have changed, which nobody notifies."""
+        """Schedule a decision, as `DeliveryOwner.may_send` may have changed without an event."""
         if self._offering.has_queues and self._deliveries.by_id:
             self._inbox.schedule()
 
     async def close(self, hand_over: Callable[[list[Record]], Awaitable[None]], until: float) -> None:
-        """Offer nothing new, and hand over what has no call in flight, until all is handed over or has ended.
+        """Stop offering deliveries, and hand over those without a call in flight until none remains.
 
-        Calls that are in flight `SHUTDOWN_ABANDON_S` before `until`, the end of the grace period in the
-        loop's time, are abandoned.
+        `until` is the end of the grace period in the loop's time. Calls that are still in flight
+        `SHUTDOWN_ABANDON_S` before it are abandoned.
         """
         self._deliveries.draining = True
         while self._deliveries.by_id:
@@ -139,26 +140,26 @@
     # `DeliverySource`, called by the carrier.
 
     def delivery_request(self, ref: int, target: bytes) -> DeliveryRequest:
-        """Return what a call carries."""
+        """Return the content of a call."""
         delivery = self._deliveries.by_ref[ref]
         assert delivery.route is not None
         guard_s = delivery.route.guard_timer_ms / 1000
         return DeliveryRequest(delivery.record, guard_s, self._destinations.expected_instance(target))
 
     def is_wanted(self, ref: int) -> bool:
-        """Return whether a delivery is still ours to send."""
+        """Return whether this store still has to send a delivery."""
         delivery = self._deliveries.by_ref.get(ref)
         return delivery is not None and self._owner.owns(delivery.record)
 
     def on_verdict(self, ref: int, verdict: Verdict, seal: str) -> None:
-        """Take what a response says; the call's outcome follows."""
+        """Store the verdict on a response; the outcome of the call follows."""
         self._outcomes.on_verdict(ref, verdict, seal)
 
     def on_outcome(self, outcome: api.Outcome) -> None:
-        """Take the outcome of a call."""
+        """Process the outcome of a call."""
         self._outcomes.on_outcome(outcome)
 
-    # The decision module.
+    # Exchange with the decision module.
 
     def _announce(self, update: EndpointUpdate) -> None:
         self._carrier.update(update.entries, update.addresses, is_complete=False)
@@ -170,13 +171,13 @@
         self._inbox.schedule()
 
     def _make_ready(self, delivery: Delivery) -> None:
-        """Queue a delivery that is due for the service that the configuration in force names.
+        """Find the route of a due delivery in the active configuration, and queue it for the route's service.
 
-        A message that has no route any more is dead-lettered.
+        A message whose route was removed is dead-lettered.
         """
         config, record = self._config, delivery.record
         if config is None or config.revision < record.version:
-            self._delayed.delay_for(delivery, NO_ROUTE_RETRY_S)
+            self._delayed.delay_for(delivery, CONFIGURATION_RETRY_S)
             return
         route = config.route(record.host, record.path.partition("?")[0])
         if route is None:
@@ -207,7 +208,7 @@
                 self._carrier.cancel(ref, attempt)
             case api.LogLine(text=text):
                 log_event(Event.DISPATCH_NOTE, text)
-            case _:  # health checks, the directory and other forwarders are not this program's
+            case _:  # this program has no use for actions on health checks, directories and forwarders
                 pass
 
     def _on_module_timer(self) -> None:
@@ -223,14 +224,14 @@
             self._outcomes.forget(delivery)
             return
         service = self._config.by_service.get(delivery.route.service) if self._config is not None else None
-        delivery.sends += 1
+        delivery.send_count += 1
         if not self._quotas.try_spend(service, self._loop.time()):
-            # The module takes this for a call that never ran.
-            self._inbox.add(api.Outcome(ref, delivery.sends - 1, target, api.Result.NOT_EXECUTED, 0.0))
+            # The module treats this as a call that was not executed.
+            self._inbox.add(api.Outcome(ref, delivery.send_count - 1, target, api.Result.NOT_EXECUTED, 0.0))
             self._inbox.schedule()
             return
         self._deliveries.change_stage(delivery, DeliveryStage.IN_FLIGHT)
         timeout_s = delivery.route.guard_timer_ms / 1000 + RESPONSE_MARGIN_S
         self._carrier.call(
-            target, [CallItem(ref, delivery.sends - 1, delivery.record.id, "", b"", timeout_s)]
+            target, [CallItem(ref, delivery.send_count - 1, delivery.record.id, "", b"", timeout_s)]
         )
--- a/emberlatch/cluster/dispatch/offering.py
+++ b/emberlatch/cluster/dispatch/offering.py
@@ -1,4 +1,4 @@
-"""Offers ready deliveries to the decision module, a bounded number of each destination."""
+"""Offers ready deliveries to the decision module, up to a limit for each destination."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from emberlatch.cluster.settings import Configuration, Service
 from emberlatch.core import interface as api
 
-MAX_QUEUED_PER_DESTINATION = 48  # deliveries that the decision module has at once, in flight or not
-LEASE_WAIT_SHARE = 0.35  # of a route's latest nominal start: how long a lease is waited for
-DEADLINE_MARGIN_S = 30.0  # from the end of the lease wait to the deadline that the module goes by
+MAX_IN_POOL_PER_DESTINATION = 48  # deliveries in the decision module, including those in flight
+LEASE_WAIT_SHARE = 0.35  # lease wait as a fraction of the route's latest nominal start
+DEADLINE_MARGIN_S = 30.0  # time from the end of the lease wait to the deadline passed to the module
 QUOTA_TIMER_SLACK_S = 0.001
 
 
 class Offering:
-    """The ready queues, by service, and what is taken from them at each decision."""
+    """Keeps a ready queue for each service, and offers deliveries from these queues at each decision."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         return bool(self._queues)
 
     def enqueue(self, delivery: Delivery) -> None:
-        """Take a delivery that is due, and whose route is set."""
+        """Queue a due delivery, whose route must be set, for its service."""
         assert delivery.route is not None
         self._deliveries.change_stage(delivery, DeliveryStage.READY)
         service = delivery.route.service
@@ -53,7 +53,7 @@
         queue.push(delivery)
 
     def offer_ready(self, config: Configuration | None, now: float) -> None:
-        """Offer what is ready and what quotas and destinations have capacity for."""
+        """Offer ready deliveries as far as quotas and destinations have capacity."""
         if config is None:
             return
         for name, queue in self._queues.items():
@@ -64,7 +64,7 @@
     def _offer_service(self, service: Service, queue: ReadyQueue, now: float) -> None:
         available = self._destinations.available(service.name)
         while available:
-            if all(queue.pool_sizes[locality] >= MAX_QUEUED_PER_DESTINATION for locality in available):
+            if all(queue.pool_sizes[locality] >= MAX_IN_POOL_PER_DESTINATION for locality in available):
                 return
             if service.rate_per_s > 0 and not self._is_within_quota(service, queue, now):
                 return
@@ -82,12 +82,12 @@
 
     def _offer(self, delivery: Delivery, queue: ReadyQueue, available: list[Locality]) -> None:
         assert delivery.route is not None
-        locality = available[delivery.offers % len(available)]
-        if queue.pool_sizes[locality] >= MAX_QUEUED_PER_DESTINATION:
-            locality = next(n for n in available if queue.pool_sizes[n] < MAX_QUEUED_PER_DESTINATION)
+        locality = available[delivery.offer_count % len(available)]
+        if queue.pool_sizes[locality] >= MAX_IN_POOL_PER_DESTINATION:
+            locality = next(n for n in available if queue.pool_sizes[n] < MAX_IN_POOL_PER_DESTINATION)
         wait_s = min(MAX_LEASE_WAIT_S, delivery.route.nominal_start_ms / 1000 * LEASE_WAIT_SHARE)
         deadline_s = wait_s + DEADLINE_MARGIN_S
-        delivery.sends, delivery.verdict, delivery.seal = 0, None, ""
+        delivery.send_count, delivery.verdict, delivery.seal = 0, None, ""
         delivery.pool_sizes, delivery.locality = queue.pool_sizes, locality
         self._deliveries.assign_ref(delivery)
         self._deliveries.change_stage(delivery, DeliveryStage.QUEUED_IN_POOL)
@@ -96,6 +96,6 @@
             self._inbox.add(new_settings)
         destination = self._destinations.number(delivery.route.service, locality)
         self._inbox.add(
-            api.Arrival(delivery.ref, category, destination, deadline_s, resubmitted=delivery.offers > 0)
+            api.Arrival(delivery.ref, category, destination, deadline_s, resubmitted=delivery.offer_count > 0)
         )
         self._outcomes.start_lease_wait(delivery, wait_s)
--- a/emberlatch/cluster/dispatch/outcomes.py
+++ b/emberlatch/cluster/dispatch/outcomes.py
@@ -1,7 +1,8 @@
-"""What follows from the outcome of a delivery: its end, a retry, or another target.
+"""Handles the outcomes of calls: a delivery ends, is retried, or is sent to another target.
 
-A message is dead-lettered here if a target rejects it permanently or its attempts are used up. The two other
-reasons: its route is gone (`Dispatcher._make_ready`), its retention is over (`message_store/retention.py`).
+A message is dead-lettered here if a target rejects it permanently or its attempts are exhausted. The two
+other reasons are handled elsewhere: a removed route in `Dispatcher._make_ready`, and an expired retention
+period in `message_store/retention.py`.
 """
 
 from __future__ import annotations
@@ -10,20 +11,20 @@
 
 from emberlatch.cluster.dispatch.decision_inbox import DecisionInbox
 from emberlatch.cluster.dispatch.delay_queue import DelayQueue
-from emberlatch.cluster.dispatch.delivery import IN_POOL, Delivery, DeliveryStage, DeliveryTable
+from emberlatch.cluster.dispatch.delivery import POOL_STAGES, Delivery, DeliveryStage, DeliveryTable
 from emberlatch.cluster.dispatch.ports import DeliveryOwner
 from emberlatch.cluster.dispatch.verdict import Verdict
 from emberlatch.cluster.message_store import MessageState, UndeliverableReason, log_undeliverable
 from emberlatch.core import interface as api
 
-RETRY_BACKOFF_S = (0.05, 0.1, 0.2, 0.4, 0.8, 1.5)  # by the attempts that have failed
-RUNNING_RETRY_S = 0.15  # while an earlier attempt still runs at the target
+RETRY_BACKOFF_S = (0.05, 0.1, 0.2, 0.4, 0.8, 1.5)  # indexed by the number of failed attempts minus 1
+RUNNING_RETRY_S = 0.15  # retry interval while an earlier attempt still runs at the target
 NO_LEASE_RETRY_S = 0.01
 MAX_LEASE_WAIT_S = 2.0
 
 
 class OutcomeHandler:
-    """Ends or retries deliveries, and returns those without a lease from the decision module."""
+    """Ends or retries deliveries, and withdraws those without a lease from the decision module."""
 
     def __init__(
         self, deliveries: DeliveryTable, delayed: DelayQueue, inbox: DecisionInbox, owner: DeliveryOwner
@@ -32,12 +33,12 @@
         self._loop = asyncio.get_running_loop()
 
     def on_verdict(self, ref: int, verdict: Verdict, seal: str) -> None:
-        """Keep what the response to a call says until its outcome comes."""
+        """Store the verdict on a call's response until the outcome of the call arrives."""
         if (delivery := self._deliveries.by_ref.get(ref)) is not None:
             delivery.verdict, delivery.seal = verdict, seal
 
     def on_outcome(self, outcome: api.Outcome) -> None:
-        """Take the outcome of a call that was in flight."""
+        """Process the outcome of a call that was in flight."""
         delivery = self._deliveries.by_ref.get(outcome.ref)
         self._inbox.add(outcome)
         self._inbox.schedule()
@@ -50,7 +51,7 @@
             case Verdict.REJECTED_PERMANENTLY:
                 self._give_up(delivery, UndeliverableReason.REJECTED_PERMANENTLY)
             case Verdict.ATTEMPT_FAILED:
-                self._attempt_failed(delivery)
+                self._on_attempt_failed(delivery)
             case Verdict.STILL_RUNNING:
                 self._retry(delivery, RUNNING_RETRY_S)
             case _:
@@ -59,33 +60,33 @@
                 self._try_other_target(delivery)
 
     def on_no_lease(self, ref: int) -> None:
-        """The decision module has rejected or failed a delivery by itself: offer it again after a moment."""
+        """Offer a delivery again, after `NO_LEASE_RETRY_S`, that the decision module rejected or failed."""
         if (delivery := self._deliveries.by_ref.get(ref)) is not None:
-            delivery.offers += 1
+            delivery.offer_count += 1
             self._delayed.delay_for(delivery, NO_LEASE_RETRY_S)
 
     def start_lease_wait(self, delivery: Delivery, wait_s: float) -> None:
-        """Take a delivery back from the decision module if it has found no lease after so many seconds."""
+        """Withdraw a delivery from the decision module if it has no lease after `wait_s` seconds."""
         self._loop.call_later(wait_s, self._end_lease_wait, delivery, delivery.ref)
 
     def forget(self, delivery: Delivery) -> None:
-        """Drop a delivery that is ours no longer; a call in flight is cancelled."""
+        """Remove a delivery that this store no longer performs; cancel its call if one is in flight."""
         self._deliveries.remove(delivery)
-        if delivery.stage in IN_POOL:
+        if delivery.stage in POOL_STAGES:
             self._inbox.add(api.ClientGone(delivery.ref))
         self._deliveries.change_stage(delivery, DeliveryStage.DELAYED)
         self._inbox.schedule()
 
     def _end_lease_wait(self, delivery: Delivery, ref: int) -> None:
-        # Unsent, so this is neither an attempt nor a failure.
+        # The message was not sent, so this counts neither as an attempt nor as a failure.
         if delivery.ref == ref and delivery.stage is DeliveryStage.QUEUED_IN_POOL:
             self._inbox.add(api.ClientGone(ref))
-            delivery.offers += 1
+            delivery.offer_count += 1
             self._delayed.delay_for(delivery, NO_LEASE_RETRY_S)
             self._inbox.schedule()
 
-    def _attempt_failed(self, delivery: Delivery) -> None:
-        """Count an attempt that the target answered with a failure; inconclusive ones never come here."""
+    def _on_attempt_failed(self, delivery: Delivery) -> None:
+        """Count an attempt that the target reported as failed, then retry or dead-letter the message."""
         record, route = delivery.record, delivery.route
         assert route is not None
         record.attempts += 1
@@ -95,7 +96,10 @@
             self._retry(delivery, RETRY_BACKOFF_S[min(record.attempts - 1, len(RETRY_BACKOFF_S) - 1)])
 
     def _try_other_target(self, delivery: Delivery) -> None:
-        """Leave a delivery without a conclusive response to the module, which retries by itself."""
+        """Leave a delivery without a conclusive response in the module, which sends it to another target.
+
+        The delivery is withdrawn instead if the store is draining or does not own the message any more.
+        """
         if self._deliveries.draining or not self._owner.owns(delivery.record):
             self._inbox.add(api.ClientGone(delivery.ref))
             self._retry(delivery, 0.0)
@@ -105,9 +109,9 @@
 
     def _retry(self, delivery: Delivery, delay_s: float) -> None:
         if self._owner.owns(delivery.record):
-            delivery.offers = 0
+            delivery.offer_count = 0
             self._delayed.delay_for(delivery, delay_s)
-        else:  # it ended, or was taken over, while the call was in flight
+        else:  # the message ended, or was taken over, while the call was in flight
             self.forget(delivery)
 
     def _give_up(self, delivery: Delivery, reason: UndeliverableReason) -> None:
--- a/emberlatch/cluster/dispatch/ready_queue.py
+++ b/emberlatch/cluster/dispatch/ready_queue.py
@@ -1,4 +1,4 @@
-"""The deliveries of one service that are due and wait to be offered to the decision module."""
+"""Queue of one service's due deliveries that wait to be offered to the decision module."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class ReadyQueue:
-    """First come, first served among those that can still begin in time; then those that are late.
+    """A FIFO queue in which deliveries that can still start in time precede the late ones.
 
     Attributes:
-        pool_sizes: how many deliveries of the service the decision module has.
+        pool_sizes: number of the service's deliveries in the decision module, by `Locality`.
     """
 
     def __init__(self) -> None:
@@ -23,11 +23,11 @@
         return bool(self._in_time or self._late)
 
     def push(self, delivery: Delivery) -> None:
-        """Append a delivery that has become READY; one that leaves this stage is skipped later."""
+        """Append a delivery that has become READY; `pop` skips it if it has left this stage by then."""
         self._in_time.append(delivery)
 
     def pop(self, now: float) -> Delivery | None:
-        """Remove and return the next one to offer; None if there is none. `now` is in the loop's time."""
+        """Remove and return the next delivery to offer, or None. `now` is in the loop's time."""
         while self._in_time:
             delivery = self._in_time.popleft()
             if delivery.stage is not DeliveryStage.READY:
