--- a/emberlatch/cluster/dispatch/carrier.py
+++ b/emberlatch/cluster/dispatch/carrier.py
@@ -1,4 +1,4 @@
-"""Calls to targets in the system's HTTP protocol: the request of a delivery, and what its response means."""
+"""Calls to targets over HTTP: encodes the request of a delivery and classifies the response."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from emberlatch.net.retry_after import parse_retry_after
 
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
-ATTEMPT_ID_HEADER = "emberlatch-attempt-id"  # a response repeats in it the id of its message
+ATTEMPT_ID_HEADER = "emberlatch-attempt-id"  # in a response: the id of the message that it answers
 SEAL_HEADER = "emberlatch-server-seal"
 NOT_EXECUTED_HEADER = "emberlatch-not-executed"
 
@@ -30,8 +30,8 @@
 
     Attributes:
         record: the message.
-        guard_s: seconds after which the target stops running it, counted from the start of the call.
-        expected_instance: id of the instance that should listen there; empty if it is not known.
+        guard_s: seconds from the start of the call after which the target stops executing the message.
+        expected_instance: id of the instance expected at the target's address; empty if not known.
     """
 
     record: Record
@@ -40,23 +40,23 @@
 
 
 class DeliverySource(Protocol):
-    """Who starts the carrier's calls and gets their results."""
+    """Provides the content of the carrier's calls, and receives their results."""
 
     def delivery_request(self, ref: int, target: bytes) -> DeliveryRequest:
-        """Return what a call carries; `ref` names the delivery at the decision module."""
+        """Return the content of a call; `ref` identifies the delivery in the decision module."""
 
     def is_wanted(self, ref: int) -> bool:
-        """Return whether the message is still to be sent."""
+        """Return whether the message still has to be sent."""
 
     def on_verdict(self, ref: int, verdict: Verdict, seal: str) -> None:
-        """Take what the response says; the call's outcome follows."""
+        """Store the verdict on a response; the outcome of the call follows."""
 
     def on_outcome(self, outcome: Outcome) -> None:
-        """Take the outcome of a call; there is exactly one for each."""
+        """Process the outcome of a call; each call has exactly one."""
 
 
 class Carrier(PooledCarrier):
-    """Sends deliveries to targets over pooled connections, at most `max_connections` of them."""
+    """Sends deliveries to targets over at most `max_connections` pooled connections."""
 
     def __init__(
         self, settings: Settings, max_connections: int, tasks: Tasks, deliveries: DeliverySource
@@ -65,19 +65,19 @@
         self._deliveries = deliveries
 
     def _is_wanted(self, call: Call) -> bool:
-        # Another store may have taken over ownership, and even ended it, while the connection came up.
+        # While the connection was established, another store may have taken over the message or ended it.
         return self._deliveries.is_wanted(call.items[0].ref)
 
     async def _connect(self, target: Endpoint) -> Connection:
         return await connect_to_target(target.address, self._settings.connect_timeout, MAX_RESPONSE_BYTES)
 
     def _is_reusable(self, connection: Connection, call: Call) -> bool:
-        # A second response to an earlier attempt of this message would pass for the response to this one.
+        # A duplicate response to an earlier attempt has the same attempt id as the response to this attempt.
         return isinstance(connection, TargetConnection) and call.items[0].id not in connection.message_ids
 
     def _request(self, target: Endpoint, call: Call) -> bytes:
         request = self._deliveries.delivery_request(call.items[0].ref, call.target)
-        # The target is to stop before we give up, however long the connection took to come up.
+        # The time for the connection is deducted, so that the target stops before this call times out.
         remaining_s = request.guard_s - call.age
         record, body = request.record, request.record.body or b""
         head = (
@@ -114,7 +114,7 @@
         expected = call.items[0].id
 
         def repeats_attempt_id(response: Response) -> bool:
-            # A response without an id is taken for ours, as nothing else waits on this connection.
+            # A response without an id is accepted, as no other request is pending on this connection.
             found = response.headers.get(ATTEMPT_ID_HEADER, expected)
             if found != expected:
                 log_event(
--- a/emberlatch/cluster/dispatch/target_connection.py
+++ b/emberlatch/cluster/dispatch/target_connection.py
@@ -1,8 +1,9 @@
 """A connection to a target that drops responses to earlier requests.
 
-A faulty target may send a second response, or one to an earlier message. Such a response is recognised by
-the attempt id that it repeats, and dropped. The expected one may still follow, and closing the connection
-would abort the message's run; but no other request goes out on this connection.
+A faulty target may send a second response, or a response to an earlier message. The attempt id in such a
+response differs from the id of the current request, and the response is dropped. The connection stays open
+then, because the expected response may still follow and closing would abort the execution of the message.
+No further request is sent on this connection.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 from emberlatch.engine import Address
 from emberlatch.net.http_connection import Connection, Response
 
-MAX_REMEMBERED_REQUESTS = 32  # of one connection
+MAX_REMEMBERED_REQUESTS = 32  # per connection
 
 
 class TargetConnection(Connection):
     """One connection to a target, from connect to close.
 
     Attributes:
-        message_ids: ids of the messages whose requests went out on it last.
+        message_ids: ids of the messages that were sent last on this connection, in order.
     """
 
     def __init__(self, max_body_bytes: int) -> None:
@@ -34,7 +35,7 @@
     ) -> asyncio.Future[Response]:
         """Send a request and return the future of its response, as `Connection.exchange` does.
 
-        After a response that `is_expected` rejects, the connection closes once the expected one is read.
+        If `is_expected` rejects a response, the connection closes once the expected response is read.
         """
 
         def accept(response: Response) -> bool:
@@ -51,10 +52,10 @@
 
 
 async def connect_to_target(address: Address, timeout_s: float, max_body_bytes: int) -> TargetConnection:
-    """Open a connection.
+    """Open a connection to a target.
 
     Raises:
-        OSError: it was refused, or not established within `timeout_s` seconds.
+        OSError: the connection was refused, or was not established within `timeout_s` seconds.
     """
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(timeout_s):
--- a/emberlatch/cluster/dispatch/verdict.py
+++ b/emberlatch/cluster/dispatch/verdict.py
@@ -1,4 +1,4 @@
-"""What a target's response means for the message that was delivered. Pure."""
+"""Classification of target responses by their meaning for the delivered message; pure functions."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class Verdict(Enum):
-    """What a response says about the delivery attempt."""
+    """Meaning of a response for the delivery attempt."""
 
     COMPLETED = "completed"  # a success, with its seal
-    ATTEMPT_FAILED = "attempt failed"  # it ran and failed; it may be retried
+    ATTEMPT_FAILED = "attempt failed"  # the message was executed and failed; it may be retried
     REJECTED_PERMANENTLY = "rejected permanently"  # no retry can succeed
-    OVERLOADED = "overloaded"  # not run: 429, 503, or another status with the not-executed header
-    STILL_RUNNING = "still running"  # not run: an earlier attempt still is
-    WRONG_INSTANCE = "wrong instance"  # not run: another instance listens at the address
-    UNKNOWN = "unknown"  # it may have run
+    OVERLOADED = "overloaded"  # not executed: 429, 503, or another status with the not-executed header
+    STILL_RUNNING = "still running"  # not executed: an earlier attempt is still running
+    WRONG_INSTANCE = "wrong instance"  # not executed: another instance listens at the address
+    UNKNOWN = "unknown"  # the message may have been executed
 
 
 MODULE_RESULTS: dict[Verdict, tuple[Result, bool]] = {
     Verdict.COMPLETED: (Result.OK, True),
-    # A target that answers so is healthy. The delivery ends for the module; its retry is a new one.
+    # This response shows a healthy target. The module's delivery ends; a retry is a new delivery.
     Verdict.ATTEMPT_FAILED: (Result.OK, True),
     Verdict.REJECTED_PERMANENTLY: (Result.OK, True),
     Verdict.OVERLOADED: (Result.FULL, False),
@@ -29,14 +29,14 @@
     Verdict.WRONG_INSTANCE: (Result.NOT_EXECUTED, False),
     Verdict.UNKNOWN: (Result.ERROR, False),
 }
-"""For each verdict the result that the decision module gets, and whether the delivery has ended for it."""
+"""The result passed to the decision module for each verdict, and whether its delivery has ended."""
 
 
 def classify_response(status: int, seal: str, not_executed: bool) -> Verdict:
-    """Return the verdict of a response.
+    """Return the verdict on a response.
 
     `seal` is the target's proof of execution, empty if there is none; `not_executed` is true if the target
-    states that it did not run the message. A 2xx without a seal proves nothing.
+    states that it did not execute the message. A 2xx status without a seal does not prove success.
     """
     if 200 <= status < 300 and seal:
         return Verdict.COMPLETED
