--- a/emberlatch/cluster/dispatch/destinations.py
+++ b/emberlatch/cluster/dispatch/destinations.py
@@ -1,8 +1,8 @@
-"""Destinations and endpoints as the decision module knows them.
+"""Destinations and endpoints in the terms of the decision module.
 
-The local targets of a service are one destination of the module, its remote targets another: a delivery that
-finds no local lease is returned, and may be offered to the remote destination then, since its body has to
-cross the zone's border only there.
+The local targets of a service are one destination of the module, its remote targets another. A delivery that
+gets no local lease is returned by the module and may then be offered to the remote destination. In this way
+a message's body is sent to another zone only if its delivery was offered to the remote destination.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 from emberlatch.core import interface as api
 from emberlatch.engine import Address
 
-FIXED_PREFIX = b"="  # begins the name of an endpoint that the configuration gives
+FIXED_PREFIX = b"="  # prefix of the names of endpoints that the configuration defines
 NO_ADDRESS: Address = ("0.0.0.0", 1)
 
-LOCALITIES = (Locality.LOCAL, Locality.REMOTE)  # in the order in which they are preferred
+LOCALITIES = (Locality.LOCAL, Locality.REMOTE)  # in order of preference
 PHASES = {
     TargetState.IN_SERVICE: api.Phase.READY,
     TargetState.DRAINING: api.Phase.DRAINING,
@@ -29,14 +29,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """Endpoints that are new, changed or gone, with their addresses by name."""
+    """Endpoints that were added, changed or removed, with their addresses by name."""
 
     entries: tuple[api.Entry, ...]
     addresses: dict[bytes, Address]
 
 
 class Destinations:
-    """Numbers destinations, and keeps which endpoints the decision module knows."""
+    """Numbers the destinations, and records the endpoints announced to the decision module."""
 
     def __init__(self, zone: str) -> None:
         self._zone = zone
@@ -45,19 +45,19 @@
         self._targets: dict[bytes, Target] = {}
 
     def number(self, service: str, locality: Locality) -> int:
-        """Return the number of a destination; a new one gets the next."""
+        """Return the number of a destination; assign the next number to a new one."""
         return self._numbers.setdefault((service, locality), len(self._numbers))
 
     def configure(self, services: Iterable[Service]) -> Iterator[EndpointUpdate]:
-        """Take the fixed endpoints of a configuration, and yield what changes by it."""
+        """Apply the fixed endpoints of a configuration, and yield the resulting updates."""
         wanted: dict[bytes, tuple[Service, Address]] = {}
         for service in services:
             if service.fixed_endpoint is not None:
                 host, _, port = service.fixed_endpoint.rpartition(":")
                 wanted[_fixed_name(service, service.fixed_endpoint)] = service, (host, int(port))
         for name in [n for n in self._entries if n.startswith(FIXED_PREFIX) and n not in wanted]:
-            gone = api.Entry(name, self._entries.pop(name).destination, api.Phase.GONE)
-            yield EndpointUpdate((gone,), {name: NO_ADDRESS})
+            removed = api.Entry(name, self._entries.pop(name).destination, api.Phase.GONE)
+            yield EndpointUpdate((removed,), {name: NO_ADDRESS})
         entries, addresses = [], {}
         for name, (service, address) in wanted.items():
             entry = api.Entry(name, self.number(service.name, Locality.LOCAL))
@@ -69,14 +69,14 @@
             yield EndpointUpdate(tuple(entries), addresses)
 
     def update_target(self, target: Target) -> EndpointUpdate | None:
-        """Take a target's new state; None if it changes nothing for the module."""
+        """Apply a target's new state; return None if nothing changes for the module."""
         name = target.id.encode()
         phase = api.Phase.GONE if target.lease_expired else PHASES[target.state]
         if phase is api.Phase.GONE and name not in self._entries:
             return None
         remote = target.zone != self._zone
         locality = Locality.REMOTE if remote else Locality.LOCAL
-        # Half is left to the stores of its own zone.
+        # The other half of the capacity is reserved for the stores in the target's own zone.
         capacity = max(1, target.capacity // 2) if remote else target.capacity
         entry = api.Entry(name, self.number(target.service, locality), phase, max_concurrency=capacity)
         if phase is api.Phase.GONE:
@@ -87,7 +87,7 @@
         return EndpointUpdate((entry,), {name: target.address})
 
     def available(self, service: str) -> list[Locality]:
-        """Return where the service has targets that take deliveries, local ones first."""
+        """Return the localities in which the service has targets that accept deliveries, LOCAL first."""
         return [locality for locality in LOCALITIES if self._has_ready_target(service, locality)]
 
     def _has_ready_target(self, service: str, locality: Locality) -> bool:
@@ -97,7 +97,7 @@
         )
 
     def expected_instance(self, name: bytes) -> str:
-        """Return the id of the instance that an endpoint stands for; empty for a fixed endpoint."""
+        """Return the id of the instance expected at an endpoint; empty for a fixed endpoint."""
         target = self._targets.get(name)
         if target is not None:
             return target.id
--- a/emberlatch/cluster/dispatch/module_settings.py
+++ b/emberlatch/cluster/dispatch/module_settings.py
@@ -1,21 +1,21 @@
-"""Settings of the decision module: one category for each time that deliveries wait for a lease."""
+"""Settings of the decision module: one category for each pair of lease wait and deadline."""
 
 from __future__ import annotations
 
 from emberlatch.core import interface as api
 
-MAX_IN_FLIGHT = 192  # calls of the decision module
+MAX_IN_FLIGHT = 192  # maximum number of concurrent calls of the decision module
 CONNECT_TIMEOUT_S = 0.5
 CONNECTION_IDLE_S = 6.0
 MAX_RETRY_AFTER_S = 2.0
-UNLIMITED = 1_000_000  # messages and attempts are bounded by this package, not by the module
+UNLIMITED = 1_000_000  # this package limits messages and attempts, not the module
 
 
 class LeaseWaitCategories:
-    """Numbers the pairs of latency target and deadline, in seconds, as categories of the module.
+    """Assigns a category number of the module to each pair of latency target and deadline, in seconds.
 
     Attributes:
-        settings: of the decision module, with all categories so far.
+        settings: settings of the decision module, with all categories added so far.
     """
 
     def __init__(self) -> None:
@@ -23,7 +23,7 @@
         self.settings = _module_settings([])
 
     def add(self, target_s: float, deadline_s: float) -> tuple[int, api.SettingsChanged | None]:
-        """Return the category's number; and, if it is new, the event that the module has to hear first."""
+        """Return the category's number and, if it is new, the event that the module must receive first."""
         key = round(target_s, 3), round(deadline_s, 3)
         if (number := self._numbers.get(key)) is not None:
             return number, None
--- a/emberlatch/cluster/dispatch/ports.py
+++ b/emberlatch/cluster/dispatch/ports.py
@@ -13,11 +13,11 @@
     """Settings of one dispatcher.
 
     Attributes:
-        zone: zone of this store; targets in it are local, all others remote.
-        seed: of the decision module's random draws.
-        rate_window_s: seconds of the sliding window in which a rate limit is judged.
-        rate_window_excess: factor by which a window may exceed rate limit x window.
-        max_connections: open connections to targets.
+        zone: zone of this store; targets in this zone are local, all others are remote.
+        seed: seed of the decision module's random number generator.
+        rate_window_s: length in seconds of the sliding window to which a rate limit applies.
+        rate_window_excess: factor by which the calls of one window may exceed rate limit x window.
+        max_connections: maximum number of open connections to targets.
     """
 
     zone: str
@@ -28,19 +28,19 @@
 
 
 class DeliveryOwner(Protocol):
-    """The store: owner of the messages that a dispatcher delivers."""
+    """The store that owns the messages of a dispatcher."""
 
     def owns(self, record: Record) -> bool:
-        """Return whether this store owns the message, and has its body in memory."""
+        """Return whether this store owns the message and has its body in memory."""
 
     def finish(self, record: Record, state: MessageState, seal: str) -> None:
-        """Record the final state of a delivered message; `seal` is empty unless it completed."""
+        """Record the final state of a message; `seal` is empty unless the message completed."""
 
     def on_wrong_instance(self, target_id: str) -> None:
-        """Note that another instance listens at the address of this target."""
+        """Record that another instance listens at the address of this target."""
 
     def may_send(self) -> bool:
-        """Return whether deliveries may begin: no other store owns the messages, our disk takes writes."""
+        """Return whether calls may start: no other store owns the messages, and our disk accepts writes."""
 
     def quota_divisor(self, service: str) -> float:
-        """Return by how much the service's rate limit is divided to get this store's quota share."""
+        """Return the divisor that turns a service's rate limit into this store's quota share."""
