--- a/emberlatch/cluster/discovery/__init__.py
+++ b/emberlatch/cluster/discovery/__init__.py
@@ -1,4 +1,4 @@
-"""Which targets there are: their heartbeats, draining and deregistration."""
+"""Discovery of targets by their heartbeats, including draining and deregistration."""
 
 from emberlatch.cluster.discovery.heartbeat import InvalidHeartbeatError, TargetHeartbeat
 from emberlatch.cluster.discovery.target import Target, TargetReport, TargetReports, TargetState
--- a/emberlatch/cluster/discovery/heartbeat.py
+++ b/emberlatch/cluster/discovery/heartbeat.py
@@ -1,4 +1,4 @@
-"""The heartbeat that a target sends to a control address, as the pages define it."""
+"""The heartbeat that a target sends to a control address: its fields and their validation."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class InvalidHeartbeatError(ValueError):
-    """A heartbeat that can't be read. `target_id`: whose it is; `reason`: what is wrong with it."""
+    """A malformed heartbeat. `target_id`: the target that sent it; `reason`: the first fault found."""
 
     def __init__(self, target_id: str, reason: str) -> None:
         super().__init__(f"heartbeat of {target_id[:60]}: {reason}"[:MAX_ERROR_LENGTH])
@@ -23,7 +23,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetHeartbeat:
-    """What a target says of itself. `capacity`: calls at once; `warmup_left_s`: seconds that it is slow."""
+    """The state that a target reports.
+
+    Attributes:
+        capacity: maximum number of concurrent calls.
+        sequence: number of the heartbeat; later heartbeats of a target have higher numbers.
+        warmup_remaining_s: seconds until the target has warmed up; it is slow until then.
+    """
 
     target_id: str
     service: str
@@ -32,11 +38,15 @@
     capacity: int
     state: TargetState
     sequence: int
-    warmup_left_s: float
+    warmup_remaining_s: float
 
     @classmethod
     def from_json(cls, target_id: str, fields: object) -> Self:
-        """Check the decoded body of a call; InvalidHeartbeatError names the first fault."""
+        """Validate the decoded body of a heartbeat request.
+
+        Raises:
+            InvalidHeartbeatError: a field is missing or invalid.
+        """
         try:
             return cls._checked(target_id, fields)
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
@@ -49,7 +59,7 @@
         host, _, port = _text(fields["address"]).rpartition(":")
         state = _STATES[fields["state"]]
         capacity, sequence = _number(fields["capacity"]), _number(fields["sequence"])
-        warmup_left_s = _number(fields.get("warmup_left_ms", 0)) / 1000
+        warmup_remaining_s = _number(fields.get("warmup_left_ms", 0)) / 1000
         heartbeat = cls(
             _text(target_id),
             _text(fields["service"]),
@@ -58,7 +68,7 @@
             max(1, int(capacity)),
             state,
             int(sequence),
-            warmup_left_s,
+            warmup_remaining_s,
         )
         if not host or not 0 < heartbeat.address[1] < 65536:
             raise ValueError("address")
--- a/emberlatch/cluster/discovery/target.py
+++ b/emberlatch/cluster/discovery/target.py
@@ -1,4 +1,4 @@
-"""One incarnation of a target, and the report of it that stores exchange."""
+"""One incarnation of a target, and the report about it that stores exchange."""
 
 from __future__ import annotations
 
@@ -10,19 +10,22 @@
 
 
 class TargetState(IntEnum):
-    """An incarnation goes only forward; the numbers are those on the wire."""
+    """State of an incarnation, which only ever increases; the numbers are those on the wire."""
 
     IN_SERVICE = 0
     DRAINING = 1
-    GONE = 2
+    DEREGISTERED = 2
 
 
 @dataclass(frozen=True, slots=True)
 class TargetReport:
-    """What one store knows of a target, without reference to its own clock.
+    """One store's information about a target, with times relative to the sending of the report.
 
-    `heard_s_ago`: seconds since the target's last heartbeat; `warmup_left_s`: seconds until it has warmed up,
-    negative if it has.
+    Attributes:
+        capacity: maximum number of concurrent calls.
+        sequence: number of the newest heartbeat.
+        last_contact_s_ago: seconds since the target's last heartbeat or its deregistration.
+        warmup_remaining_s: seconds until the target has warmed up; negative if it has.
     """
 
     id: str
@@ -32,11 +35,11 @@
     capacity: int
     state: TargetState
     sequence: int
-    heard_s_ago: float
-    warmup_left_s: float
+    last_contact_s_ago: float
+    warmup_remaining_s: float
 
     def to_wire(self) -> list[object]:
-        """The payload: a list in the order of the fields."""
+        """Return the payload, a list in the order of the fields."""
         return [
             self.id,
             self.service,
@@ -45,38 +48,38 @@
             self.capacity,
             int(self.state),
             self.sequence,
-            self.heard_s_ago,
-            self.warmup_left_s,
+            self.last_contact_s_ago,
+            self.warmup_remaining_s,
         ]
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """Decode a payload; MessageDecodeError if it is no report."""
+        """Decode a payload. Raises MessageDecodeError if it is not a report."""
         match payload:
             case [
                 str(id), str(service), [str(host), int(port)], str(zone), int(capacity), int(state),
-                int(sequence), float() | int() as heard_s_ago, float() | int() as warmup_left_s,
+                int(sequence), float() | int() as last_contact_s_ago, float() | int() as warmup_remaining_s,
             ] if state in _STATES:  # fmt: skip
                 return cls(
-                    id, service, (host, port), zone, capacity, _STATES[state], sequence, heard_s_ago,
-                    warmup_left_s,
+                    id, service, (host, port), zone, capacity, _STATES[state], sequence, last_contact_s_ago,
+                    warmup_remaining_s,
                 )  # fmt: skip
         raise MessageDecodeError("target report", f"unexpected fields: {payload!r:.100}")
 
 
 @dataclass(frozen=True, slots=True)
 class TargetReports:
-    """TARGETS: reports of several targets."""
+    """Reports about several targets: the content of a TARGETS message."""
 
     reports: tuple[TargetReport, ...]
 
     def to_wire(self) -> list[list[object]]:
-        """The payload: a list of reports."""
+        """Return the payload, a list of reports."""
         return [report.to_wire() for report in self.reports]
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """Decode a payload; MessageDecodeError if it is no list of reports."""
+        """Decode a payload. Raises MessageDecodeError if it is not a list of reports."""
         if not isinstance(payload, list):
             raise MessageDecodeError("target reports", f"not a list: {payload!r:.100}")
         return cls(tuple(map(TargetReport.from_wire, payload)))
@@ -87,22 +90,22 @@
 
 @dataclass(slots=True)
 class Target:
-    """One incarnation of a target, as this process knows it; only the directory changes it."""
+    """This process's information about one incarnation of a target; only the directory changes it."""
 
     id: str
     service: str
     address: tuple[str, int]
     zone: str
-    capacity: int  # calls at once
+    capacity: int  # maximum number of concurrent calls
     state: TargetState
-    sequence: int  # of its newest heartbeat
-    heard_at: float  # loop time of its last heartbeat
-    warm_at: float = 0.0  # loop time until which it is slow
-    lease_expired: bool = False  # no heartbeat of it came for long; known to this process only
+    sequence: int  # number of its newest heartbeat
+    last_contact_at: float  # loop time of its last heartbeat or its deregistration
+    warmed_up_at: float = 0.0  # loop time at which it has warmed up; it is slow until then
+    lease_expired: bool = False  # by this process's own judgement; not sent to other stores
 
     @classmethod
     def from_report(cls, report: TargetReport, now: float) -> Self:
-        """The target of a report that came at this loop time."""
+        """Create a target from a report that arrived at loop time `now`."""
         return cls(
             report.id,
             report.service,
@@ -111,12 +114,12 @@
             report.capacity,
             report.state,
             report.sequence,
-            now - report.heard_s_ago,
-            now + report.warmup_left_s,
+            now - report.last_contact_s_ago,
+            now + report.warmup_remaining_s,
         )
 
     def report(self, now: float) -> TargetReport:
-        """What the other stores are sent at this loop time."""
+        """Return the report for other stores at loop time `now`."""
         return TargetReport(
             self.id,
             self.service,
@@ -125,11 +128,11 @@
             self.capacity,
             self.state,
             self.sequence,
-            now - self.heard_at,
-            self.warm_at - now,
+            now - self.last_contact_at,
+            self.warmed_up_at - now,
         )
 
     @property
     def available(self) -> bool:
-        """Whether messages may go there, as far as is known."""
+        """Whether messages may be sent to this target, as far as this process knows."""
         return self.state is TargetState.IN_SERVICE and not self.lease_expired
--- a/emberlatch/cluster/discovery/target_directory.py
+++ b/emberlatch/cluster/discovery/target_directory.py
@@ -1,11 +1,12 @@
-"""The directory of targets. Pure: time comes in with each call.
+"""The directory of targets. It performs no I/O and reads no clock: each call passes the time.
 
-Each start of a target is a new incarnation with a new id, so an incarnation only goes forward: in service,
-draining, gone. A report that comes twice or late changes nothing. It is soft state: after a loss the next
-heartbeats bring it again.
+Each start of a target is a new incarnation with a new id, and the state of an incarnation only increases: in
+service, draining, deregistered. Therefore a duplicate or late report changes nothing. The directory is soft
+state: if it is lost, the next heartbeats rebuild it.
 
-That the lease of a target has expired is an opinion of this process, which may be isolated itself: it is
-reported to nobody, and the next heartbeat that the target or another store reports ends it.
+Each process decides for itself whether a target's lease has expired, because a process without heartbeats may
+be the isolated one. An expired lease is not reported to other stores. The lease is renewed by the next
+heartbeat, whether it arrives from the target or in a report of another store.
 """
 
 from __future__ import annotations
@@ -17,21 +18,28 @@
 from emberlatch.cluster.discovery.target import Target, TargetReport, TargetReports, TargetState
 from emberlatch.cluster.events import Event, log_event
 
-LEASE_HEARTBEATS = 3.2  # heartbeat intervals after which the lease of a target expires
-TOMBSTONE_RETENTION_S = 60.0  # seconds for which a gone target is known, so that no late report revives it
+LEASE_HEARTBEATS = 3.2  # a target's lease expires after this many heartbeat intervals
+TOMBSTONE_RETENTION_S = 60.0  # a deregistered target is kept so that no late report registers it again
 MAX_TARGETS = 20_000
 
 
 @dataclass(frozen=True, slots=True)
 class AppliedHeartbeat:
-    """The target that sent a heartbeat, and whether it said anything but that it is still there."""
+    """The target that sent a heartbeat, and whether it registered the target or changed its state."""
 
     target: Target
     is_change: bool
 
 
 class TargetDirectory:
-    """Knows the targets by their ids. `heartbeat_interval_s`: seconds between two heartbeats of a target."""
+    """All known targets.
+
+    Args:
+        heartbeat_interval_s: seconds between two heartbeats of a target.
+
+    Attributes:
+        known: targets by id, including those deregistered within `TOMBSTONE_RETENTION_S`.
+    """
 
     def __init__(self, heartbeat_interval_s: float) -> None:
         self._lease_s = heartbeat_interval_s * LEASE_HEARTBEATS
@@ -40,11 +48,11 @@
         self._by_address: dict[tuple[str, int], Target] = {}
 
     def subscribe(self, subscriber: Callable[[Target], None]) -> None:
-        """Call this with each target of which something changes that matters for deliveries."""
+        """Call `subscriber` with a target whenever it changes in a way that matters for deliveries."""
         self._subscribers.append(subscriber)
 
     def apply_heartbeat(self, target_id: str, fields: object, now: float) -> AppliedHeartbeat:
-        """A target's own heartbeat, as a decoded JSON object; InvalidHeartbeatError if it can't be read."""
+        """Apply a target's own heartbeat, a decoded JSON object. Raises InvalidHeartbeatError."""
         heartbeat = TargetHeartbeat.from_json(target_id, fields)
         target = Target(
             heartbeat.target_id,
@@ -55,55 +63,55 @@
             heartbeat.state,
             heartbeat.sequence,
             now,
-            now + heartbeat.warmup_left_s,
+            now + heartbeat.warmup_remaining_s,
         )
         return AppliedHeartbeat(target, self._merge(target, now))
 
     def apply_report(self, report: TargetReport, now: float) -> None:
-        """What another store knows of a target."""
+        """Apply another store's report about a target."""
         self._merge(Target.from_report(report, now), now)
 
     def reports(self, now: float) -> TargetReports:
-        """What is known of all targets, for another store."""
+        """Return reports about all known targets, for another store."""
         return TargetReports(tuple(target.report(now) for target in self.known.values()))
 
     def deregister(self, target_id: str, now: float) -> Target | None:
-        """A target has ended; the target, if it was known."""
+        """Mark a target as deregistered; return the target, or None if it is not known."""
         target = self.known.get(target_id)
         if target is not None:
-            self._set_state(target, TargetState.GONE)
-            target.heard_at = now
+            self._set_state(target, TargetState.DEREGISTERED)
+            target.last_contact_at = now
         return target
 
     def on_wrong_instance(self, target_id: str, now: float) -> None:
-        """Another instance answered at its address: this incarnation has ended."""
+        """Deregister a target at whose address another instance answered: this incarnation has ended."""
         self.deregister(target_id, now)
 
     def expire(self, now: float) -> None:
-        """End the leases of targets without heartbeats, and forget those that were gone for long."""
+        """Expire the leases of targets without heartbeats, and remove targets with an old last contact."""
         for target in list(self.known.values()):
-            lease_over = now - target.heard_at > self._lease_s
-            if target.state is not TargetState.GONE and lease_over and not target.lease_expired:
+            lease_over = now - target.last_contact_at > self._lease_s
+            if target.state is not TargetState.DEREGISTERED and lease_over and not target.lease_expired:
                 self._set_lease_expired(target, True)
-            elif now - target.heard_at > TOMBSTONE_RETENTION_S:
+            elif now - target.last_contact_at > TOMBSTONE_RETENTION_S:
                 del self.known[target.id]
                 if self._by_address.get(target.address) is target:
                     del self._by_address[target.address]
 
     def _merge(self, reported: Target, now: float) -> bool:
-        """Merge a report into what is known; whether it changed the state of the target."""
+        """Merge a report into the directory; return whether it registered the target or changed its state."""
         known = self.known.get(reported.id)
         if known is None:
-            if len(self.known) >= MAX_TARGETS or now - reported.heard_at > self._lease_s:
+            if len(self.known) >= MAX_TARGETS or now - reported.last_contact_at > self._lease_s:
                 return False
             self._register(reported)
             return True
-        if known.state is not TargetState.GONE:
-            known.heard_at = max(known.heard_at, reported.heard_at)
-            if known.lease_expired and now - known.heard_at <= self._lease_s:
+        if known.state is not TargetState.DEREGISTERED:
+            known.last_contact_at = max(known.last_contact_at, reported.last_contact_at)
+            if known.lease_expired and now - known.last_contact_at <= self._lease_s:
                 self._set_lease_expired(known, False)
         if reported.sequence > known.sequence:
-            known.sequence, known.warm_at = reported.sequence, reported.warm_at
+            known.sequence, known.warmed_up_at = reported.sequence, reported.warmed_up_at
         if reported.state <= known.state:
             return False
         self._set_state(known, reported.state)
@@ -111,29 +119,29 @@
 
     def _register(self, target: Target) -> None:
         self.known[target.id] = target
-        if target.state is TargetState.GONE:
+        if target.state is TargetState.DEREGISTERED:
             return
         previous = self._by_address.get(target.address)
-        if previous is not None:  # another incarnation, perhaps of another service, has its address
-            self._set_state(previous, TargetState.GONE)
+        if previous is not None:  # the new target took over the address; its service may differ
+            self._set_state(previous, TargetState.DEREGISTERED)
         self._by_address[target.address] = target
         host, port = target.address
         log_event(Event.TARGET_REGISTERED, target.id, target.service, f"{host}:{port}", target.zone)
         self._notify(target)
 
     def _set_state(self, target: Target, state: TargetState) -> None:
-        """The one place in which a target's state changes."""
+        """Increase a target's state, which is done only here; ignore a state that is not higher."""
         if state <= target.state:
             return
         target.state = state
-        gone = state is TargetState.GONE
-        log_event(Event.TARGET_DEREGISTERED if gone else Event.TARGET_DRAINING, target.id)
-        if gone and self._by_address.get(target.address) is target:
+        deregistered = state is TargetState.DEREGISTERED
+        log_event(Event.TARGET_DEREGISTERED if deregistered else Event.TARGET_DRAINING, target.id)
+        if deregistered and self._by_address.get(target.address) is target:
             del self._by_address[target.address]
         self._notify(target)
 
     def _set_lease_expired(self, target: Target, expired: bool) -> None:
-        """The one place in which the opinion on a lease changes."""
+        """Set whether a target's lease has expired, which is done only here."""
         target.lease_expired = expired
         log_event(Event.TARGET_LEASE_EXPIRED if expired else Event.TARGET_LEASE_RENEWED, target.id)
         self._notify(target)
--- a/emberlatch/cluster/dispatch/destinations.py
+++ b/emberlatch/cluster/dispatch/destinations.py
@@ -23,7 +23,7 @@
 PHASES = {
     TargetState.IN_SERVICE: api.Phase.READY,
     TargetState.DRAINING: api.Phase.DRAINING,
-    TargetState.GONE: api.Phase.GONE,
+    TargetState.DEREGISTERED: api.Phase.GONE,
 }
 
 
--- a/tests/cluster/test_dispatch.py
+++ b/tests/cluster/test_dispatch.py
@@ -90,7 +90,7 @@
     destinations.update_target(target("i-1", state=TargetState.DRAINING))
     assert destinations.available("ledger") == [Locality.REMOTE]
     assert destinations.expected_instance(b"i-1") == "i-1"
-    assert destinations.update_target(target("i-4", state=TargetState.GONE)) is None
+    assert destinations.update_target(target("i-4", state=TargetState.DEREGISTERED)) is None
 
 
 @test("a fixed endpoint is announced once, expects no instance, and goes with its configuration")
--- a/tests/cluster/test_pure.py
+++ b/tests/cluster/test_pure.py
@@ -116,7 +116,7 @@
     targets.deregister("i-1", 0.2)
     targets.apply_heartbeat("i-1", beat(sequence=9), 0.3)
     states.append(targets.known["i-1"].state)
-    assert states == [TargetState.DRAINING, TargetState.GONE]
+    assert states == [TargetState.DRAINING, TargetState.DEREGISTERED]
 
 
 @test("an address that another life has announced is the first life's no more")
@@ -125,7 +125,7 @@
     targets.apply_heartbeat("i-1", beat(), 0.0)
     targets.apply_heartbeat("i-2", beat(service="other"), 1.0)
     assert (
-        targets.known["i-1"].state is TargetState.GONE
+        targets.known["i-1"].state is TargetState.DEREGISTERED
         and targets.known["i-2"].state is TargetState.IN_SERVICE
     )
 
--- a/tests/cluster/test_repeated_calls.py
+++ b/tests/cluster/test_repeated_calls.py
@@ -189,7 +189,7 @@
             assert all(s.target_directory.known[id].state is TargetState.IN_SERVICE for s in stores)
             await twice(call("POST", f"/api/instances/{id}/deregister"), *[200] * 4, late=late)
             await twice(call("POST", f"/api/instances/{id}/heartbeat", BEAT), *[200] * 4, late=late)
-            assert all(s.target_directory.known[id].state is TargetState.GONE for s in stores)
+            assert all(s.target_directory.known[id].state is TargetState.DEREGISTERED for s in stores)
             revision = 20 + int(late)
             order = cluster.configuration(revision)
             await twice(call("POST", "/api/configuration/replace", order), *[200] * 4, late=late)
