--- a/emberlatch/cluster/rate_limits/__init__.py
+++ b/emberlatch/cluster/rate_limits/__init__.py
@@ -1,4 +1,4 @@
-"""Quota shares of a service's rate limit: what this process may send of what all may send together."""
+"""This process's share of a rate limit that all processes must keep together."""
 
 from emberlatch.cluster.rate_limits.rate_share import RateShare
 
