--- a/emberlatch/cluster/batch/__init__.py
+++ b/emberlatch/cluster/batch/__init__.py
@@ -1,4 +1,4 @@
-"""Batch jobs: a file of messages, submitted at a bounded rate, that resumes where it was interrupted."""
+"""Batch jobs: a file of messages, submitted at a bounded rate, that can be interrupted and resumed."""
 
 from emberlatch.cluster.batch.progress import BatchProgress, ItemState, ProgressEntry, ProgressLogError
 from emberlatch.cluster.batch.sender import BatchItem, BatchRoute, BatchSender
--- a/emberlatch/cluster/batch/progress.py
+++ b/emberlatch/cluster/batch/progress.py
@@ -1,4 +1,4 @@
-"""The log of a batch job on disk: a line for each change of an item's state, synced before it has effects."""
+"""The progress log of a batch job: one line per state change of an item, on disk before it takes effect."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
     """The state of an item; the values are those of the log on disk."""
 
     WAITING = "waiting"
-    SUBMITTING = "trying"  # its id is on disk, and its request may be out
+    SUBMITTING = "trying"  # its id is on disk, and its request may have been sent
     ACCEPTED = "taken"
-    UNKNOWN = "unclear"  # nobody could say whether it was accepted
-    REJECTED = "refused"  # it can't be submitted at all
+    UNKNOWN = "unclear"  # whether it was accepted could not be determined
+    REJECTED = "refused"  # a forwarder rejected it, and a retry would not help
     COMPLETED = "completed"
     DEAD_LETTERED = "dead_letter"
 
 
 class ProgressLogError(ValueError):
-    """A complete line of the log can't be read."""
+    """A complete line of the progress log is malformed."""
 
     def __init__(self, path: Path, line: int, reason: object) -> None:
         super().__init__(
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProgressEntry:
-    """An item's new state.
+    """A state change of an item.
 
     Attributes:
-        item: its number in the batch, from 0.
-        state: what it is now.
-        id: of the message under which it was submitted last; empty before.
-        attempts: submissions so far.
-        seal: proof of execution; empty unless it completed.
+        item: number of the item in the batch, from 0.
+        state: the new state.
+        id: message id of its last submission; empty before the first.
+        attempts: number of submissions so far.
+        seal: proof of execution; empty unless the item completed.
     """
 
     item: int
@@ -51,7 +51,7 @@
     seal: str = ""
 
     def to_json(self) -> bytes:
-        """Return the entry as a line of the log, without the line's end."""
+        """Encode the entry as a line of the log, without the newline."""
         fields: dict[str, object] = {
             "item": self.item,
             "step": self.state.value,
@@ -64,10 +64,10 @@
 
     @classmethod
     def from_json(cls, line: bytes) -> Self:
-        """Read a line of the log.
+        """Decode a line of the log.
 
         Raises:
-            ValueError, KeyError, TypeError: it is no entry.
+            ValueError, KeyError, TypeError: the line is not an entry.
         """
         fields = json.loads(line)
         return cls(
@@ -80,15 +80,15 @@
 
 
 class BatchProgress:
-    """The log in one file, which it opens for appending.
+    """The progress log in one file, which is read and then opened for appending.
 
-    A last line that is torn is dropped: nothing was done upon it yet.
+    An incomplete last line is removed: its entry was never synced, so it had no effects yet.
 
     Attributes:
         entries: all entries, the earliest first.
 
     Raises:
-        ProgressLogError: a line that is complete can't be read.
+        ProgressLogError: a complete line is malformed.
         OSError: the file can't be opened.
     """
 
@@ -108,12 +108,12 @@
         self._file = path.open("ab")
 
     def append(self, entry: ProgressEntry) -> None:
-        """Append an entry; it is durable when this returns."""
+        """Append an entry and sync it to disk."""
         self.entries.append(entry)
         self._file.write(entry.to_json() + b"\n")
         self._file.flush()
         os.fsync(self._file.fileno())
 
     def close(self) -> None:
-        """Close the file; nothing can be appended any more."""
+        """Close the file."""
         self._file.close()
--- a/emberlatch/cluster/batch/sender.py
+++ b/emberlatch/cluster/batch/sender.py
@@ -1,9 +1,9 @@
-"""Runs a batch job through the public API: submits each item, and queries its state until it has ended.
+"""Runs a batch job through the public API: submits each item, and queries its state until it is final.
 
-An item is submitted under an id that is durable before the request goes out. Where the outcome of a
-submission is unknown, or this process died before the response came, the state of that id is queried; only
-an item that was surely not accepted is submitted again, under a new id. One whose outcome stays unknown is
-left to the operator: it is never duplicated.
+The id of a submission is on disk before the request is sent. If the outcome of a submission is unknown, or
+this process died before the response arrived, the state of that id is queried. An item is submitted again,
+under a new id, only if it was certainly not accepted. An item whose outcome stays unknown is never submitted
+again, so that no duplicate can arise; the operator has to decide about it.
 """
 
 from __future__ import annotations
@@ -18,13 +18,14 @@
 
 MAX_RESPONSE_BYTES = 1 << 20
 RESPONSE_TIMEOUT_S = 2.0
-RESOLVE_TIMEOUT_S = 10.0  # in which the outcome of a submission has to become known
-NOT_FOUND_S = 3.0  # for which all have to answer that they do not know an id: no request is under way so long
-POLL_INTERVAL_S = 0.2  # between queries, and before a retry where the response does not say when
+RESOLVE_TIMEOUT_S = 10.0  # time limit for finding out whether a submission was accepted
+# A submission was not accepted if no store knows its id during this period: no request takes longer.
+NOT_FOUND_PERIOD_S = 3.0
+POLL_INTERVAL_S = 0.2  # between queries, and before a retry if the response has no Retry-After
 MAX_RETRY_AFTER_S = 5.0
 UNLIMITED_ROUNDS = 1_000_000
 
-ENDED = {ItemState.UNKNOWN, ItemState.REJECTED, ItemState.COMPLETED, ItemState.DEAD_LETTERED}
+FINAL_STATES = {ItemState.UNKNOWN, ItemState.REJECTED, ItemState.COMPLETED, ItemState.DEAD_LETTERED}
 STATES_BY_API_NAME = {
     "queued": ItemState.ACCEPTED,
     "completed": ItemState.COMPLETED,
@@ -34,7 +35,7 @@
 
 @dataclass(slots=True)
 class BatchItem:
-    """A message of the batch job; its fields are those of `ProgressEntry`."""
+    """A message of the batch job; except for `body`, its fields are those of `ProgressEntry`."""
 
     number: int
     body: bytes
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchRoute:
-    """Where the items go: a host name and a path of the configured routes, by way of these forwarders."""
+    """Destination of a batch: host name and path of a configured route, and the forwarders to use."""
 
     host: str
     path: str
@@ -54,10 +55,10 @@
 
 
 class BatchSender:
-    """One batch job, from its bodies and what its progress says of earlier incarnations.
+    """One batch job, resumed from the progress that earlier incarnations logged.
 
     Attributes:
-        items: one for each body, in order.
+        items: one item for each message body, in order.
     """
 
     def __init__(self, name: str, bodies: list[bytes], route: BatchRoute, progress: BatchProgress) -> None:
@@ -70,11 +71,11 @@
             item.attempts, item.seal = entry.attempts, entry.seal
 
     def counts(self) -> Counter[str]:
-        """Return how many items are in each state, by its name on disk."""
+        """Return how many items are in each state, by the state's name on disk."""
         return Counter(item.state.value for item in self.items)
 
     async def run(self, per_s: float, max_rounds: int = UNLIMITED_ROUNDS) -> None:
-        """Submit what waits, at most `per_s` items a second, and query the states until all have ended."""
+        """Submit waiting items, at most `per_s` a second, and query items until their states are final."""
         for item in self.items:
             if item.state is ItemState.SUBMITTING:  # an earlier incarnation may have submitted it
                 await self._resolve(item)
@@ -83,7 +84,7 @@
                 await self._submit(item)
                 await asyncio.sleep(1 / per_s)
         for _ in range(max_rounds):
-            pending = [item for item in self.items if item.state not in ENDED]
+            pending = [item for item in self.items if item.state not in FINAL_STATES]
             if not pending:
                 return
             for item in pending:
@@ -91,14 +92,14 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def _change_state(self, item: BatchItem, state: ItemState, id: str = "", seal: str = "") -> None:
-        """Change an item's state, which is done nowhere else; it is durable when this returns."""
+        """Change an item's state and log the change to disk; states are changed only here."""
         item.state, item.id, item.seal = state, id or item.id, seal
         if state is ItemState.SUBMITTING:
             item.attempts += 1
         self._progress.append(ProgressEntry(item.number, state, item.id, item.attempts, seal))
 
     async def _request(self, method: str, path: str, body: bytes, headers: dict[str, str]) -> Response | None:
-        """Send one request to the next forwarder; None if there is no response in time."""
+        """Send one request to the next forwarder; return None if there is no response in time."""
         self._requests += 1
         forwarders = self._route.forwarders
         address = forwarders[self._requests % len(forwarders)]
@@ -132,27 +133,27 @@
             await self._resolve(item)
 
     async def _resolve(self, item: BatchItem) -> None:
-        """Find out whether a submission was accepted.
+        """Determine whether a submission was accepted.
 
-        It was not if, for a while, all stores answer and none knows the id. If neither becomes known in
-        time, the item's outcome stays unknown.
+        It was not accepted if, during `NOT_FOUND_PERIOD_S`, all stores answered and none knew the id.
+        If there is no result within `RESOLVE_TIMEOUT_S`, the item's state becomes UNKNOWN.
         """
         loop = asyncio.get_running_loop()
-        began_at = last_unknown_at = loop.time()
-        while loop.time() < began_at + RESOLVE_TIMEOUT_S:
+        started_at = last_inconclusive_at = loop.time()
+        while loop.time() < started_at + RESOLVE_TIMEOUT_S:
             found = await self._query_state(item)
             if found:
                 return
             if found is None:
-                last_unknown_at = loop.time()
-            if loop.time() > last_unknown_at + NOT_FOUND_S:
+                last_inconclusive_at = loop.time()
+            if loop.time() > last_inconclusive_at + NOT_FOUND_PERIOD_S:
                 self._change_state(item, ItemState.WAITING)
                 return
             await asyncio.sleep(POLL_INTERVAL_S)
         self._change_state(item, ItemState.UNKNOWN)
 
     async def _query_state(self, item: BatchItem) -> bool | None:
-        """Query an item's state and keep it; return whether its id is known, None if nobody could say."""
+        """Query and store an item's state; return whether its id was found, None if the query failed."""
         response = await self._request("GET", f"/api/message/{item.id}", b"", {})
         if response is None or response.status != 200:
             return False if response is not None and response.status == 404 else None
