--- a/emberlatch/cluster/cli/backup.py
+++ b/emberlatch/cluster/cli/backup.py
@@ -1,7 +1,7 @@
-"""Backups of a cluster's state: one file, exported from machines' disks and restored on empty ones.
+"""Backups of a cluster's state: one file, exported from machines' disks and restored on empty disks.
 
-The file is a sequence of CBOR items: a header, each record, and a trailer with the number of records and a
-digest, so that a truncated or damaged file is recognized.
+The file is a sequence of CBOR items: a header, one item per record, and a trailer. The trailer contains the
+number of records and a digest, by which a truncated or damaged file is detected.
 """
 
 from __future__ import annotations
@@ -27,42 +27,42 @@
 from emberlatch.cluster.settings import ConfigurationError, read_configuration
 
 FORMAT_VERSION = 1
-FORMAT_KEY = "huts"  # in the header; the name is part of the file format, as are the other keys
+FORMAT_KEY = "huts"  # header key; part of the file format, as are the keys below
 CONFIGURATION_KEY = "word"
 RECORD_COUNT_KEY = "records"
 DIGEST_KEY = "digest"
-INCARNATION_NOTE = "life"  # key in the notes of the record database
+INCARNATION_NOTE = "life"  # key of a note in the record database
 MAX_ERROR_CHARS = 300
 IDENTITY_CHARS = 16
 
 
 class BackupError(Exception):
-    """A backup can't be made or used; the text says which file or folder, and why."""
+    """A backup can't be made or used; the message names the file or folder, and the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Backup:
-    """`configuration` is the text in force; None if there is none."""
+    """Content of a backup; `configuration` is the text of the active configuration, None without one."""
 
     records: list[Record]
     configuration: bytes | None
 
 
 class Digest(Protocol):
-    """A hash that bytes are added to."""
+    """An incremental hash."""
 
     def update(self, data: bytes, /) -> None:
-        """Add bytes."""
+        """Add bytes to the hash."""
 
     def digest(self) -> bytes:
-        """The hash of what was added."""
+        """Return the hash of all added bytes."""
 
 
 def _read_records(folder: Path) -> Iterator[Record]:
-    """All records on a machine's disk; times are times of day in seconds."""
+    """Yield all records on a machine's disk; times are wall-clock times in seconds."""
     database = folder / RECORDS_FILE
     if not database.exists():
-        raise BackupError(f"{folder}: no records here")
+        raise BackupError(f"{folder}: not a data folder: {RECORDS_FILE} not found")
     for record in read_records(database):
         if isinstance(record, DamagedRecord):
             raise BackupError(f"{folder}: record {record.id} is damaged: {record.error}")
@@ -70,7 +70,7 @@
 
 
 def merge_disks(folders: list[Path]) -> Backup:
-    """The merged records of these disks, and the latest configuration. Raises BackupError."""
+    """Merge the records of these disks, and find the latest configuration. Raises BackupError."""
     merged: dict[str, Record] = {}
     newest = ControlState()
     for folder in folders:
@@ -87,7 +87,7 @@
 
 
 def export(folders: list[Path], to: Path) -> ExitCode:
-    """Write a backup of these data folders. UNUSABLE if one can't be read."""
+    """Write a backup of these data folders. Return UNUSABLE if one can't be read."""
     try:
         backup = merge_disks(folders)
     except BackupError as error:
@@ -117,27 +117,30 @@
 
 
 def read_backup(path: Path) -> Backup:
-    """Read and verify a backup. Raises BackupError if it is truncated, damaged or of another format."""
+    """Read and verify a backup. Raises BackupError if it is truncated, damaged or in another format."""
     try:
         content = _read_items(path)
         header = content.items[0]
         if header[FORMAT_KEY] != FORMAT_VERSION:
-            raise BackupError(f"{path}: format {header[FORMAT_KEY]}, supported is {FORMAT_VERSION}")
+            raise BackupError(f"{path}: format version {header[FORMAT_KEY]}, expected {FORMAT_VERSION}")
         records = [Record.from_wire(item, 0.0) for item in content.items[1:]]
         intact = content.trailer[RECORD_COUNT_KEY] == len(records)
         intact = intact and content.trailer[DIGEST_KEY] == content.digest
     except BackupError:
         raise
     except Exception as error:  # decoding raises errors of many types on damaged bytes
-        raise BackupError(f"{path}: truncated or no backup: {error!r}"[:MAX_ERROR_CHARS]) from None
+        raise BackupError(f"{path}: truncated, or not a backup: {error!r}"[:MAX_ERROR_CHARS]) from None
     if not intact:
-        raise BackupError(f"{path}: damaged: its digest does not match")
+        raise BackupError(
+            f"{path}: damaged: record count or digest does not match "
+            f"({len(records)} records read, {content.trailer[RECORD_COUNT_KEY]} expected)"
+        )
     return Backup(records, header[CONFIGURATION_KEY])
 
 
 @dataclass(frozen=True, slots=True)
 class _Content:
-    """The decoded items of a file; `digest` is that of the header's and the records' bytes."""
+    """The decoded items of a backup file; `digest` is the hash of the bytes before the trailer."""
 
     items: list[Any]
     trailer: dict[str, Any]
@@ -145,7 +148,7 @@
 
 
 def _read_items(path: Path) -> _Content:
-    """Decode up to the trailer; the decoder raises at the end of a file that has none."""
+    """Decode all items up to the trailer; without a trailer, the decoder raises at the end of the file."""
     items = list[Any]()
     digest = hashlib.sha256()
     with path.open("rb") as source:
@@ -163,15 +166,21 @@
 def restore(path: Path, into: Path, node: str, nodes: list[str], copies: int) -> ExitCode:
     """Restore one machine's part of a backup on its empty disk.
 
-    Each record goes to `copies` machines, chosen by rendezvous hashing so that the part of each machine can
-    be computed alone; the first of them becomes its owner. FAILED if the backup is damaged, UNUSABLE if the
-    arguments are wrong or the folder is not empty.
+    Each record is restored on `copies` machines, and the first of them becomes its owner. The machines are
+    chosen by rendezvous hashing, so that each machine can compute its own part alone. Return FAILED if the
+    backup is damaged, UNUSABLE if the arguments are invalid or the folder is not empty.
     """
     if node not in nodes or not 0 < copies <= len(nodes):
-        print(f"{node}: one of --nodes expected, and 1 to {len(nodes)} copies", file=sys.stderr)
+        print(
+            f"{node}: expected one of --nodes {','.join(nodes)}; {copies} copies: expected 1 to {len(nodes)}",
+            file=sys.stderr,
+        )
         return ExitCode.UNUSABLE
     if (into / RECORDS_FILE).exists() or (into / CONTROL_FOLDER).exists():
-        print(f"{into}: not empty; a backup is restored on empty disks only", file=sys.stderr)
+        print(
+            f"{into}: contains {RECORDS_FILE} or {CONTROL_FOLDER}; a backup is restored on empty disks only",
+            file=sys.stderr,
+        )
         return ExitCode.UNUSABLE
     try:
         backup = read_backup(path)
@@ -185,18 +194,18 @@
         except ConfigurationError as error:
             print(f"{path}: its configuration is not valid: {error}", file=sys.stderr)
             return ExitCode.FAILED
-        order = Configure(config.revision, backup.configuration)
-        _found_voter_group(into / CONTROL_FOLDER, path, node, nodes, copies, order)
+        command = Configure(config.revision, backup.configuration)
+        _create_voter_group(into / CONTROL_FOLDER, path, node, nodes, copies, command)
     print(f"{into}: {restored} of {len(backup.records)} records; {_configuration_text(backup)}")
     return ExitCode.OK
 
 
 async def _reject_asynchronous_write(work: Callable[[], None]) -> None:
-    raise AssertionError(f"a restore writes synchronously, {work!r} is not")
+    raise AssertionError(f"a restore must write synchronously, got asynchronous work: {work!r}")
 
 
 def _restore_records(records: list[Record], into: Path, node: str, nodes: list[str], copies: int) -> int:
-    """Write the records of which this machine gets a replica; how many they are."""
+    """Write the records of which this machine gets a replica; return their number."""
     database = RecordDatabase(into / RECORDS_FILE, Disk(_reject_asynchronous_write), lambda: 0.0)
     restored = 0
     for record in records:
@@ -210,10 +219,10 @@
     return restored
 
 
-def _found_voter_group(
-    folder: Path, backup_file: Path, node: str, nodes: list[str], copies: int, order: Configure
+def _create_voter_group(
+    folder: Path, backup_file: Path, node: str, nodes: list[str], copies: int, command: Configure
 ) -> None:
-    """Write this machine's part of a new voter group: each machine computes the same group."""
+    """Write this machine's state in a new voter group; all machines compute the same group."""
     digest = hashlib.sha256(backup_file.read_bytes()).hexdigest()
 
     def voter(name: str) -> Voter:
@@ -222,5 +231,5 @@
 
     count = min(2 * copies - 1, len(nodes))
     voters = tuple(voter(name) for name in sorted(nodes)[:count])
-    state = apply_batch(ControlState(), (FoundGroup(voters), order))
+    state = apply_batch(ControlState(), (FoundGroup(voters), command))
     RecordStorage(folder, node).initialize(AcceptorRecord(voter(node), None, state))
--- a/emberlatch/cluster/cli/disk.py
+++ b/emberlatch/cluster/cli/disk.py
@@ -1,4 +1,4 @@
-"""The command `state show`: what a machine's disk contains."""
+"""The command `state show`: the contents of a machine's disk."""
 
 from __future__ import annotations
 
@@ -23,7 +23,14 @@
 
 @dataclass
 class DiskContents:
-    """Counts of the records on a disk; `queued_by_owner` counts those that wait for delivery."""
+    """Summary of the records on a disk.
+
+    Attributes:
+        by_state: number of records by the label of their state.
+        queued_by_owner: number of records that wait for delivery, by the owning store.
+        body_bytes: total size of the message bodies.
+        damages: a line for each damage that was found.
+    """
 
     by_state: Counter[str] = field(default_factory=Counter)
     queued_by_owner: Counter[str] = field(default_factory=Counter)
@@ -38,7 +45,7 @@
 
 
 def read_contents(database: Path, verify: bool) -> DiskContents:
-    """Read all records. With `verify`, queued records without a body and a corrupted file count too."""
+    """Read all records; `verify` also reports queued records without a body, and a corrupt database."""
     contents = DiskContents()
     for record in read_records(database):
         if isinstance(record, DamagedRecord):
@@ -82,11 +89,13 @@
 
 
 def show(folder: Path, verify: bool) -> ExitCode:
-    """Print what the data folder of a stopped process contains. FAILED if something is damaged, UNUSABLE if
-    there are no records."""
+    """Print the contents of a stopped process's data folder.
+
+    Return FAILED if something is damaged, UNUSABLE if the folder has no record database.
+    """
     database = folder / RECORDS_FILE
     if not database.exists():
-        print(f"{folder}: no records here", file=sys.stderr)
+        print(f"{folder}: not a data folder: {RECORDS_FILE} not found", file=sys.stderr)
         return ExitCode.UNUSABLE
     contents = read_contents(database, verify)
     print("\n".join(_content_lines(contents)))
--- a/emberlatch/cluster/cli/stored_records.py
+++ b/emberlatch/cluster/cli/stored_records.py
@@ -1,4 +1,4 @@
-"""Reading the records of a stopped machine's disk."""
+"""Reads the records on a stopped machine's disk."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DamagedRecord:
-    """A row that can't be decoded, and why."""
+    """A row that can't be decoded; `error` is the reason."""
 
     id: str
     error: str
 
 
 def read_records(database: Path) -> Iterator[Record | DamagedRecord]:
-    """All rows of a record database, read-only; times are times of day in seconds."""
+    """Yield all rows of a record database, opened read-only; times are wall-clock times in seconds."""
     with sqlite3.connect(f"file:{database}?mode=ro", uri=True) as db:
         for id, meta, body in db.execute("SELECT id, meta, body FROM records"):
             try:
@@ -35,7 +35,7 @@
 
 
 def passes_integrity_check(database: Path) -> bool:
-    """SQLite's own check of the file."""
+    """Return whether the file passes SQLite's integrity check."""
     with sqlite3.connect(f"file:{database}?mode=ro", uri=True) as db:
         (result,) = db.execute("PRAGMA integrity_check").fetchone()
     return bool(result == "ok")
