--- a/emberlatch/cluster/cli/loopback_cluster.py
+++ b/emberlatch/cluster/cli/loopback_cluster.py
@@ -1,4 +1,4 @@
-"""A cluster of real processes on loopback addresses of this machine."""
+"""A cluster of operating system processes on loopback addresses of this machine."""
 
 from __future__ import annotations
 
@@ -26,26 +26,26 @@
 from emberlatch.simulation.target import SimulatedTarget
 
 THIS_CHECKOUT = Path(__file__).resolve().parents[3]
-NODE_PACKAGES = "emberlatch.cluster", "huts"  # that start a node; the second in older checkouts
+NODE_PACKAGES = "emberlatch.cluster", "huts"  # packages that start a node; older checkouts have the second
 STORE_COUNT = 3
 FORWARDER_COUNT = 2
 TARGET_COUNT = 4
 TARGET_IP = "127.0.3.1"
 ZONE = "here"
 FIRST_REVISION = 3
-GRACE_S = 6.0  # from SIGTERM to SIGKILL
+SHUTDOWN_GRACE_S = 6.0  # time from SIGTERM to SIGKILL
 POLL_INTERVAL_S = 0.05
 READY_POLLS = 200
 READY_TIMEOUT_S = 1.0
 STATE_TIMEOUT_S = 2.0
-REGISTRATION_S = 1.5  # until each target has sent a heartbeat
-ROLL_PAUSE_S = 1.0  # between the replacement of two processes
+REGISTRATION_WAIT_S = 1.5  # time until each target has sent a heartbeat
+ROLL_OUT_PAUSE_S = 1.0  # between the replacement of two processes
 OK = 200
 UNKNOWN_STATE = "unknown"
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that are free just now."""
+    """Find ports that are free at the moment."""
     sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     ports = [listener.getsockname()[1] for listener in sockets]
     for listener in sockets:
@@ -54,7 +54,7 @@
 
 
 def node_package(checkout: Path) -> str | None:
-    """The package that starts a node from a checkout; None if it is no checkout of this program."""
+    """Return the package that starts a node in a checkout; None if there is no such package."""
     for package in NODE_PACKAGES:
         if checkout.joinpath(*package.split("."), "__main__.py").exists():
             return package
@@ -63,21 +63,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """The same on every address: for operators, clients, health checks, and other processes."""
+    """Port numbers, which are the same on every address."""
 
-    control: int
-    front: int
-    ready: int
-    inner: int
+    control: int  # for operators
+    client: int
+    readiness: int  # for health checks
+    peer: int  # for the other processes of the cluster
 
 
 class LoopbackCluster(Environment):
     """Stores and forwarders as processes, for the simulated clients, targets and operators of this process.
 
     Attributes:
-        hosts: Loopback address of each process by its name.
-        processes: The running ones by name.
-        checkout: Of the program, from which processes are started.
+        hosts: loopback address of each process by its name.
+        processes: running processes by name.
+        checkout: checkout of the program from which processes are started.
     """
 
     def __init__(self, per_s: float, seconds: float) -> None:
@@ -92,14 +92,14 @@
         self.checkout = THIS_CHECKOUT
 
     def control_addresses(self) -> list[tuple[str, int]]:
-        """The control addresses of all stores, shuffled."""
+        """Return the control addresses of all stores in random order."""
         addresses = [(host, self.ports.control) for host in self.stores.values()]
         self.random.shuffle(addresses)
         return addresses
 
     def pick_forwarder(self, zone: str, chance: random.Random) -> tuple[str, int] | None:
-        """Either forwarder."""
-        return chance.choice(list(self.forwarders.values())), self.ports.front
+        """Choose a forwarder at random."""
+        return chance.choice(list(self.forwarders.values())), self.ports.client
 
     def run_in(self, process: Process, work: Coroutine[object, object, Result]) -> asyncio.Task[Result]:
         """Run a coroutine in this process."""
@@ -111,9 +111,9 @@
         await self.run_in(target.process, target.start())
 
     def start_process(self, name: str, first_start: bool) -> None:
-        """Start a node from the present checkout; its output is appended to a file in the folder."""
+        """Start a node from the current checkout; append its output to a file in `folder`."""
         package = node_package(self.checkout)
-        assert package is not None, f"{self.checkout} is no checkout of this program"
+        assert package is not None, f"{self.checkout} is not a checkout of this program"
         settings = self.folder / f"{name}.toml"
         settings.write_text(self._settings_text(name, first_start))
         with (self.folder / f"{name}.log").open("ab") as out:
@@ -131,7 +131,7 @@
         lines = [
             f'node = "{name}"', f'ip = "{host}"', f'zone = "{ZONE}"', f'region = "{ZONE}"',
             f"seeds = {json.dumps(seeds)}",
-            f"port_range = [{self.ports.inner}, {self.ports.inner}]",
+            f"port_range = [{self.ports.peer}, {self.ports.peer}]",
             f"initial_start = {str(first_start).lower()}",
             "serves = " + ('["store", "control"]' if is_store else '["front"]'),
             f"counted = {str(is_store).lower()}",
@@ -140,13 +140,13 @@
             lines += [f'data_dir = "{self.folder / name}"', "[listen]"]
             lines += [f'control = "{host}:{self.ports.control}"']
         else:
-            lines += ["[listen]", f'front = "{host}:{self.ports.front}"']
-            lines += [f'ready = "{host}:{self.ports.ready}"']
+            lines += ["[listen]", f'front = "{host}:{self.ports.client}"']
+            lines += [f'ready = "{host}:{self.ports.readiness}"']
         lines += ["[limits]", "memory_mb = 300", "max_fds = 1000", "[resilience]", "machines = 1"]
         return "\n".join(lines) + "\n"
 
     async def start(self) -> bool:
-        """Start everything and send the first configuration; whether it became ready."""
+        """Start all processes and targets, apply a configuration, and return whether it became ready."""
         for name in self.hosts:
             self.start_process(name, True)
         for n in range(TARGET_COUNT):
@@ -154,11 +154,11 @@
         if not await SimulatedOperator(self).send(FIRST_REVISION) or not await self.wait_ready():
             print("the cluster did not become ready", file=sys.stderr)
             return False
-        await asyncio.sleep(REGISTRATION_S)
+        await asyncio.sleep(REGISTRATION_WAIT_S)
         return True
 
     async def wait_ready(self) -> bool:
-        """Wait until all forwarders are ready; False if they are not after READY_POLLS."""
+        """Wait until all forwarders are ready; return False if they are not after READY_POLLS."""
         for _ in range(READY_POLLS):
             if await self._all_ready():
                 return True
@@ -168,7 +168,7 @@
     async def _all_ready(self) -> bool:
         try:
             for host in self.forwarders.values():
-                address = host, self.ports.ready
+                address = host, self.ports.readiness
                 response = await send_request(address, "GET", "/api/readiness", b"", {}, READY_TIMEOUT_S)
                 if response.status != OK:
                     return False
@@ -177,8 +177,8 @@
         return True
 
     async def message_state(self, id: str) -> str:
-        """The state of a message by a forwarder's answer; UNKNOWN_STATE if it has none."""
-        address, path = (self.forwarders["front-0"], self.ports.front), f"/api/message/{id}"
+        """Query a message's state at a forwarder; return UNKNOWN_STATE without an answer."""
+        address, path = (self.forwarders["front-0"], self.ports.client), f"/api/message/{id}"
         try:
             response = await send_request(address, "GET", path, b"", {"Host": "a"}, STATE_TIMEOUT_S)
         except (OSError, NoResponseError, TimeoutError):
@@ -186,16 +186,16 @@
         return bytes(response.body).decode().split('"')[3] if response.status == OK else UNKNOWN_STATE
 
     def kill_and_restart(self, name: str) -> None:
-        """SIGKILL, and a start on the same disk at once."""
+        """Kill a process with SIGKILL, and restart it on the same disk at once."""
         self.processes[name].send_signal(signal.SIGKILL)
         self.processes[name].wait()
         self.start_process(name, False)
 
     async def replace_process(self, name: str) -> bool:
-        """Shut a process down and start it from the present checkout; False if it had to be killed."""
+        """Restart a process from the current checkout; return False if it had to be killed."""
         process = self.processes[name]
         process.send_signal(signal.SIGTERM)
-        for _ in range(int(GRACE_S / POLL_INTERVAL_S)):
+        for _ in range(int(SHUTDOWN_GRACE_S / POLL_INTERVAL_S)):
             if process.poll() is not None:
                 break
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -206,26 +206,26 @@
         return exited
 
     async def roll_out(self, checkout: Path) -> None:
-        """Replace all processes by ones of another checkout, one after the other."""
+        """Replace all processes, one after the other, by processes of another checkout."""
         self.checkout = checkout
         for name in self.hosts:
             exited = await self.replace_process(name)
             now = asyncio.get_running_loop().time()
             print(
                 f"{now:.2f} {name} runs from {checkout.name}"
-                + ("" if exited else ": killed, it did not exit in time")
+                + ("" if exited else f": killed, it did not exit within {SHUTDOWN_GRACE_S:g} s")
             )
             if not exited:
                 self.history.record_breach("GRACE", now, name)
             await self.wait_ready()
-            await asyncio.sleep(ROLL_PAUSE_S)
+            await asyncio.sleep(ROLL_OUT_PAUSE_S)
 
     def clients(self) -> SimulatedClients:
-        """Clients that submit messages at the plan's rate."""
+        """Create clients that submit messages at the plan's rate."""
         return SimulatedClients(self, ZONE, self.plan.messages_per_s)
 
     def close(self) -> None:
-        """Kill the processes that were started, and remove their files."""
+        """Kill all started processes, and remove their files."""
         for process in self.processes.values():
             process.send_signal(signal.SIGKILL)
             process.wait()
--- a/emberlatch/cluster/cli/trial.py
+++ b/emberlatch/cluster/cli/trial.py
@@ -1,8 +1,8 @@
-"""The command `try`: a complete cluster on this machine under load.
+"""The command `try`: runs a complete cluster under load on this machine.
 
-Three stores and two forwarders run as processes on loopback addresses, targets and clients beside them in
-this process. A roll-out is tried the same way: all begin with another checkout of the program, are replaced
-by this one, process by process under load, and back again.
+Three stores and two forwarders run as processes on loopback addresses; targets and clients run in this
+process. A roll-out is tried in the same way: all processes start from another checkout of the program. Under
+load, they are replaced one by one by processes of this checkout, and then by the other checkout again.
 """
 
 from __future__ import annotations
@@ -25,22 +25,22 @@
 
 ACCEPTED = 202
 KILLED_STORE = "store-0"
-FAULT_TOLERANCE_S = 0.1  # before a fault, within which its effects may be seen
+FAULT_TOLERANCE_S = 0.1  # a fault may have visible effects this long before its recorded time
 UNLIMITED_S = 1e6
-WARM_UP_S = 2.0  # of load before a roll-out
-COMPLETION_WAIT_S = 3.0  # after the last message
+WARM_UP_S = 2.0  # duration of the load before a roll-out
+COMPLETION_WAIT_S = 3.0  # time after the last message for deliveries to complete
 
 
 async def _start(cluster: LoopbackCluster) -> bool:
     if not await cluster.start():
         return False
-    address = f"{cluster.hosts[KILLED_STORE]}:{cluster.ports.inner}"
+    address = f"{cluster.hosts[KILLED_STORE]}:{cluster.ports.peer}"
     print(f"the cluster is ready; inspect it with: emberlatch-cluster status {address}")
     return True
 
 
 async def _try_load(cluster: LoopbackCluster, kill: bool) -> ExitCode:
-    """Submit messages for the plan's duration; with `kill`, a store is killed half-way."""
+    """Submit messages for the plan's duration; with `kill`, kill a store at half of that time."""
     if not await _start(cluster):
         return ExitCode.FAILED
     loop, duration_s = asyncio.get_running_loop(), cluster.plan.duration_s
@@ -65,7 +65,7 @@
 
 
 async def _try_roll_out(cluster: LoopbackCluster, other: Path) -> ExitCode:
-    """Begin with another checkout, replace it by this one, and back."""
+    """Start from the `other` checkout, roll out this one under load, then roll back."""
     cluster.checkout = other
     if not await _start(cluster):
         return ExitCode.FAILED
@@ -78,7 +78,7 @@
 
 
 async def _report(cluster: LoopbackCluster, load: asyncio.Task[None]) -> ExitCode:
-    """Print what became of the messages. FAILED if one was lost or a rule broken."""
+    """Print the final states of the messages. Return FAILED if one was lost or a rule was broken."""
     with contextlib.suppress(asyncio.CancelledError):
         await load
     await asyncio.sleep(COMPLETION_WAIT_S)
@@ -96,11 +96,11 @@
 def run(seconds: float, per_s: float, kill: bool, other: Path | None) -> ExitCode:
     """Try a cluster under load, or, with another checkout, a roll-out from it and back.
 
-    FAILED if a message was lost or a rule broken, UNUSABLE if `other` is no checkout.
+    Return FAILED if a message was lost or a rule was broken, UNUSABLE if `other` is not a checkout.
     """
     logging.basicConfig(level=logging.ERROR)
     if other is not None and node_package(other) is None:
-        print(f"{other}: no checkout of this program", file=sys.stderr)
+        print(f"{other}: not a checkout of this program", file=sys.stderr)
         return ExitCode.UNUSABLE
     cluster = LoopbackCluster(per_s, seconds)
     try:
