--- a/emberlatch/cluster/cli/__init__.py
+++ b/emberlatch/cluster/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' command line `emberlatch-cluster`; a node's process never imports it."""
+"""The command line `emberlatch-cluster` for operators; a node's process never imports this package."""
 
 from emberlatch.cluster.cli.main import main
 
--- a/emberlatch/cluster/cli/batch.py
+++ b/emberlatch/cluster/cli/batch.py
@@ -1,4 +1,4 @@
-"""The command `batch`: submits a file as a batch job, a message a line."""
+"""The command `batch`: submits a file as a batch job, one message per line."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class ArgumentError(ValueError):
-    """The route, the forwarders or the rate can't be used."""
+    """The route, a forwarder or the rate is invalid."""
 
 
 def parse_route(to: str, forwarders: list[str]) -> BatchRoute:
-    """The route from HOST/PATH and HOST:PORT of each forwarder. Raises ArgumentError."""
+    """Parse HOST/PATH of the route and HOST:PORT of each forwarder. Raises ArgumentError."""
     host, slash, path = to.partition("/")
     if not host or not slash:
-        raise ArgumentError(f"{to}: HOST/PATH expected")
+        raise ArgumentError(f"{to}: HOST/PATH of a route expected")
     if not forwarders:
         raise ArgumentError("HOST:PORT of a forwarder expected")
     return BatchRoute(host, slash + path, tuple(map(_parse_forwarder, forwarders)))
@@ -34,12 +34,14 @@
 
 
 def send(file: Path, to: str, forwarders: list[str], per_s: float, progress: Path | None) -> ExitCode:
-    """Submit what is not yet completed. FAILED if a message was not completed, UNUSABLE for wrong
-    arguments."""
+    """Submit the messages that are not completed yet.
+
+    Return FAILED if a message was not completed, UNUSABLE for invalid arguments.
+    """
     try:
         route = parse_route(to, forwarders)
         if per_s <= 0:
-            raise ArgumentError(f"{per_s}: a rate above 0 expected")
+            raise ArgumentError(f"{per_s}: a rate above 0 messages per second expected")
         bodies = file.read_bytes().splitlines()
     except ArgumentError as error:
         print(f"emberlatch-cluster batch: {error}", file=sys.stderr)
--- a/emberlatch/cluster/cli/exit_code.py
+++ b/emberlatch/cluster/cli/exit_code.py
@@ -6,8 +6,8 @@
 
 
 class ExitCode(IntEnum):
-    """What a command's help says in detail."""
+    """Exit code of a command; the help text of each command explains its codes."""
 
     OK = 0
-    FAILED = 1  # it ran, and found or left something wrong
-    UNUSABLE = 2  # wrong arguments, or nothing there to work on
+    FAILED = 1  # the command ran, and found a problem or did not complete its work
+    UNUSABLE = 2  # invalid arguments, or the input is missing
--- a/emberlatch/cluster/cli/growth.py
+++ b/emberlatch/cluster/cli/growth.py
@@ -1,4 +1,4 @@
-"""The commands `growth` and `mending`: costs of the control plane and of repair in simulated clusters."""
+"""The commands `growth` and `mending`: cost of the control plane and of repair in simulated clusters."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SizeFormat:
-    """How sizes are given: two numbers with a slash between; the second must be at least `min_second`."""
+    """Format of a size argument: two numbers separated by a slash, the second at least `min_second`."""
 
     name: str
     min_second: int
     defaults: tuple[str, ...]
 
     def parse(self, sizes: list[str]) -> list[tuple[int, int]]:
-        """The sizes, or the defaults if none are given. Raises SizeError."""
+        """Parse sizes, or the defaults if there are none. Raises SizeError."""
         return [self._parse_one(size) for size in sizes or self.defaults]
 
     def _parse_one(self, size: str) -> tuple[int, int]:
         first, _, second = size.partition("/")
         if not (first.isdigit() and second.isdigit() and int(second) >= self.min_second):
-            raise SizeError(f"{size}: {self.name} expected, the second at least {self.min_second}")
+            raise SizeError(f"{size}: {self.name} expected, the second number at least {self.min_second}")
         return int(first), int(second)
 
 
@@ -47,7 +47,7 @@
 
 
 def growth_line(cost: GrowthCost) -> str:
-    """A row below GROWTH_HEADER."""
+    """Format a table row for GROWTH_HEADER."""
     forwarder, store = cost.forwarder, cost.busiest_store
     return (
         f"{cost.forwarders:10d} {cost.stores:6d} {cost.start_cross_zone_bytes / 1e6:9.2f} "
@@ -61,7 +61,7 @@
 
 
 def repair_line(records: int, lacking: int, cost: RepairCost) -> str:
-    """A row below REPAIR_HEADER."""
+    """Format a table row for REPAIR_HEADER."""
     return (
         f"{records:7d} {lacking:7d} {cost.frames:7d} {cost.bytes:9d} {cost.minimum_bytes:9d} "
         f"{cost.repeat_bytes:8d} {cost.processor_s:6.2f} {cost.longest_block_s:10.2f} "
@@ -70,7 +70,7 @@
 
 
 def measure_growth(sizes: list[str], zones: int, targets: int, as_json: bool) -> ExitCode:
-    """Measure clusters of these sizes. UNUSABLE if a size is malformed."""
+    """Measure and print clusters of these sizes. Return UNUSABLE if a size is malformed."""
     logging.basicConfig(level=logging.CRITICAL)
     try:
         parsed = CLUSTER_SIZES.parse(sizes)
@@ -86,7 +86,7 @@
 
 
 def measure_repair(sizes: list[str], as_json: bool) -> ExitCode:
-    """Measure the repair between two stores of which one lacks records. UNUSABLE if a size is malformed."""
+    """Measure the repair of a store that lacks records. Return UNUSABLE if a size is malformed."""
     logging.basicConfig(level=logging.CRITICAL)
     try:
         parsed = REPAIR_SIZES.parse(sizes)
--- a/emberlatch/cluster/cli/main.py
+++ b/emberlatch/cluster/cli/main.py
@@ -1,6 +1,6 @@
-"""`emberlatch-cluster`: declarations of the commands and their arguments; the work is in the other modules.
+"""`emberlatch-cluster`: declarations of the commands and their arguments; the other modules implement them.
 
-Names of commands and options are part of the operators' documentation.
+Operators depend on the names of commands and options, so these names must not change.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 @cappa.command(name="show", help="What a machine's disk contains; the process must not run.")
 @dataclass
 class Show:
-    """Prints counts, versions and what is damaged."""
+    """Prints counts, versions and damages."""
 
     folder: Annotated[Path, cappa.Arg(help="the data folder of the process")]
     verify: Annotated[bool, cappa.Arg(long=True, help="read every record; exit code 1 if one is damaged")] = (
@@ -55,8 +55,10 @@
 @cappa.command(name="export", help="Back up the state: one file from the disks of stopped machines.")
 @dataclass
 class Export:
-    """Takes as many machines' folders as are at hand: `resilience` says how many may be missing. Exit code 2
-    if one can't be read."""
+    """Reads the folders of all available machines; the setting `resilience` says how many may be missing.
+
+    Exit code 2 if a folder can't be read.
+    """
 
     folders: Annotated[list[Path], cappa.Arg(help="data folders", num_args=-1)]
     to: Annotated[Path, cappa.Arg(long=True, help="the file")]
@@ -69,8 +71,10 @@
 @cappa.command(name="restore", help="Restore a backup on the empty disk of one machine; call it for each.")
 @dataclass
 class Restore:
-    """Only where the old cluster is gone for good: what ended after the backup was made runs again. Exit code
-    1 if the backup is damaged, 2 if the folder is not empty."""
+    """Use it only if the old cluster is lost: messages that ended after the backup are delivered again.
+
+    Exit code 1 if the backup is damaged, 2 if the folder is not empty.
+    """
 
     file: Annotated[Path, cappa.Arg(help="the backup")]
     into: Annotated[Path, cappa.Arg(long=True, help="the machine's data folder")]
@@ -87,7 +91,7 @@
 @cappa.command(name="state", help="Disks of machines: show their contents, back them up, restore a backup.")
 @dataclass
 class State:
-    """The processes must not run."""
+    """The processes of the machines must be stopped."""
 
     command: cappa.Subcommands[Show | Export | Restore]
 
@@ -95,7 +99,7 @@
 @cappa.command(name="try", help="Start a cluster on loopback addresses, with targets and clients.")
 @dataclass
 class Try:
-    """Prints what was served, second by second, and what became of the messages."""
+    """Prints the answers and deliveries of each second, and the final states of the messages."""
 
     seconds: Annotated[float, cappa.Arg(long=True, help="for how long clients submit messages")] = 10.0
     per_s: Annotated[float, cappa.Arg(long="--per-s", help="messages a second")] = 40.0
@@ -115,7 +119,7 @@
 @cappa.command(name="simulate", help="Play drawn days of simulated clusters, and check the rules.")
 @dataclass
 class Simulate:
-    """Exit code 1 if a rule was broken; the seed plays the same day again."""
+    """Exit code 1 if a rule was broken; the same seed simulates the same day again."""
 
     seed: Annotated[int, cappa.Arg(long=True, help="the first seed")] = 1
     days: Annotated[int, cappa.Arg(long=True, help="how many")] = 1
@@ -138,7 +142,7 @@
 @cappa.command(name="batch", help="Submit a file, a message a line; resumes where an earlier call stopped.")
 @dataclass
 class Batch:
-    """Exit code 0 if all were delivered, 1 if some were not."""
+    """Exit code 0 if all messages were delivered, 1 if some were not, 2 if an argument is invalid."""
 
     file: Annotated[Path, cappa.Arg(help="the messages")]
     to: Annotated[str, cappa.Arg(long=True, help="HOST/PATH of the route")]
@@ -156,7 +160,7 @@
 )
 @dataclass
 class Growth:
-    """Over zones: bytes that leave their zone. Exit code 2 if a size is malformed."""
+    """Column `over`: bytes sent to another zone. Exit code 2 if a size is malformed."""
 
     sizes: Annotated[list[str], cappa.Arg(help="FORWARDERS/STORES, several", num_args=-1)] = field(
         default_factory=list
@@ -173,8 +177,10 @@
 @cappa.command(name="mending", help="What the repair of a store costs after it was away.")
 @dataclass
 class Repair:
-    """`least`: bytes of the missing records alone; `again`: of the next comparison. Exit code 2 if a size is
-    malformed."""
+    """Column `least`: bytes of the missing records alone; column `again`: bytes of the next comparison.
+
+    Exit code 2 if a size is malformed.
+    """
 
     sizes: Annotated[list[str], cappa.Arg(help="RECORDS/LACKING, several", num_args=-1)] = field(
         default_factory=list
@@ -189,7 +195,7 @@
 @cappa.command(name="status", help="What the stores of a running cluster report, and where they disagree.")
 @dataclass
 class Status:
-    """Exit code 0 if all agree, 1 if something is wrong, 2 if nobody answers."""
+    """Exit code 0 if all stores agree, 1 if there is a problem, 2 if no store answers."""
 
     at: Annotated[str, cappa.Arg(help="HOST:PORT of any store, its port for other processes")]
     json: Annotated[bool, cappa.Arg(long=True, help="one JSON object")] = False
@@ -202,7 +208,7 @@
 @cappa.command(name="why", help="What each store has of one message.")
 @dataclass
 class Why:
-    """Exit code 0 if a store knows it, 1 if none does, 2 if nobody answers."""
+    """Exit code 0 if a store has the message, 1 if none has it, 2 if no store answers."""
 
     id: Annotated[str, cappa.Arg(help="the message's name, the id of the attempt that was answered 202")]
     at: Annotated[str, cappa.Arg(long=True, help="HOST:PORT of any store, its port for other processes")]
@@ -216,7 +222,7 @@
 @cappa.command(name="emberlatch-cluster", help="An ingest and dispatch service as a cluster.")
 @dataclass
 class ClusterCommands:
-    """The commands."""
+    """All commands."""
 
     command: cappa.Subcommands[
         Batch | Check | Events | Growth | Repair | State | Status | Try | Simulate | Why
--- a/emberlatch/cluster/cli/simulate.py
+++ b/emberlatch/cluster/cli/simulate.py
@@ -1,4 +1,4 @@
-"""The command `simulate`: drawn days of simulated clusters."""
+"""The command `simulate`: simulated clusters, each under one random plan, which is called a day."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DayOutcome:
-    """`accepted`: messages; `breaches`: a line for each broken rule, which begins with its name."""
+    """Outcome of a day. `accepted`: number of messages; `breaches`: lines that begin with a rule's name."""
 
     seed: int
     accepted: int
@@ -28,10 +28,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SimulationOptions:
-    """Which days are played.
-
-    `jobs` is the number of processes; `strange` draws more losses than the settings allow, `large` grown
-    deployments; `shrink` removes faults from the first failing day as long as a rule still breaks.
+    """Selection of the simulated days.
+
+    Attributes:
+        seed: seed of the first day; each further day uses the next seed.
+        days: number of days.
+        jobs: number of processes.
+        log: print the logs of the simulated processes.
+        strange: plans contain more losses than the settings allow.
+        large: plans contain large deployments.
+        shrink: reduce the plan of the first failing day to the faults that break a rule.
     """
 
     seed: int
@@ -44,7 +50,7 @@
 
 
 def play_day(seed: int, strange: bool, large: bool) -> DayOutcome:
-    """Play the day of this seed."""
+    """Simulate the day of this seed."""
     cluster, breaches = play(draw_plan(seed, strange, large))
     accepted = sum(sent.status == ACCEPTED for sent in cluster.history.sent.values())
     lines = [f"{b.rule} at {b.at - START_OF_DAY_S:.3f} s: {b.text}" for b in breaches]
@@ -52,7 +58,7 @@
 
 
 def shrink_plan(plan: Plan, breaks: Callable[[Plan], bool]) -> Plan:
-    """The plan without every fault that is not needed to break a rule."""
+    """Remove from the plan each fault without which a rule is still broken."""
     index = 0
     while index < len(plan.faults):
         smaller = replace(plan, faults=plan.faults[:index] + plan.faults[index + 1 :])
@@ -65,7 +71,7 @@
 
 @contextmanager
 def _outcomes(options: SimulationOptions) -> Iterator[Iterable[DayOutcome]]:
-    """The days' outcomes in the order of their seeds, as they are played."""
+    """Iterate over the outcomes of the days in the order of their seeds."""
     seeds = range(options.seed, options.seed + options.days)
     work = partial(play_day, strange=options.strange, large=options.large)
     if options.jobs == 1:
@@ -81,7 +87,7 @@
 
 
 def run(options: SimulationOptions) -> ExitCode:
-    """Play the days. FAILED if a rule was broken on one of them."""
+    """Simulate the days, and print broken rules. Return FAILED if there are any."""
     logging.basicConfig(level=logging.INFO if options.log else logging.CRITICAL, format="%(message)s")
     broken_rules, accepted, failing_seeds = Counter[str](), 0, list[int]()
     with _outcomes(options) as outcomes:
--- a/emberlatch/cluster/cli/status.py
+++ b/emberlatch/cluster/cli/status.py
@@ -25,12 +25,12 @@
 
 
 def parse_address(text: str) -> Address | None:
-    """The address in HOST:PORT; None if it is malformed."""
+    """Parse HOST:PORT; return None if it is malformed."""
     host, _, port = text.rpartition(":")
     return (host, int(port)) if host and port.isdigit() and 0 < int(port) <= MAX_PORT else None
 
 
-def _answered(reports: Iterable[StoreReport]) -> list[tuple[str, Heartbeat]]:
+def _node_heartbeats(reports: Iterable[StoreReport]) -> list[tuple[str, Heartbeat]]:
     return [(r.member.node, r.heartbeat) for r in reports if r.heartbeat is not None]
 
 
@@ -39,7 +39,7 @@
     value_of: Callable[[Heartbeat], int | None],
     what: str,
 ) -> list[str]:
-    """A line that names the stores by the value they report, if it is not one value."""
+    """Return a line with the stores grouped by the value they report; no line if all values are equal."""
     by_value: dict[int, list[str]] = {}
     for node, heartbeat in heartbeats:
         value = value_of(heartbeat)
@@ -47,13 +47,13 @@
             by_value.setdefault(value, []).append(node)
     if len(by_value) < 2:
         return []
-    sides = (f"{value} at {','.join(nodes)}" for value, nodes in sorted(by_value.items()))
-    return [f"two {what}: " + "; ".join(sides)]
+    groups = (f"{value} at {','.join(nodes)}" for value, nodes in sorted(by_value.items()))
+    return [f"two {what}: " + "; ".join(groups)]
 
 
 def find_problems(reports: list[StoreReport]) -> list[str]:
-    """A line for each problem; empty if the cluster is healthy."""
-    heartbeats = _answered(reports)
+    """Return a line for each problem; empty if the cluster is healthy."""
+    heartbeats = _node_heartbeats(reports)
     problems = [f"{r.member.node} does not answer: {r.error}" for r in reports if r.error]
     problems += _disagreement(heartbeats, lambda h: h.revision, "configurations in force")
     problems += _disagreement(heartbeats, lambda h: h.roster_digest, "lists of stores")
@@ -90,9 +90,9 @@
 
 
 def status_lines(reports: list[StoreReport]) -> list[str]:
-    """A table of the stores, machines that are decommissioned, and the problems."""
+    """Return a table of the stores, then the decommissions, then the problems."""
     marks: dict[str, int] = {}
-    for _, heartbeat in _answered(reports):
+    for _, heartbeat in _node_heartbeats(reports):
         marks |= heartbeat.control.decommissions if heartbeat.control is not None else {}
     decommissions = [
         f"{node} is {'emptied' if mark == DecommissionMark.EMPTY else 'being emptied'}"
@@ -116,7 +116,7 @@
 
 
 def message_lines(reports: list[StoreReport], message_id: str) -> list[str]:
-    """What each store has of a message, the one with the most recent knowledge first."""
+    """Return lines on each store's replica of a message, the most recent replica first."""
     replicas = [(r.member.node, r.replica) for r in reports if r.replica is not None]
     replicas.sort(key=lambda item: item[1].rank, reverse=True)
     lines = [line for node, replica in replicas for line in _replica_lines(node, replica)]
@@ -125,7 +125,7 @@
 
 
 def _to_json(reports: list[StoreReport]) -> str:
-    """The keys are those of the commands' JSON output, which programs read."""
+    """Encode the reports as JSON; other programs read this output, so its keys must not change."""
     stores = []
     for report in reports:
         store: dict[str, object] = {
@@ -141,7 +141,7 @@
 
 
 def _collect(store: str, message_id: str) -> list[StoreReport] | None:
-    """Reports of all stores; None, and a line on standard error, if there are none."""
+    """Query all stores; if there are no reports, print the error on standard error and return None."""
     address = parse_address(store)
     if address is None:
         print(f"{store}: HOST:PORT of a store expected, its port for other processes", file=sys.stderr)
@@ -154,7 +154,7 @@
 
 
 def show_status(store: str, as_json: bool) -> ExitCode:
-    """Print the status of all stores. FAILED if there are problems, UNUSABLE if nobody answers."""
+    """Print the status of all stores. Return FAILED if there are problems, UNUSABLE without answers."""
     reports = _collect(store, "")
     if reports is None:
         return ExitCode.UNUSABLE
@@ -163,7 +163,7 @@
 
 
 def show_message(store: str, message_id: str, as_json: bool) -> ExitCode:
-    """Print what is known of a message. FAILED if no store knows it, UNUSABLE if nobody answers."""
+    """Print the replicas of a message. Return FAILED if there are none, UNUSABLE without answers."""
     reports = _collect(store, message_id)
     if reports is None:
         return ExitCode.UNUSABLE
--- a/emberlatch/cluster/cli/store_reports.py
+++ b/emberlatch/cluster/cli/store_reports.py
@@ -1,4 +1,4 @@
-"""Queries to the stores of a running cluster, on their ports for other processes."""
+"""Queries to the stores of a running cluster, through the ports that they open for peers."""
 
 from __future__ import annotations
 
@@ -22,18 +22,22 @@
 )
 from emberlatch.engine import Tasks
 
-CALLER_NODE = "emberlatch-cluster"  # the node name that a command presents
-QUERY_TIMEOUT_S = 1.5  # for a store to accept a connection and answer all queries
+CALLER_NODE = "emberlatch-cluster"  # the node name that a command sends when it connects
+QUERY_TIMEOUT_S = 1.5  # time limit for connecting to a store and all its answers
 
 Address = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReplica:
-    """A store's record of one message. Times are in seconds relative to the query; the past is negative.
+    """A store's record of one message.
 
-    `ended_s` is None while the message is queued; `seal` is the one that its target returned; `payload` is
-    the record as received, without the message's body.
+    Times are in seconds relative to the query; times in the past are negative.
+
+    Attributes:
+        ended_s: time of the final state; None while the message is queued.
+        seal: seal that the target returned.
+        payload: record as received, without the message's body.
     """
 
     state: MessageState
@@ -72,19 +76,19 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Orders replicas by what they know: an ended message outranks a queued one, then the later epoch."""
+        """Sort key: final states rank above queued ones; among equal states, a later epoch ranks higher."""
         return max(0, self.state - MessageState.CANCELLED), self.epoch
 
 
 @dataclass(frozen=True, slots=True)
 class StoreReport:
-    """What one store answered.
+    """The answer of one store.
 
     Attributes:
-        error: Why there is no usable answer; empty if there is one.
-        heartbeat: None if there is an error.
-        payload: The heartbeat as received.
-        replica: Its record of the message that was asked for; None if it has none.
+        error: reason for a missing or malformed answer; empty if there is none.
+        heartbeat: decoded heartbeat; None if there is an error.
+        payload: heartbeat as received.
+        replica: the store's record of the requested message; None if it has none.
     """
 
     member: Member
@@ -107,10 +111,11 @@
 
 
 async def query_process(address: Address, *queries: Query) -> list[object]:
-    """The responses of the process at this address, in order.
+    """Send queries to the process at this address, and return the responses in order.
 
-    Raises CallFailedError, whose `step` is "connect" or the method without a response, after at most
-    QUERY_TIMEOUT_S.
+    Raises:
+        CallFailedError: a step failed, or all steps together took longer than QUERY_TIMEOUT_S. Its `step` is
+            "connect" or the method that was not answered.
     """
     loop, peer = asyncio.get_running_loop(), f"{address[0]}:{address[1]}"
     endpoint = LocalEndpoint(Incarnation(CALLER_NODE, time.time_ns()))
@@ -129,7 +134,9 @@
                 responses.append(await connection.call(query.method, query.payload).response)
             return responses
     except (OSError, TimeoutError) as error:
-        raise CallFailedError(step, peer, str(error) or "no answer in time", step != "connect") from None
+        raise CallFailedError(
+            step, peer, str(error) or f"no answer within {QUERY_TIMEOUT_S} s", step != "connect"
+        ) from None
     finally:
         if connection is not None:
             connection.close()
@@ -150,8 +157,14 @@
 
 
 async def collect_reports(address: Address, message_id: str = "") -> list[StoreReport]:
-    """Reports of all stores that the store at this address knows; with their records of a message, if its id
-    is given. Raises CallFailedError if this store does not answer, MessageDecodeError."""
+    """Query all stores in the roster of the store at this address.
+
+    With a message id, the reports include the stores' records of that message.
+
+    Raises:
+        CallFailedError: the store at this address does not answer.
+        MessageDecodeError: its roster is malformed.
+    """
     (roster,) = await query_process(address, Query(RpcMethod.ROSTER))
     members = MembershipUpdate.from_wire(roster).roster
     return list(await asyncio.gather(*(_query_store(member, message_id) for member in members)))
--- a/emberlatch/cluster/cli/validation.py
+++ b/emberlatch/cluster/cli/validation.py
@@ -8,11 +8,11 @@
 from emberlatch.cluster.cli.exit_code import ExitCode
 from emberlatch.cluster.settings import ConfigurationError, SettingsError, read_configuration, read_settings
 
-MIN_TERM_CHARS = 3  # shorter terms of an error are no names
+MIN_TERM_CHARS = 3  # shorter words in an error message are not names
 
 
 def check(files: list[Path]) -> ExitCode:
-    """Print a line on standard error for each invalid file; UNUSABLE if there is one."""
+    """Print a line on standard error for each invalid file. Return UNUSABLE if there is one."""
     errors = [error for path in files if (error := _error_in(path)) is not None]
     for error in errors:
         print(error, file=sys.stderr)
@@ -20,7 +20,7 @@
 
 
 def _error_in(path: Path) -> str | None:
-    """What is wrong with a settings file (.toml) or a configuration; None if it is valid."""
+    """Return the error in a settings file (.toml) or a configuration, or None if it is valid."""
     if path.suffix == ".toml":
         return _settings_error(path)
     try:
@@ -44,7 +44,7 @@
 
 
 def _line_of(raw: bytes, reason: str) -> int:
-    """The first line with a name that the reason mentions, later names first; 0 if there is none."""
+    """Return the number of the first line with a name from `reason`, the last name first; 0 if none."""
     terms = [term.strip(":,") for term in reason.split() if len(term) >= MIN_TERM_CHARS]
     lines = raw.decode("utf-8", "replace").splitlines()
     for term in reversed(terms):
