--- a/tests/cluster/orders.py
+++ b/tests/cluster/orders.py
@@ -1,9 +1,9 @@
-"""Every order of what can befall one message over three stores, up to a depth, by the shipped merging.
+"""A model checker: explores every order of events of one message on three stores, up to a depth.
 
-Frames are never used up: each may come late, again, or never. A store may die at any moment (its record is on
-disk, its call is lost) and comes back; what a dead one owned may be taken over. Writing, accepting, replicating,
-handing over, ending, cancelling and probing are steps as the message store makes them; what a copy becomes is
-decided by `Record.merge` alone.
+Notices are never consumed, so each may arrive late, repeatedly or never. One store may crash at any moment,
+and restart: its record is on disk, but its call in flight is lost. The message of a crashed owner may be taken
+over. The steps (writing, accepting, replicating, handing over, ending, cancelling, probing) follow those of
+the message store. The production code, `Record.merge`, computes the result of merging two copies.
 """
 
 from __future__ import annotations
@@ -15,34 +15,41 @@
 from emberlatch.cluster.message_store import MessageState, Record
 
 STORES = ("a", "b", "c")
-Copy = tuple[int, int, str]  # state, epoch, owner
-Notice = tuple[str, Copy]  # to whom, what
+Copy = tuple[int, int, str]  # message state, epoch, owner
+Notice = tuple[str, Copy]  # receiving store, reported copy
 
 
 @dataclass(frozen=True)
-class World:
-    """One moment. `done_read`: a success was read; `answers`: what the client was told."""
+class ModelState:
+    """One state of the model; tuples have one item per store, in the order of `STORES`.
+
+    Attributes:
+        in_flight: whether a call of the store to a target is in flight.
+        accept_started: whether the store has started an ACCEPT: only a, and then c for the same client.
+        answers: answer to the client of each ACCEPT: "202", "never" or "unclear"; empty before it.
+        acknowledged: (store, epoch) of the copies that stores have confirmed.
+        cancel_confirmed_by: stores that have confirmed the cancellation of the first ACCEPT.
+        success_read: whether a store has read a target's success response.
+        crash_count: number of crashes so far.
+        breach: name of the rule that the last step broke; empty if none.
+    """
 
     copies: tuple[Copy | None, ...] = (None, None, None)
     in_flight: tuple[bool, ...] = (False, False, False)
-    dead: tuple[bool, ...] = (False, False, False)
+    crashed: tuple[bool, ...] = (False, False, False)
     notices: frozenset[Notice] = frozenset()
-    begun: tuple[bool, ...] = (
-        False,
-        False,
-        False,
-    )  # whose ACCEPT has begun; only a, then c for the same client
-    answers: tuple[str, ...] = ("", "", "")  # to each ACCEPT: 202, never, unclear
-    acked: frozenset[tuple[str, int]] = frozenset()  # copies that were confirmed, with their epoch
-    cancelled: frozenset[str] = frozenset()  # who confirmed the first one's cancellation
-    ran: bool = False
-    done_read: bool = False
-    deaths: int = 0
+    accept_started: tuple[bool, ...] = (False, False, False)
+    answers: tuple[str, ...] = ("", "", "")
+    acknowledged: frozenset[tuple[str, int]] = frozenset()
+    cancel_confirmed_by: frozenset[str] = frozenset()
+    executed: bool = False
+    success_read: bool = False
+    crash_count: int = 0
     breach: str = ""
 
 
-def merged(copy: Copy | None, report: Copy) -> Copy:
-    """What a store has after it hears of another copy; the shipped merging."""
+def merge_copies(copy: Copy | None, report: Copy) -> Copy:
+    """Return a store's copy after it has received a report of another copy, by `Record.merge`."""
     if copy is None:
         return report
     record = Record("m", "h", "POST", "/", "", b"")
@@ -51,143 +58,152 @@
     return int(record.state), record.epoch, record.owner
 
 
-def put(values: tuple[Any, ...], at: int, value: Any) -> Any:
-    return (*values[:at], value, *values[at + 1 :])
+def replace_at(values: tuple[Any, ...], index: int, value: Any) -> Any:
+    return (*values[:index], value, *values[index + 1 :])
 
 
-def merge_at(world: World, at: int, report: Copy) -> World:
-    return replace(world, copies=put(world.copies, at, merged(world.copies[at], report)))
+def merge_at(model: ModelState, index: int, report: Copy) -> ModelState:
+    return replace(model, copies=replace_at(model.copies, index, merge_copies(model.copies[index], report)))
 
 
-def send(world: World, report: Copy, *to: str) -> World:
-    return replace(world, notices=world.notices | {(name, report) for name in to})
+def send(model: ModelState, report: Copy, *to: str) -> ModelState:
+    return replace(model, notices=model.notices | {(name, report) for name in to})
 
 
-def steps(world: World, probes: bool = True) -> Iterator[World]:
-    """All that may happen next."""
-    for to, report in world.notices:
-        at = STORES.index(to)
-        if not world.dead[at]:
-            after = merge_at(world, at, report)
+def steps(model: ModelState, probes: bool = True) -> Iterator[ModelState]:
+    """Yield the model after each possible next step."""
+    for to, report in model.notices:
+        index = STORES.index(to)
+        if not model.crashed[index]:
+            after = merge_at(model, index, report)
             if report[0] == MessageState.QUEUED and report[1] <= 2:
-                after = replace(after, acked=after.acked | {(to, report[1])})
-            if report[0] == MessageState.CANCELLED and after.copies[at][0] == MessageState.CANCELLED:  # type: ignore[index]
-                after = replace(after, cancelled=after.cancelled | {to})
+                after = replace(after, acknowledged=after.acknowledged | {(to, report[1])})
+            if report[0] == MessageState.CANCELLED and after.copies[index][0] == MessageState.CANCELLED:  # type: ignore[index]
+                after = replace(after, cancel_confirmed_by=after.cancel_confirmed_by | {to})
             yield after
-    for at, name in enumerate(STORES):
-        if not world.dead[at]:
-            yield from live(world, at, name, probes)
-        if world.deaths < 1 and not world.dead[at]:
+    for index, name in enumerate(STORES):
+        if not model.crashed[index]:
+            yield from store_steps(model, index, name, probes)
+        if model.crash_count < 1 and not model.crashed[index]:
             yield replace(
-                world,
-                dead=put(world.dead, at, True),
-                in_flight=put(world.in_flight, at, False),
-                deaths=1,
+                model,
+                crashed=replace_at(model.crashed, index, True),
+                in_flight=replace_at(model.in_flight, index, False),
+                crash_count=1,
             )
-        if world.dead[at]:
-            yield replace(world, dead=put(world.dead, at, False))
+        if model.crashed[index]:
+            yield replace(model, crashed=replace_at(model.crashed, index, False))
 
 
-def live(world: World, at: int, name: str, probes: bool) -> Iterator[World]:
-    copy = world.copies[at]
+def store_steps(model: ModelState, index: int, name: str, probes: bool) -> Iterator[ModelState]:
+    copy = model.copies[index]
     others = [n for n in STORES if n != name]
-    if name == "a" and not world.begun[0]:  # the first ACCEPT: written here, sent to b
-        after = merge_at(replace(world, begun=(True, False, False)), 0, (0, 1, "a"))
+    if name == "a" and not model.accept_started[0]:  # the first ACCEPT is written here and sent to b
+        after = merge_at(replace(model, accept_started=(True, False, False)), 0, (0, 1, "a"))
         yield send(after, (0, 1, "a"), "b")
-    if name == "c" and world.begun[0] and not world.begun[2] and world.answers[0] != "202":
+    if name == "c" and model.accept_started[0] and not model.accept_started[2] and model.answers[0] != "202":
         if not probes:
-            after = merge_at(replace(world, begun=put(world.begun, 2, True)), 2, (0, 2, "c"))
+            after = merge_at(
+                replace(model, accept_started=replace_at(model.accept_started, 2, True)), 2, (0, 2, "c")
+            )
             yield send(after, (0, 2, "c"), "b")
-        elif not world.dead[0]:  # the same client's next attempt, which probes a in one exchange
-            first = world.copies[0]
-            after = replace(world, begun=put(world.begun, 2, True))
+        elif not model.crashed[0]:  # the same client's next attempt probes a in one exchange
+            first = model.copies[0]
+            after = replace(model, accept_started=replace_at(model.accept_started, 2, True))
             if first is not None and first[0] >= MessageState.DEAD_LETTERED:
                 yield merge_at(after, 2, first)
-            elif world.in_flight[0]:  # a delivers it: it keeps it, under a later epoch
+            elif model.in_flight[0]:  # a is delivering the message and keeps it under a later epoch
                 after = merge_at(merge_at(after, 0, (0, 3, "a")), 2, (0, 3, "a"))
-                yield replace(after, answers=put(after.answers, 2, "202"))
+                yield replace(after, answers=replace_at(after.answers, 2, "202"))
             else:
                 after = merge_at(merge_at(after, 0, (0, 2, "c")), 2, (0, 2, "c"))
                 yield send(after, (0, 2, "c"), "b")
-    if name == "a" and world.begun[0] and not world.answers[0] and copy is not None:
-        if ("b", 1) in world.acked and copy == (0, 1, "a"):
-            yield replace(world, answers=put(world.answers, 0, "202"))
-        elif ("b", 1) not in world.acked and copy[:2] == (0, 1):
+    if name == "a" and model.accept_started[0] and not model.answers[0] and copy is not None:
+        if ("b", 1) in model.acknowledged and copy == (0, 1, "a"):
+            yield replace(model, answers=replace_at(model.answers, 0, "202"))
+        elif ("b", 1) not in model.acknowledged and copy[:2] == (0, 1):
             yield send(
-                merge_at(world, 0, (int(MessageState.CANCELLED), 1, "a")),
+                merge_at(model, 0, (int(MessageState.CANCELLED), 1, "a")),
                 (int(MessageState.CANCELLED), 1, "a"),
                 "b",
             )
-        if copy[0] == MessageState.CANCELLED and not world.begun[2]:
+        if copy[0] == MessageState.CANCELLED and not model.accept_started[2]:
             yield replace(
-                world, answers=put(world.answers, 0, "never" if "b" in world.cancelled else "unclear")
+                model,
+                answers=replace_at(
+                    model.answers, 0, "never" if "b" in model.cancel_confirmed_by else "unclear"
+                ),
             )
     if (
         name == "c"
-        and world.begun[2]
-        and not world.answers[2]
-        and ("b", 2) in world.acked
+        and model.accept_started[2]
+        and not model.answers[2]
+        and ("b", 2) in model.acknowledged
         and copy == (0, 2, "c")
     ):
-        yield replace(world, answers=put(world.answers, 2, "202"))
+        yield replace(model, answers=replace_at(model.answers, 2, "202"))
     if copy is None or copy[0] != MessageState.QUEUED or copy[2] != name:
         return
     accepted = (
         copy[1] > 2
-        or (name == "a" and world.answers[0] == "202")
-        or (name == "c" and world.answers[2] == "202")
+        or (name == "a" and model.answers[0] == "202")
+        or (name == "c" and model.answers[2] == "202")
     )
-    if accepted and not world.in_flight[at]:  # ours, accepted: a call goes out
+    if accepted and not model.in_flight[index]:  # this store owns the accepted message and starts a call
         breach = ""
-        if world.answers[0] == "never" and not world.begun[2]:  # all that the client was told
+        if model.answers[0] == "never" and not model.accept_started[2]:  # the client's only answer
             breach = "REFUSED"
-        if world.done_read and world.deaths == 0:
+        if model.success_read and model.crash_count == 0:
             breach = "TWICE"
-        yield replace(world, in_flight=put(world.in_flight, at, True), ran=True, breach=breach)
-    if world.in_flight[at]:  # its success is read: written here and reported to the others in the same turn
-        end = int(MessageState.COMPLETED), copy[1], copy[2]
-        after = merge_at(replace(world, in_flight=put(world.in_flight, at, False), done_read=True), at, end)
-        yield send(after, end, *others)
-    if accepted and not world.in_flight[at] and copy[1] < 5:
-        for new_owner in others:  # a planned end: it goes to another that has a copy, which answers
-            there = STORES.index(new_owner)
-            if not world.dead[there] and world.copies[there] is not None:
+        yield replace(model, in_flight=replace_at(model.in_flight, index, True), executed=True, breach=breach)
+    if model.in_flight[index]:  # the success is read, written and reported to the others in one step
+        final_copy = int(MessageState.COMPLETED), copy[1], copy[2]
+        after = merge_at(
+            replace(model, in_flight=replace_at(model.in_flight, index, False), success_read=True),
+            index,
+            final_copy,
+        )
+        yield send(after, final_copy, *others)
+    if accepted and not model.in_flight[index] and copy[1] < 5:
+        for new_owner in others:  # graceful shutdown: hand over to a store with a copy, which answers
+            owner_index = STORES.index(new_owner)
+            if not model.crashed[owner_index] and model.copies[owner_index] is not None:
                 report = 0, copy[1] + 1, new_owner
-                yield merge_at(merge_at(world, there, report), at, report)
+                yield merge_at(merge_at(model, owner_index, report), index, report)
 
 
 def explore(depth: int, probes: bool = True) -> tuple[int, set[str]]:
-    """How many states there are up to a depth, and the rules that break."""
-    seen, edge, broken = {World()}, [World()], set[str]()
+    """Return the number of model states up to a depth, and the names of the broken rules."""
+    seen, frontier, broken_rules = {ModelState()}, [ModelState()], set[str]()
     for _ in range(depth):
-        following = []
-        for world in edge:
-            for after in [*steps(world, probes), *taking_over(world)]:
+        next_frontier = []
+        for model in frontier:
+            for after in [*steps(model, probes), *takeover_steps(model)]:
                 if after not in seen:
                     seen.add(after)
-                    check(world, after, broken)
-                    following.append(after)
-        edge = following
-    return len(seen), broken
+                    check_rules(model, after, broken_rules)
+                    next_frontier.append(after)
+        frontier = next_frontier
+    return len(seen), broken_rules
 
 
-def taking_over(world: World) -> Iterator[World]:
-    """What a dead owner owned is the first living replica's."""
-    for at, name in enumerate(STORES):
-        copy = world.copies[at]
-        if copy is None or world.dead[at] or copy[0] != MessageState.QUEUED or copy[1] > 4:
+def takeover_steps(model: ModelState) -> Iterator[ModelState]:
+    """Yield the model after each takeover of the message from a crashed owner by a running replica."""
+    for index, name in enumerate(STORES):
+        copy = model.copies[index]
+        if copy is None or model.crashed[index] or copy[0] != MessageState.QUEUED or copy[1] > 4:
             continue
-        if copy[2] != name and world.dead[STORES.index(copy[2])]:
-            yield merge_at(world, at, (0, copy[1] + 1, name))
+        if copy[2] != name and model.crashed[STORES.index(copy[2])]:
+            yield merge_at(model, index, (0, copy[1] + 1, name))
 
 
-def check(before: World, after: World, broken: set[str]) -> None:
+def check_rules(before: ModelState, after: ModelState, broken_rules: set[str]) -> None:
     if after.breach:
-        broken.add(after.breach)
+        broken_rules.add(after.breach)
     if "202" in after.answers:
-        kept = [c for c in after.copies if c is not None and c[0] != MessageState.CANCELLED]
-        if len(kept) < 2 and not after.done_read:
-            broken.add("LOST")
+        valid_copies = [c for c in after.copies if c is not None and c[0] != MessageState.CANCELLED]
+        if len(valid_copies) < 2 and not after.success_read:
+            broken_rules.add("LOST")
     for old, new in zip(before.copies, after.copies, strict=True):
-        if old is not None and new is not None and merged(new, old) != new:
-            broken.add("BACK")
+        if old is not None and new is not None and merge_copies(new, old) != new:
+            broken_rules.add("BACK")
