--- a/tests/cluster/dispatch_support.py
+++ b/tests/cluster/dispatch_support.py
@@ -1,4 +1,4 @@
-"""A store for the tests of dispatchers and carriers."""
+"""A stub of the store for tests of dispatchers and carriers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RecordingOwner:
-    """A `DeliveryOwner` that owns every message, may always send, and keeps how each was finished."""
+    """A `DeliveryOwner` that owns every message, may always send, and records final states."""
 
     def __init__(self) -> None:
         self.finished: list[MessageState] = []
--- a/tests/cluster/test_carrier.py
+++ b/tests/cluster/test_carrier.py
@@ -1,4 +1,4 @@
-"""A target's response belongs to the message that it names, on a connection that carries nothing else."""
+"""A response is matched to its message by the attempt id; connections with other data are closed."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from tests.cluster.support import record
 
 TARGET = ("target", 1)
-GUARD_S = 0.5  # for a delivery
-RESPONSE_MARGIN_S = 0.15  # after it, in which its response may come in
+GUARD_S = 0.5  # time in which a target must respond to a delivery
+RESPONSE_MARGIN_S = 0.15  # time after the guard time in which a response may still arrive
 
 
 def response(id: str | None, status: int = 200, seal: str = "seal", body: bytes = b"") -> bytes:
-    """As a target sends it."""
+    """Encode a response as a target sends it."""
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n"
     head += f"Emberlatch-Attempt-Id: {id}\r\n" if id is not None else ""
     head += f"Emberlatch-Server-Seal: {seal}\r\n" if seal and status == 200 else ""
@@ -32,12 +32,12 @@
 
 
 def requested_deadline_s(request: bytes) -> float:
-    """The time that a request gives its target."""
+    """Return the time limit that a request sets for its target."""
     return float(request.partition(b"Emberlatch-Deadline-Ms: ")[2].partition(b"\r")[0]) / 1000
 
 
 class ScriptedTarget(ConnectionEnd):
-    """One connection to a target: a test writes what comes on it."""
+    """The target's end of a connection; the test writes the responses."""
 
     def __init__(self, fixture: CarrierFixture) -> None:
         super().__init__()
@@ -50,18 +50,18 @@
         self.fixture.on_request(self, data)
 
     async def write(self, data: bytes) -> None:
-        """Write to the carrier, and let it arrive."""
+        """Write to the carrier, and wait until it has arrived."""
         self.transport.write(data)
         await asyncio.sleep(0.02)
 
-    def ids(self) -> list[str]:
-        """Of the messages whose requests came on it."""
+    def msg_ids(self) -> list[str]:
+        """Return the message ids of the requests that arrived on this connection."""
         lines = self.data.decode("latin-1").split("\r\n")
         return [line.partition(": ")[2] for line in lines if line.startswith("Emberlatch-Attempt-Id")]
 
 
 class CarrierFixture:
-    """A carrier and the target that it calls."""
+    """A carrier, and the target that it calls."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -93,13 +93,13 @@
         self.outcomes.append(outcome)
 
     async def send(self, ref: int, id: str, attempt: int = 0) -> None:
-        """Start a call, and let it arrive."""
+        """Start a call, and wait until its request has arrived."""
         self.records[ref] = record(id)
         self.carrier.call(b"t", [CallItem(ref, attempt, id, "", b"", GUARD_S + RESPONSE_MARGIN_S)])
         await asyncio.sleep(0.02)
 
     async def deliver(self, ref: int, id: str) -> None:
-        """A call with the response that it should have."""
+        """Run a call that gets the expected response."""
         await self.send(ref, id)
         await self.requests[-1][1].write(response(id))
         assert self.verdicts[-1] == (ref, Verdict.COMPLETED, "seal")
@@ -109,7 +109,7 @@
         return [outcome.result for outcome in self.outcomes]
 
 
-@test("a connection carries one message after the other while all goes well")
+@test("successive messages with expected responses reuse one connection")
 def _() -> None:
     async def steps(fixture: CarrierFixture) -> None:
         for ref in range(5):
@@ -128,7 +128,7 @@
 }
 
 
-@test("bytes that come while no request waits close the connection: {name}")
+@test("bytes that arrive while no request is pending close the connection: {name}")
 def _(name: str = each(*UNSOLICITED)) -> None:
     async def steps(fixture: CarrierFixture) -> None:
         await fixture.deliver(0, "m0")
@@ -140,7 +140,7 @@
     play_with(CarrierFixture, steps)
 
 
-@test("bytes that came and are not read yet when the next request is due close the connection too")
+@test("unread bytes on an idle connection close it before the next request is sent")
 def _() -> None:
     async def steps(fixture: CarrierFixture) -> None:
         await fixture.deliver(0, "m0")
@@ -148,13 +148,13 @@
         connection._transport.pause_reading()
         await fixture.connections[0].write(response("m1"))
         await fixture.send(1, "m1")
-        assert fixture.connections[0].ids() == ["m0"] and fixture.connections[1].ids() == ["m1"]
+        assert fixture.connections[0].msg_ids() == ["m0"] and fixture.connections[1].msg_ids() == ["m1"]
         assert len(fixture.verdicts) == 1
 
     play_with(CarrierFixture, steps)
 
 
-@test("a second response in one segment with the first closes the connection; the first one counts")
+@test("a second response in the same segment closes the connection, and the first response counts")
 def _() -> None:
     async def steps(fixture: CarrierFixture) -> None:
         await fixture.send(0, "m0")
@@ -166,7 +166,9 @@
     play_with(CarrierFixture, steps)
 
 
-@test("a response to another message is no success; ours may follow, and then the connection is closed")
+@test(
+    "a response to another message is dropped; the expected one completes the call and closes the connection"
+)
 def _() -> None:
     async def steps(fixture: CarrierFixture) -> None:
         await fixture.deliver(0, "m0")
@@ -182,7 +184,7 @@
     play_with(CarrierFixture, steps)
 
 
-@test("a response to another message and none to ours: no verdict, a timeout, a closed connection, no retry")
+@test("only a response to another message: no verdict, a timeout, a closed connection, no retry")
 def _() -> None:
     async def steps(fixture: CarrierFixture) -> None:
         await fixture.send(0, "m0")
@@ -194,14 +196,14 @@
     play_with(CarrierFixture, steps)
 
 
-@test("a retry does not go out on a connection that carried its message: a duplicated failure counts once")
+@test("a retry is not sent on a connection that carried its message, so a duplicate failure counts once")
 def _() -> None:
     async def steps(fixture: CarrierFixture) -> None:
         await fixture.send(0, "m0")
         first = fixture.connections[0]
         await first.write(response("m0", 500))
         await fixture.deliver(1, "m1")  # on the same connection
-        assert first.ids() == ["m0", "m1"]
+        assert first.msg_ids() == ["m0", "m1"]
         await fixture.send(2, "m0", 1)
         await first.write(response("m0", 500))
         assert [verdict for _, verdict, _ in fixture.verdicts] == [Verdict.ATTEMPT_FAILED, Verdict.COMPLETED]
@@ -211,10 +213,10 @@
     play_with(CarrierFixture, steps)
 
 
-@test("a reset at every byte of a response: completed only if all of it came, and no retry here")
+@test("a reset at every byte of a response: completed only if the response is complete, and no retry here")
 def _() -> None:
     complete = response("m0", body=b"0123456789")
-    done_at = set[int]()
+    completed_cuts = set[int]()
     for cut in range(len(complete) + 1):
 
         async def steps(fixture: CarrierFixture, cut: int = cut) -> None:
@@ -224,15 +226,15 @@
             await asyncio.sleep(2.0)
             assert len(fixture.requests) == 1 and len(fixture.outcomes) == 1
             if fixture.verdicts:
-                done_at.add(cut)
+                completed_cuts.add(cut)
             else:
                 assert fixture.results == [api.Result.RESET], str(cut)
 
         play_with(CarrierFixture, steps)
-    assert done_at == {len(complete)}
+    assert completed_cuts == {len(complete)}
 
 
-@test("a response that is cut off and never goes on is none, and its connection is closed")
+@test("a truncated response that is never completed gives no verdict, and its connection is closed")
 def _() -> None:
     async def steps(fixture: CarrierFixture) -> None:
         await fixture.send(0, "m0")
@@ -243,9 +245,7 @@
     play_with(CarrierFixture, steps)
 
 
-@test(
-    "no response: a time-out once the target has surely stopped, a closed connection, a late response ignored"
-)
+@test("no response: a timeout after the guard time, a closed connection, and a late response is ignored")
 def _() -> None:
     async def steps(fixture: CarrierFixture) -> None:
         await fixture.send(0, "m0")
@@ -258,17 +258,17 @@
     play_with(CarrierFixture, steps)
 
 
-@test("the deadline of a request ends before we give up, however long the connection took")
+@test("the deadline of a request ends before the call times out, however long connecting took")
 def _() -> None:
     async def steps(fixture: CarrierFixture) -> None:
         fixture.world.network.latency = 0.15  # a round trip of up to 0.45 s
-        began = fixture.world.loop.time()
+        started_at = fixture.world.loop.time()
         await fixture.send(0, "m0")
         await asyncio.sleep(2.0)
         ((arrived, connection, data),) = fixture.requests
         deadline_s = requested_deadline_s(data)
-        sent = arrived - 0.225  # at the latest; the margin is for the latency itself
-        assert sent + deadline_s <= began + GUARD_S + 0.002, str((arrived - began, deadline_s))
+        sent = arrived - 0.225  # latest time of sending; the margin covers the latency
+        assert sent + deadline_s <= started_at + GUARD_S + 0.002, str((arrived - started_at, deadline_s))
         assert fixture.results == [api.Result.TIMEOUT] and connection.lost
 
     play_with(CarrierFixture, steps)
@@ -290,7 +290,7 @@
 
 
 class DispatcherFixture:
-    """A dispatcher with one message and one target that never responds by itself."""
+    """A dispatcher with one message, and one target that responds only if the test does."""
 
     def __init__(self, fixture: CarrierFixture) -> None:
         self.owner = RecordingOwner()
@@ -305,7 +305,7 @@
         self.dispatcher.deliver(message)
 
 
-@test("after a time-out a message is retried, and never while the target may still run the first attempt")
+@test("after a timeout a message is retried, but only after the deadline of the previous attempt")
 def _() -> None:
     async def steps(fixture: CarrierFixture) -> None:
         DispatcherFixture(fixture)
@@ -322,16 +322,16 @@
 def _() -> None:
     async def steps(fixture: CarrierFixture) -> None:
         def on_request(connection: ScriptedTarget, data: bytes) -> None:
-            # the failure of the first attempt comes again and again; later attempts get no response
+            # The failure of the first attempt is sent repeatedly; later attempts get no response.
             if len(fixture.requests) == 1:
                 for delay in (0.0, 0.1, 0.2, 0.3, 0.4):
                     fixture.world.loop.call_later(delay, connection.transport.write, response("m0", 500))
 
         fixture.on_request = on_request
-        delivering = DispatcherFixture(fixture)
+        dispatching = DispatcherFixture(fixture)
         await asyncio.sleep(8.0)
-        assert not delivering.owner.finished and len(fixture.requests) > 3
-        (delivery,) = delivering.dispatcher._deliveries.by_id.values()
+        assert not dispatching.owner.finished and len(fixture.requests) > 3
+        (delivery,) = dispatching.dispatcher._deliveries.by_id.values()
         assert delivery.record.attempts == 1
 
     play_with(CarrierFixture, steps)
--- a/tests/cluster/test_dispatch.py
+++ b/tests/cluster/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The parts of the dispatcher, each by itself."""
+"""Unit tests of the dispatcher's parts."""
 
 from __future__ import annotations
 
@@ -48,23 +48,23 @@
 
 
 @test(
-    "a ready queue gives first what can still begin in time, then what is late, and skips what has moved on"
+    "a ready queue returns deliveries that can start in time before late ones, and skips those no longer READY"
 )
 def _() -> None:
     queue = ReadyQueue()
     for made in (
         late := delivery("late", 1.0),
-        moved := delivery("moved", 5.0),
+        rescheduled := delivery("rescheduled", 5.0),
         timely := delivery("timely", 5.0),
     ):
         queue.push(made)
-    moved.stage = DeliveryStage.DELAYED
+    rescheduled.stage = DeliveryStage.DELAYED
     assert queue and queue.pop(5.0) is timely
     assert queue.pop(5.0) is late
     assert queue.pop(5.0) is None and not queue
 
 
-@test("a delivery counts in its pool, and has a name there, from its offer until it leaves the pool")
+@test("a delivery is counted in its pool, and found by its ref, from its offer until it leaves the pool")
 def _() -> None:
     table, queue, made = DeliveryTable(), ReadyQueue(), delivery("m")
     made.pool_sizes, made.locality = queue.pool_sizes, Locality.REMOTE
@@ -80,7 +80,9 @@
         assert queue.pool_sizes == [0, count] and (made.ref in table.by_ref) == (count > 0), stage
 
 
-@test("a remote target has half its capacity, and what is available has a target that is in service")
+@test(
+    "a remote target is announced with half its capacity; a locality without a target in service is unavailable"
+)
 def _() -> None:
     destinations = Destinations("z")
     for made, capacity in ((target("i-1"), 5), (target("i-2", "y"), 2), (target("i-3", "y", capacity=1), 1)):
@@ -93,7 +95,7 @@
     assert destinations.update_target(target("i-4", state=TargetState.DEREGISTERED)) is None
 
 
-@test("a fixed endpoint is announced once, expects no instance, and goes with its configuration")
+@test("a fixed endpoint is announced once, expects no instance, and is removed with its configuration")
 def _() -> None:
     destinations = Destinations("z")
     service = Service(name="ledger", max_connections=1, fixed_endpoint="10.0.0.9:81")
@@ -103,10 +105,10 @@
     assert destinations.expected_instance(entry.target) == ""
     assert not list(destinations.configure([service]))
     (update,) = destinations.configure([])
-    assert [gone.phase for gone in update.entries] == [api.Phase.GONE]
+    assert [removed.phase for removed in update.entries] == [api.Phase.GONE]
 
 
-@test("the decision module hears of a category of waits before the first delivery of it, and only then")
+@test("a new category of lease waits returns a settings event, a known category returns none")
 def _() -> None:
     categories = LeaseWaitCategories()
     number, event = categories.add(0.28, 30.28)
@@ -115,7 +117,7 @@
     assert categories.add(0.14, 30.14)[0] == 1
 
 
-@test("a call is counted against its service's quota share, one of an unlimited service against none")
+@test("a call counts against its service's quota share; a service without a rate limit is never limited")
 def _() -> None:
     quotas = ServiceQuotas(DispatchSettings("z", 1, 5.0, 1.1, 8), RecordingOwner())
     limited = Service(name="ledger", max_connections=1, rate_per_s=2.0)
@@ -126,7 +128,7 @@
     assert quotas.try_spend(None, 0.0) and quotas.max_in_pool(limited) == 2
 
 
-@test("every verdict has a result for the decision module, and the backoff of retries never shrinks")
+@test("every verdict has a result for the decision module, and the retry backoff never decreases")
 def _() -> None:
     assert MODULE_RESULTS.keys() == set(Verdict)
     assert list(RETRY_BACKOFF_S) == sorted(RETRY_BACKOFF_S)
