--- a/tests/cluster/test_backup.py
+++ b/tests/cluster/test_backup.py
@@ -1,4 +1,4 @@
-"""A backup of the state: from bytes on disks to messages that are delivered by an empty cluster."""
+"""A backup of machines' disks is restored on an empty cluster, which delivers the queued messages."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def exported_backup(folder: Path, sent: list[SentMessage], lacking: str = "") -> Path:
-    """A backup of a cluster that has delivered ten messages and has twenty queued."""
+    """Export a backup of a cluster with ten delivered and twenty queued messages, without store `lacking`."""
 
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -42,7 +42,7 @@
 
 
 @test(
-    "a backup of two of three disks, restored on three empty ones: queued messages are delivered once, the configuration stays"
+    "a backup of two of three disks, restored on three empty disks: queued messages are delivered once, the configuration is kept"
 )
 def _(folder: Path = folder) -> None:
     sent: list[SentMessage] = []
@@ -61,13 +61,15 @@
         await until(lambda: len(cluster.history.runs) == 20, 40.0)
         await asyncio.sleep(3.0)
         runs = cluster.history.runs
-        assert set(runs) == {one.id for one in sent[10:]}, "what had ended ran again, or something waits yet"
+        assert set(runs) == {one.id for one in sent[10:]}, (
+            "messages that had ended were executed again, or queued ones were not executed"
+        )
         assert all(sum(run.status == 200 for run in of) == 1 for of in runs.values())
 
     assert not play(Plan(22), steps)[1]
 
 
-@test("a backup that is truncated, corrupted or of another format is rejected, and nothing is restored")
+@test("restoring a backup that is truncated, corrupted or of another format fails and writes nothing")
 def _(folder: Path = folder) -> None:
     complete = exported_backup(folder, []).read_bytes()
     corrupted = bytearray(complete)
@@ -78,7 +80,7 @@
         assert not (folder / "disk").exists()
 
 
-@test("a backup is restored on empty disks only, and exported from data folders only")
+@test("restoring on a used disk or for an unknown node fails, and so does exporting a folder without records")
 def _(folder: Path = folder) -> None:
     backup_file = exported_backup(folder, [])
     assert backup.restore(backup_file, folder / "disk", "s0", NODES, 2) == 0
--- a/tests/cluster/test_batch.py
+++ b/tests/cluster/test_batch.py
@@ -1,4 +1,4 @@
-"""Batch jobs that are interrupted: nothing lost, nothing twice; their progress on disk."""
+"""Interrupted batch jobs lose and duplicate nothing; format of their progress logs."""
 
 import asyncio
 import tempfile
@@ -31,7 +31,7 @@
     return BatchSender("pay", bodies, BatchRoute("a.example", path, forwarders), BatchProgress(file))
 
 
-@test("a batch that is stopped at any moment goes on and delivers each item once, while stores come and go")
+@test("a batch that is interrupted repeatedly delivers each item once, while processes crash and restart")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -60,7 +60,7 @@
 
 
 @test(
-    "an item that nobody knows of stays unknown, one that can't be submitted is rejected; neither goes again"
+    "an item with an unresolved submission becomes unknown, one without a route rejected; neither is resubmitted"
 )
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
@@ -89,7 +89,7 @@
 )
 
 
-@test("the progress on disk keeps its keys and values, and is written as it is read")
+@test("a progress log with the documented keys and values is read, and written back byte for byte")
 def _() -> None:
     with tempfile.TemporaryDirectory() as folder:
         path, copy = Path(folder) / "progress", Path(folder) / "copy"
@@ -105,7 +105,7 @@
         assert copy.read_bytes() == LOG
 
 
-@test("a complete line of the progress that can't be read is named by file and line")
+@test("a malformed complete line of a progress log raises an error with its file and line")
 def _() -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "progress"
--- a/tests/cluster/test_capacity.py
+++ b/tests/cluster/test_capacity.py
@@ -1,4 +1,4 @@
-"""What one forwarder and one voter send and get does not grow faster with the fleet than docs/CAPACITY.md says."""
+"""The traffic of one forwarder and one voter grows with the fleet no faster than docs/CAPACITY.md says."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from emberlatch.simulation.growth import GrowthCost, MemberCost, measure
 
 IDLE_S = 4.0
-TOLERANCE = 1.03  # the first and the last heartbeat of what is measured may be in or out
-TARGETS_FRAMES = 10.0  # a second, of one store with one target
+TOLERANCE = 1.03  # the measured period may include one heartbeat more or less
+TARGETS_FRAMES = 10.0  # frames per second of one store with one target
 
 
 @cache
@@ -27,27 +27,29 @@
     return cost.frames_sent_per_s + cost.frames_received_per_s
 
 
-@test("a forwarder's frames do not grow when forwarders double, or stores, or both")
+@test("a forwarder's frames do not grow when the forwarders, the stores or both double")
 def _() -> None:
     least = frames(growth(6, 6).forwarder)
-    assert 0 < least <= 2 * FULL_RATE_STORES / HEARTBEAT_INTERVAL_S * TOLERANCE  # a question and its answer
+    assert 0 < least <= 2 * FULL_RATE_STORES / HEARTBEAT_INTERVAL_S * TOLERANCE  # a request and its response
     for size in ((12, 6), (6, 12), (12, 12)):
         assert frames(growth(*size).forwarder) <= least * TOLERANCE, size
 
 
-@test("a voter's frames grow by no more than its share of the forwarders' heartbeats")
+@test("doubling the forwarders adds no more to a voter's frames than its share of their heartbeats")
 def _() -> None:
     for stores in (6, 12):
         few, many = frames(growth(6, stores).busiest_store), frames(growth(12, stores).busiest_store)
-        share = 2 * FULL_RATE_STORES / HEARTBEAT_INTERVAL_S / stores  # of one forwarder's frames
+        share = 2 * FULL_RATE_STORES / HEARTBEAT_INTERVAL_S / stores  # share of one forwarder's frames
         assert 0 < many - few <= 6 * share * TOLERANCE, (stores, few, many)
 
 
-@test("a voter's frames are its share of the forwarders' heartbeats and those of each other store")
+@test("a voter's frames are at most its share of the forwarders' heartbeats, and those of all other stores")
 def _() -> None:
     for forwarders, stores in ((6, 6), (12, 6), (6, 12), (12, 12)):
         of_forwarders = forwarders * 2 * FULL_RATE_STORES / HEARTBEAT_INTERVAL_S / stores
-        of_stores = (stores - 1) * 2 * 2 / HEARTBEAT_INTERVAL_S  # each asks the other, and is answered
+        of_stores = (
+            (stores - 1) * 2 * 2 / HEARTBEAT_INTERVAL_S
+        )  # each sends the other a request and a response
         most = (of_forwarders + of_stores) * TOLERANCE + TARGETS_FRAMES
         assert frames(growth(forwarders, stores).busiest_store) <= most, (forwarders, stores)
 
@@ -57,21 +59,25 @@
     return control_cost.measure(Deployment(voters, stores, forwarders, rounds=5))
 
 
-@test("a change costs a voter as many synced files when stores and forwarders double")
+@test("a change costs a voter no more synced files when stores and forwarders double")
 def _() -> None:
     small, large = change(3, 6, 4), change(3, 12, 8)
     assert 0 < large.files_busiest <= small.files_busiest + 0.5, (small, large)
 
 
-@test("a change costs two rounds to the voters, one call to each other store, and two to hand it over")
+@test(
+    "a change costs two rounds of calls to the voters, one call to each other store, and two to hand it over"
+)
 def _() -> None:
     for voters, stores, forwarders in ((3, 6, 4), (3, 12, 8)):
         rounds, learners = 2 * (voters - 1), stores - 1
-        most = 2 * (rounds + learners + 2)  # the first machine has the preferred voter propose, and learns
+        most = 2 * (
+            rounds + learners + 2
+        )  # the last two: the first machine passes it to the proposing voter, and learns the result
         assert most - 4 <= change(voters, stores, forwarders).methods["control state"].frames <= most
 
 
-@test("what the growth command prints as JSON has the costs of members in it")
+@test("the JSON output of the growth command contains the costs of the members and the methods")
 def _() -> None:
     report = json.loads(json.dumps(growth(6, 6).to_json()))
     assert report["forwarder"]["frames_sent"] > 0 and report["store"]["bytes_received"] > 0
--- a/tests/cluster/test_discovery.py
+++ b/tests/cluster/test_discovery.py
@@ -1,4 +1,4 @@
-"""Messages about targets: what earlier releases sent is read, and sent again byte for byte."""
+"""Compatibility of messages about targets: recorded payloads are decoded and re-encoded byte for byte."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.cluster.recorded_frames import payloads
 
 
-@test("recorded reports of targets are encoded as they were")
+@test("recorded target reports are encoded to the same bytes after decoding")
 def _() -> None:
     reports = payloads(RpcMethod.TARGET, "request") + payloads(RpcMethod.TARGET, "notice")
     batches = payloads(RpcMethod.TARGETS, "notice")
@@ -21,7 +21,7 @@
         assert cbor2.dumps(TargetReports.from_wire(payload).to_wire()) == cbor2.dumps(payload)
 
 
-@test("a batch of reports that is no list, or has one that is no report, is no batch")
+@test("decoding a batch that is not a list, or contains an invalid report, raises MessageDecodeError")
 def _() -> None:
     malformed: tuple[object, ...] = (None, {}, "x", [None], [[1, 2]])
     for payload in malformed:
--- a/tests/cluster/test_status.py
+++ b/tests/cluster/test_status.py
@@ -15,7 +15,9 @@
 from tests.cluster.support import Plan, play, submit
 
 
-@test("status distinguishes a healthy cluster from one with a store that is gone, and from none at all")
+@test(
+    "status finds no problem in a healthy cluster, names a store that is down, and fails at that store's address"
+)
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -26,9 +28,9 @@
         assert not find_problems(reports) and status_lines(reports)[-1] == "all agree"
         assert all(len(line) <= 80 for line in status_lines(reports))
         cluster.nodes["s2"].power_off(60.0)
-        began = cluster.loop.time()
+        started_at = cluster.loop.time()
         (line,) = find_problems(await collect_reports(at))
-        assert line.startswith("s2 does not answer: connect at") and cluster.loop.time() - began < 2.0
+        assert line.startswith("s2 does not answer: connect at") and cluster.loop.time() - started_at < 2.0
         with raises(CallFailedError) as failed:
             await collect_reports((cluster.nodes["s2"].host, INNER_PORT))
         assert (failed.raised.step, failed.raised.may_have_arrived) == ("connect", False)
@@ -36,7 +38,7 @@
     play(Plan(31), steps)
 
 
-@test("status names who has another configuration in force")
+@test("status names the stores that have different active configurations")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -54,9 +56,7 @@
     play(Plan(32), steps)
 
 
-@test(
-    "why shows a message's replicas on all stores, while it is queued and once it has ended; or that none has it"
-)
+@test("why shows the replicas of a queued and of an ended message, and that no store has an unknown message")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
