--- a/emberlatch/cluster/batch/sender.py
+++ b/emberlatch/cluster/batch/sender.py
@@ -21,7 +21,7 @@
 RESOLVE_TIMEOUT_S = 10.0  # time limit for finding out whether a submission was accepted
 # A submission was not accepted if no store knows its id during this period: no request takes longer.
 NOT_FOUND_PERIOD_S = 3.0
-POLL_INTERVAL_S = 0.2  # between queries, and before a retry if the response has no Retry-After
+POLL_INTERVAL_S = 0.2  # pause between queries, and before a retry without a Retry-After
 MAX_RETRY_AFTER_S = 5.0
 UNLIMITED_ROUNDS = 1_000_000
 
--- a/emberlatch/cluster/cli/backup.py
+++ b/emberlatch/cluster/cli/backup.py
@@ -31,7 +31,7 @@
 CONFIGURATION_KEY = "word"
 RECORD_COUNT_KEY = "records"
 DIGEST_KEY = "digest"
-INCARNATION_NOTE = "life"  # key of a note in the record database
+INCARNATION_NOTE = "life"  # key of the incarnation number in the notes of the record database
 MAX_ERROR_CHARS = 300
 IDENTITY_CHARS = 16
 
--- a/emberlatch/cluster/cli/loopback_cluster.py
+++ b/emberlatch/cluster/cli/loopback_cluster.py
@@ -26,7 +26,7 @@
 from emberlatch.simulation.target import SimulatedTarget
 
 THIS_CHECKOUT = Path(__file__).resolve().parents[3]
-NODE_PACKAGES = "emberlatch.cluster", "huts"  # packages that start a node; older checkouts have the second
+NODE_PACKAGES = "emberlatch.cluster", "huts"  # packages that start a node; the second is in older checkouts
 STORE_COUNT = 3
 FORWARDER_COUNT = 2
 TARGET_COUNT = 4
@@ -39,7 +39,7 @@
 READY_TIMEOUT_S = 1.0
 STATE_TIMEOUT_S = 2.0
 REGISTRATION_WAIT_S = 1.5  # time until each target has sent a heartbeat
-ROLL_OUT_PAUSE_S = 1.0  # between the replacement of two processes
+ROLL_OUT_PAUSE_S = 1.0  # pause between the replacements of two processes
 OK = 200
 UNKNOWN_STATE = "unknown"
 
@@ -65,10 +65,10 @@
 class Ports:
     """Port numbers, which are the same on every address."""
 
-    control: int  # for operators
-    client: int
-    readiness: int  # for health checks
-    peer: int  # for the other processes of the cluster
+    control: int  # requests of operators
+    client: int  # requests of clients
+    readiness: int  # health checks
+    peer: int  # connections of other processes in the cluster
 
 
 class LoopbackCluster(Environment):
--- a/emberlatch/cluster/cli/simulate.py
+++ b/emberlatch/cluster/cli/simulate.py
@@ -14,7 +14,7 @@
 from emberlatch.simulation import Plan, draw_plan, play
 
 ACCEPTED = 202
-START_OF_DAY_S = 1000  # on the simulated clock
+START_OF_DAY_S = 1000  # time of the simulated clock at the start of a day
 
 
 @dataclass(frozen=True, slots=True)
--- a/emberlatch/cluster/cli/stored_records.py
+++ b/emberlatch/cluster/cli/stored_records.py
@@ -11,7 +11,7 @@
 
 from emberlatch.cluster.message_store import Record
 
-RECORDS_FILE = "records.db"  # in the data folder
+RECORDS_FILE = "records.db"  # name of the record database in the data folder
 
 
 @dataclass(frozen=True, slots=True)
--- a/emberlatch/cluster/cli/trial.py
+++ b/emberlatch/cluster/cli/trial.py
@@ -25,7 +25,7 @@
 
 ACCEPTED = 202
 KILLED_STORE = "store-0"
-FAULT_TOLERANCE_S = 0.1  # a fault may have visible effects this long before its recorded time
+FAULT_TOLERANCE_S = 0.1  # faults are recorded this much earlier, as effects may be seen before the record
 UNLIMITED_S = 1e6
 WARM_UP_S = 2.0  # duration of the load before a roll-out
 COMPLETION_WAIT_S = 3.0  # time after the last message for deliveries to complete
--- a/emberlatch/cluster/discovery/target.py
+++ b/emberlatch/cluster/discovery/target.py
@@ -101,7 +101,7 @@
     sequence: int  # number of its newest heartbeat
     last_contact_at: float  # loop time of its last heartbeat or its deregistration
     warmed_up_at: float = 0.0  # loop time at which it has warmed up; it is slow until then
-    lease_expired: bool = False  # by this process's own judgement; not sent to other stores
+    lease_expired: bool = False  # judgement of this process, not sent to other stores
 
     @classmethod
     def from_report(cls, report: TargetReport, now: float) -> Self:
--- a/emberlatch/cluster/dispatch/carrier.py
+++ b/emberlatch/cluster/dispatch/carrier.py
@@ -19,7 +19,7 @@
 from emberlatch.net.retry_after import parse_retry_after
 
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
-ATTEMPT_ID_HEADER = "emberlatch-attempt-id"  # in a response: the id of the message that it answers
+ATTEMPT_ID_HEADER = "emberlatch-attempt-id"  # repeated in a response: id of the answered message
 SEAL_HEADER = "emberlatch-server-seal"
 NOT_EXECUTED_HEADER = "emberlatch-not-executed"
 
--- a/emberlatch/cluster/dispatch/delivery.py
+++ b/emberlatch/cluster/dispatch/delivery.py
@@ -17,8 +17,8 @@
     """Stage of a delivery."""
 
     DELAYED = "delayed"  # waits until the message or its next retry is due
-    READY = "ready"  # in the ready queue of its service
-    QUEUED_IN_POOL = "queued in pool"  # in the decision module, which looks for a target
+    READY = "ready"  # queued for its service, not offered to the decision module yet
+    QUEUED_IN_POOL = "queued in pool"  # offered to the decision module, which looks for a target
     IN_FLIGHT = "in flight"  # a call to a target has started
 
 
@@ -28,8 +28,8 @@
 class Locality(IntEnum):
     """Whether targets are in this store's zone; the value is an index of `PoolSizes`."""
 
-    LOCAL = 0  # in this store's zone
-    REMOTE = 1
+    LOCAL = 0  # the zone of this store
+    REMOTE = 1  # any other zone
 
 
 PoolSizes = list[int]
--- a/emberlatch/cluster/dispatch/module_settings.py
+++ b/emberlatch/cluster/dispatch/module_settings.py
@@ -8,7 +8,7 @@
 CONNECT_TIMEOUT_S = 0.5
 CONNECTION_IDLE_S = 6.0
 MAX_RETRY_AFTER_S = 2.0
-UNLIMITED = 1_000_000  # this package limits messages and attempts, not the module
+UNLIMITED = 1_000_000  # limit for the module, as this package itself limits messages and attempts
 
 
 class LeaseWaitCategories:
--- a/emberlatch/cluster/dispatch/offering.py
+++ b/emberlatch/cluster/dispatch/offering.py
@@ -1,4 +1,8 @@
-"""Offers ready deliveries to the decision module, up to a limit for each destination."""
+"""Offers ready deliveries to the decision module, up to a limit for each destination.
+
+In this package, a lease is a call slot that the decision module assigns to a delivery. It is unrelated to the
+lease of a target, which the target's heartbeats renew.
+"""
 
 from __future__ import annotations
 
--- a/emberlatch/cluster/dispatch/target_connection.py
+++ b/emberlatch/cluster/dispatch/target_connection.py
@@ -15,7 +15,7 @@
 from emberlatch.engine import Address
 from emberlatch.net.http_connection import Connection, Response
 
-MAX_REMEMBERED_REQUESTS = 32  # per connection
+MAX_REMEMBERED_REQUESTS = 32  # number of message ids kept for each connection
 
 
 class TargetConnection(Connection):
