--- a/emberlatch/cluster/dispatch/delivery.py
+++ b/emberlatch/cluster/dispatch/delivery.py
@@ -46,8 +46,10 @@
         send_count: number of calls under this `ref`, including those that the rate quota rejected.
         route: route from the configuration that was active when the delivery became ready.
         offer_count: number of offers without a lease since the last attempt.
-        pool_sizes, locality: the counters, and the index in them, that count it in the decision module.
-        verdict, seal: verdict on the response to the call in flight, and its seal, until the outcome.
+        pool_sizes: counters of its service's deliveries in the decision module.
+        locality: locality of the targets to which it was offered last.
+        verdict: verdict on the response to the call in flight; None again once the outcome is processed.
+        seal: seal of that response; empty if there is none.
     """
 
     __slots__ = (
