--- a/emberlatch/cluster/cli/simulate.py
+++ b/emberlatch/cluster/cli/simulate.py
@@ -31,7 +31,7 @@
     """Selection of the simulated days.
 
     Attributes:
-        seed: seed of the first day; each further day uses the next seed.
+        seed: seed of the first day; each later day uses the next seed.
         days: number of days.
         jobs: number of processes.
         log: print the logs of the simulated processes.
--- a/emberlatch/cluster/dispatch/outcomes.py
+++ b/emberlatch/cluster/dispatch/outcomes.py
@@ -86,7 +86,10 @@
             self._inbox.schedule()
 
     def _on_attempt_failed(self, delivery: Delivery) -> None:
-        """Count an attempt that the target reported as failed, then retry or dead-letter the message."""
+        """Count an attempt that the target reported as failed; retry until the attempts are exhausted.
+
+        Attempts without a conclusive response are not counted.
+        """
         record, route = delivery.record, delivery.route
         assert route is not None
         record.attempts += 1
--- a/emberlatch/cluster/dispatch/target_connection.py
+++ b/emberlatch/cluster/dispatch/target_connection.py
@@ -3,7 +3,7 @@
 A faulty target may send a second response, or a response to an earlier message. The attempt id in such a
 response differs from the id of the current request, and the response is dropped. The connection stays open
 then, because the expected response may still follow and closing would abort the execution of the message.
-No further request is sent on this connection.
+No other request is sent on this connection.
 """
 
 from __future__ import annotations
