--- a/tests/cluster/test_repeated_calls.py
+++ b/tests/cluster/test_repeated_calls.py
@@ -208,7 +208,7 @@
                 *[200] * 4,
                 delay_s=delay_s,
             )
-            assert all(s.target_directory.known[id].state is TargetState.GONE for s in stores)
+            assert all(s.target_directory.known[id].state is TargetState.DEREGISTERED for s in stores)
             revision = 20 + int(delay_s)
             configuration = cluster.configuration(revision)
             await send_twice(
