--- a/emberlatch/cluster/consensus/__init__.py
+++ b/emberlatch/cluster/consensus/__init__.py
@@ -1,8 +1,9 @@
-"""Consensus on the control state: a replicated register, decided version after version by a group of voters.
+"""Consensus on the control state: a replicated register whose versions a group of voters decides in turn.
 
-Version n + 1 is one instance of single-decree Paxos (Lamport, "Paxos Made Simple", 2001) among the voters
-that version n names, so that the group is reconfigured by consensus as well. Only the newest state is kept,
-as in CASPaxos (Rystsov, 2018): there is no log and no leader. See docs/design/control.md.
+Version n + 1 is decided by one instance of single-decree Paxos (Lamport, "Paxos Made Simple", 2001) among
+the voters that version n names. A change of the group is therefore decided by consensus as well. Only the
+newest state is kept, as in CASPaxos (Rystsov, 2018): there is no log and no leader. See
+docs/design/control.md.
 """
 
 from emberlatch.cluster.consensus.acceptor import Acceptor, AcceptorRecord
--- a/emberlatch/cluster/consensus/acceptor.py
+++ b/emberlatch/cluster/consensus/acceptor.py
@@ -1,7 +1,8 @@
-"""The acceptor and learner of Paxos on one machine. Pure.
+"""The acceptor and learner of Paxos on one machine. This module does no I/O.
 
-`Acceptor.handle` computes the next record and the reply. The caller makes the record durable before the
-reply leaves, and keeps the old one if it can't be written: then nothing was promised.
+`Acceptor.handle` computes the next record and the reply. The caller makes that record durable before it
+sends the reply. If the record can't be written, the caller keeps the old one and drops the reply, so that
+nothing was promised.
 """
 
 from __future__ import annotations
@@ -41,10 +42,10 @@
 class AcceptorRecord:
     """What a machine keeps on disk.
 
-    `voter` names the machine and its disk. `founding_voter` is the machine's address as a seed, by which it
-    votes on the founding alone; None if it takes no part in that: it is no seed, or its first disk was lost.
-    `promised` and `accepted` are about the version after `state`. `last_batch` made `state` of its
-    predecessor; it is not on disk.
+    `voter` names the machine and its disk. `founding_voter` has the machine's address as a seed, under
+    which it votes on the founding only; None if it takes no part in the founding, because it is no seed or
+    its first disk was lost. `promised` and `accepted` are about the version after `state`.
+    `last_batch` is the batch that produced `state`; it is not stored on disk.
     """
 
     voter: Voter
@@ -80,7 +81,7 @@
 
     @property
     def active_voter(self) -> Voter | None:
-        """The voter as which this machine votes on the next version; None if it has no vote."""
+        """The voter under which this machine votes on the next version; None if it has no vote."""
         for voter in (self.voter, self.founding_voter):
             if voter is not None and voter in self.state.voters:
                 return voter
@@ -95,7 +96,7 @@
     """Handles requests to a voter, as a pure function of its record."""
 
     def handle(self, record: AcceptorRecord, request: Request) -> Step:
-        """The next record and the reply to one request."""
+        """Return the next record and the reply to one request."""
         match request:
             case Prepare() | Accept():
                 return self._vote(record, request)
@@ -132,7 +133,7 @@
 
     def _learn(self, record: AcceptorRecord, request: Learn) -> Step:
         reply = self._reply_unless_next(record, record.voter, request)
-        if isinstance(reply, Chosen | Snapshot):  # the version is known here
+        if isinstance(reply, Chosen | Snapshot):  # this machine has the version already
             return record, Learned(record.voter, record.state.version)
         if reply is not None:
             return record, reply
@@ -142,35 +143,38 @@
     def _reply_unless_next(
         self, record: AcceptorRecord, voter: Voter, request: Prepare | Accept | Learn
     ) -> Reply | None:
-        """The reply to a request that is not about the version after the record's; None if it is."""
-        known = record.state.version
-        if known == request.version and record.last_batch is not None:
-            return Chosen(voter, known, record.last_batch)
-        if known >= request.version:
+        """Return the reply to a request that is not about the record's next version; None if it is.
+
+        A request of another group of voters is declined here too.
+        """
+        local_version = record.state.version
+        if local_version == request.version and record.last_batch is not None:
+            return Chosen(voter, local_version, record.last_batch)
+        if local_version >= request.version:
             return Snapshot(voter, record.state)
-        if known < request.version - 1:
-            return Behind(voter, known)
+        if local_version < request.version - 1:
+            return Behind(voter, local_version)
         if request.group != record.state.group:
             return Declined(voter, "another group decides that version here")
         return None
 
 
 def advance(record: AcceptorRecord, batch: Batch) -> AcceptorRecord:
-    """The record after this batch was chosen as the next version; promises about that version are dropped."""
+    """Return the record after this batch was chosen as the next version, without the vote on that version."""
     state = apply_batch(record.state, batch)
     return replace(record, state=state, promised=None, accepted=None, last_batch=batch)
 
 
 def install(record: AcceptorRecord, state: ControlState) -> AcceptorRecord:
-    """The record with a chosen state, if that is a later one of the same cluster."""
+    """Return the record with a chosen state if that is a later one of the same cluster, else unchanged."""
     return adopt_state(record, state) if is_later_state(record, state) else record
 
 
 def is_later_state(record: AcceptorRecord, state: ControlState) -> bool:
-    """Whether a state follows the record's, or is of the founding that the machine has waited for."""
+    """Whether a state follows the record's, or results from the founding that the machine waits for."""
     return state.follows(record.state) or (record.state.awaiting_founding and record.voter in state.voters)
 
 
 def adopt_state(record: AcceptorRecord, state: ControlState) -> AcceptorRecord:
-    """The record with a state of others, whatever its own is; the caller has checked the cluster."""
+    """Return the record with another machine's state; the caller has checked that it is to be replaced."""
     return replace(record, state=state, promised=None, accepted=None, last_batch=None)
--- a/emberlatch/cluster/consensus/commands.py
+++ b/emberlatch/cluster/consensus/commands.py
@@ -1,7 +1,7 @@
-"""Commands on the control state. Pure and deterministic.
+"""Commands on the control state. Deterministic and without I/O.
 
-A command that does not apply any more (a later one overtook it, or it was applied before) changes nothing:
-its submitter reads from the resulting state what became of it.
+A command that no longer applies, because it was applied before or superseded by a later one, changes
+nothing. Its submitter reads the outcome from the resulting state.
 """
 
 from __future__ import annotations
@@ -23,12 +23,15 @@
 from emberlatch.cluster.consensus.wire import as_sequence, decode_by_kind
 from emberlatch.cluster.rpc.errors import MessageDecodeError
 
-MAX_TRACKED_NODES = 512  # decommissioned or removed machines that are remembered, the newest
+MAX_TRACKED_NODES = 512  # limit of each list of decommissioned and of removed machines; the newest are kept
 
 
 @dataclass(frozen=True, slots=True)
 class FoundGroup:
-    """Found the cluster with its first group of voters. `cluster` is a random name drawn by the proposer."""
+    """Create the cluster with its first group of voters. `cluster` is a random name, drawn by the proposer.
+
+    The code calls this the founding of the cluster.
+    """
 
     KIND: ClassVar[str] = "found"
 
@@ -36,7 +39,7 @@
     cluster: str = ""
 
     def apply(self, state: ControlState) -> ControlState:
-        """Found the cluster, unless it was founded before."""
+        """Create the cluster unless it exists already."""
         if state.version != 0:
             return state
         voters = tuple(sorted(self.voters))
@@ -57,7 +60,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SetVoters:
-    """Reconfigure: these voters decide from the next version on. `epoch` is that of the state it is for."""
+    """Change the group of voters from the next version on.
+
+    `epoch` is that of the state for which the change was computed.
+    """
 
     KIND: ClassVar[str] = "voters"
 
@@ -65,9 +71,9 @@
     voters: tuple[Voter, ...]
 
     def apply(self, state: ControlState) -> ControlState:
-        """Add, remove or replace a single voter; a change that was computed for another epoch is void.
+        """Add, remove or replace a single voter; a change that was computed for another epoch has no effect.
 
-        Single-server changes keep a majority of the old group in common with one of the new group.
+        Changing one server at a time keeps a majority of the old group in common with one of the new group.
         """
         before, after = set(state.voters), set(self.voters)
         if self.epoch != state.epoch or not after or before == after:
@@ -93,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configure:
-    """Commit an operator's configuration under its revision."""
+    """Commit an operator's configuration text under its revision."""
 
     KIND: ClassVar[str] = "configure"
 
@@ -101,15 +107,16 @@
     text: bytes
 
     def apply(self, state: ControlState) -> ControlState:
-        """Bind the revision to its first text for ever; the text of the highest revision is in force.
+        """Bind the revision to the first text committed under it. The text of the highest revision is
+        in force.
 
-        A revision below the one in force is only noted as taken.
+        The binding is permanent. A revision below the one in force is only recorded in the history.
         """
         digest = text_digest(self.text)
         if state.status(self.revision, digest) is not RevisionStatus.ABSENT:
             return state
         history = (*state.history, (self.revision, digest))
-        if len(history) > MAX_HISTORY:  # the one in force is never forgotten
+        if len(history) > MAX_HISTORY:  # drop the oldest entry other than the one in force
             oldest = next(entry for entry in history if entry[0] != max(state.revision, self.revision))
             history = tuple(entry for entry in history if entry is not oldest)
         if self.revision < state.revision:
@@ -139,14 +146,14 @@
     mark: DecommissionMark
 
     def apply(self, state: ControlState) -> ControlState:
-        """Advance the mark; a mark never goes back, and a second machine has to wait."""
+        """Advance the mark, never back; no second machine is marked before the first one is empty."""
         marks = dict(state.decommissions)
-        known = marks.get(self.node)
-        if known is not None and known >= self.mark:
+        current = marks.get(self.node)
+        if current is not None and current >= self.mark:
             return state
-        if known is None and self.mark is not DecommissionMark.MARKED:
+        if current is None and self.mark is not DecommissionMark.MARKED:
             return state
-        if known is None and DecommissionMark.MARKED in marks.values():
+        if current is None and DecommissionMark.MARKED in marks.values():
             return state
         marks.pop(self.node, None)
         marks[self.node] = self.mark
@@ -168,14 +175,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RemoveMember:
-    """Remove a machine that was unreachable for long from the membership, until it is readmitted."""
+    """Remove a machine from the membership after it was unreachable for long, until it is readmitted."""
 
     KIND: ClassVar[str] = "give up"
 
     node: str
 
     def apply(self, state: ControlState) -> ControlState:
-        """Remove the machine, unless it is removed already."""
+        """Remove the machine unless it is removed already."""
         if self.node in state.removed_members:
             return state
         removed_members = (*state.removed_members, self.node)[-MAX_TRACKED_NODES:]
@@ -196,14 +203,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadmitMember:
-    """Take back a removed machine that is reachable again."""
+    """Readmit a removed machine that is reachable again."""
 
     KIND: ClassVar[str] = "readmit"
 
     node: str
 
     def apply(self, state: ControlState) -> ControlState:
-        """Take the machine back, if it is removed."""
+        """Readmit the machine if it is removed."""
         if self.node not in state.removed_members:
             return state
         removed_members = tuple(node for node in state.removed_members if node != self.node)
@@ -232,12 +239,15 @@
 
 
 def is_founding(batch: Batch) -> bool:
-    """Whether a batch is a founding, the only thing that the seeds decide: else there might never be one."""
+    """Whether a batch founds the cluster.
+
+    The seeds decide no other batch: it would take the place of the founding, which could then never happen.
+    """
     return len(batch) == 1 and isinstance(batch[0], FoundGroup)
 
 
 def apply_batch(state: ControlState, batch: Iterable[Command]) -> ControlState:
-    """The version after `state`, if this batch is chosen."""
+    """Return the next version of the state, with this batch applied."""
     for command in batch:
         state = command.apply(state)
     return replace(state, version=state.version + 1)
--- a/emberlatch/cluster/consensus/ports.py
+++ b/emberlatch/cluster/consensus/ports.py
@@ -1,4 +1,4 @@
-"""What the replicated register needs of the process around it."""
+"""Interfaces between the replicated register and its process: transport, storage and listener."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class Transport(Protocol):
-    """Requests to the other machines with a disk."""
+    """Sends requests to the other machines that have a disk."""
 
     def reachable_nodes(self) -> Iterable[str]:
-        """Nodes that can be called now."""
+        """Return the nodes that can be called now."""
 
     def node_of(self, voter: Voter) -> str | None:
-        """The node of a voter, as it was last heard of; None if it is not known."""
+        """Return the node of a voter as last reported; None if it is not known."""
 
     def lost_voters(self, voters: Iterable[Voter]) -> frozenset[Voter]:
-        """Those of these voters whose machine itself has reported another disk identity since."""
+        """Return those of these voters whose own machine has since reported another disk identity."""
 
     async def call(self, node: str, request: list[object], timeout: float) -> object:
         """Send an encoded request and return the encoded reply.
@@ -30,20 +30,20 @@
 
 
 class Storage(Protocol):
-    """Stable storage of the acceptor's record."""
+    """Stable storage for the acceptor's record."""
 
     def write(self, record: AcceptorRecord) -> None:
-        """Write a record and sync it; blocks. Raises OSError if it can't be made durable."""
+        """Write and sync a record; blocks. Raises OSError if the record can't be made durable."""
 
 
 class RegisterListener(Protocol):
-    """Is notified of changes in the register, at once and on the event loop."""
+    """Is notified of changes in the register, synchronously and on the event loop."""
 
     def state_changed(self, state: ControlState) -> None:
         """A newer state became known, or the first one was read from disk."""
 
     def disk_changed(self, error: OSError | None) -> None:
-        """The disk began to fail with this error, or works again if it is None."""
+        """The disk began to fail with `error`, or works again if `error` is None."""
 
 
 class NullListener:
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RegisterPorts:
-    """The surroundings of one register, given once when it is built."""
+    """The interfaces that one register uses, passed to its constructor."""
 
     offload: Offload
     transport: Transport
--- a/emberlatch/cluster/consensus/proposal.py
+++ b/emberlatch/cluster/consensus/proposal.py
@@ -1,4 +1,4 @@
-"""What an acceptor votes for: a batch of commands under a ballot. Pure."""
+"""What an acceptor votes for: a batch of commands under a ballot. This module does no I/O."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 def proposal_to_wire(proposal: Proposal | None) -> list[object] | None:
-    """The encoding of a proposal that may be missing."""
+    """Return the encoding of a proposal; None for None."""
     return None if proposal is None else proposal.to_wire()
 
 
 def proposal_from_wire(payload: object) -> Proposal | None:
-    """Decode a proposal that may be missing; raises MessageDecodeError."""
+    """Decode a proposal; None for None. Raises MessageDecodeError."""
     return None if payload is None else Proposal.from_wire(payload)
--- a/emberlatch/cluster/consensus/replies.py
+++ b/emberlatch/cluster/consensus/replies.py
@@ -1,7 +1,7 @@
-"""Replies of a voter to requests about one version of the control state. Pure.
+"""Replies of a voter to requests about one version of the control state. This module does no I/O.
 
-Each reply names its voter, so that a late or duplicated one counts once, and only for the identity that
-gave it.
+Each reply names its voter. A late or duplicated reply therefore counts once, and only for the disk identity
+that sent it.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """Phase 1b: the ballot is promised; `accepted` has the highest ballot that was accepted before."""
+    """Phase 1b: the ballot is promised; `accepted` is the voter's accepted proposal of the highest ballot."""
 
     KIND: ClassVar[str] = "promise"
 
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """A higher ballot was promised."""
+    """The voter has promised a higher ballot, `promised`."""
 
     KIND: ClassVar[str] = "rejected"
 
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Chosen:
-    """That version is decided already: this batch was chosen."""
+    """The requested version is decided already: this batch was chosen."""
 
     KIND: ClassVar[str] = "chosen"
 
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The newest state on the voter's disk; for a request of Paxos: that version is decided already."""
+    """The newest state on the voter's disk; after Prepare or Accept: that version is decided already."""
 
     KIND: ClassVar[str] = "snapshot"
 
@@ -142,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Behind:
-    """The voter lacks earlier versions; `version` is the newest that it has."""
+    """The voter lacks versions before the requested one; `version` is the newest that it has."""
 
     KIND: ClassVar[str] = "behind"
 
@@ -209,7 +209,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Declined:
-    """The voter takes no part: it has no vote in that group, or its disk can't be written."""
+    """The request was declined: for example, the voter has no vote, or its disk can't be written."""
 
     KIND: ClassVar[str] = "unfit"
 
--- a/emberlatch/cluster/consensus/requests.py
+++ b/emberlatch/cluster/consensus/requests.py
@@ -1,7 +1,7 @@
-"""Requests to a voter about one version of the control state. Pure.
+"""Requests to a voter about one version of the control state. This module does no I/O.
 
-Each request of Paxos names the version that is to be decided and the group of voters that decides it; a
-voter that knows of another group takes no part.
+Prepare, Accept and Learn name a version and the group of voters that decides it. A voter whose state names
+another group for that version declines the request.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Phase 1a: promise to take part in no lower ballot, and report what was accepted."""
+    """Phase 1a: asks for a promise to join no lower ballot, and for the proposal accepted so far."""
 
     KIND: ClassVar[str] = "prepare"
 
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Phase 2a: accept this batch unless a higher ballot was promised."""
+    """Phase 2a: asks a voter to accept this batch unless it has promised a higher ballot."""
 
     KIND: ClassVar[str] = "accept"
 
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Learn:
-    """This batch was chosen as that version."""
+    """Announces that this batch was chosen as this version."""
 
     KIND: ClassVar[str] = "learn"
 
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Install:
-    """A chosen state, for a machine that lacks more than one version."""
+    """Carries a chosen state to a machine that lacks more than one version."""
 
     KIND: ClassVar[str] = "install"
 
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """Ask whether anything newer than this version is chosen, or may be."""
+    """Asks whether a version newer than this one is chosen, or may be chosen."""
 
     KIND: ClassVar[str] = "read"
 
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Ask for the newest state that the machine has on disk."""
+    """Asks for the newest state that the machine has on disk."""
 
     KIND: ClassVar[str] = "fetch"
 
@@ -149,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Submit:
-    """Delegate these commands to the preferred proposer, so that proposers seldom collide."""
+    """Delegates these commands to the preferred proposer, so that proposers seldom collide."""
 
     KIND: ClassVar[str] = "submit"
 
--- a/emberlatch/cluster/consensus/state.py
+++ b/emberlatch/cluster/consensus/state.py
@@ -1,6 +1,6 @@
-"""The control state that all machines agree on. Pure.
+"""The control state that all machines agree on. This module does no I/O.
 
-A state follows from its predecessor and a batch of commands alone, so that processes which apply the same
+A state depends only on its predecessor and a batch of commands, so that processes which apply the same
 batches have the same state. Its size does not grow with the number of changes.
 """
 
@@ -15,8 +15,8 @@
 from emberlatch.cluster.consensus.wire import as_sequence
 from emberlatch.cluster.rpc.errors import MessageDecodeError
 
-MAX_HISTORY = 1024  # revisions that are remembered, each with the digest of its text
-NO_REVISION = -1
+MAX_HISTORY = 1024  # maximum number of revisions in the history, each with the digest of its text
+NO_REVISION = -1  # revision of a state without a configuration
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -41,10 +41,10 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Voter:
-    """A machine with a vote: its node and the identity on its disk, so that a lost disk is another voter.
+    """A machine with a vote: its node and the identity on its disk.
 
-    The seeds, which vote on the founding, have no identity yet: `node` is then an address and `identity`
-    empty.
+    After the loss of its disk a machine is a different voter. The seeds, which vote on the founding of the
+    cluster, have no identity yet: for them `node` is an address and `identity` is empty.
     """
 
     node: str
@@ -66,16 +66,16 @@
 class DecommissionMark(IntEnum):
     """The progress of a machine's decommission; it never goes back."""
 
-    MARKED = 1  # ordered by an operator: its replicas do not count any more
-    EMPTY = 2  # no record has its only replica there
+    MARKED = 1  # an operator ordered it; replicas on the machine no longer count
+    EMPTY = 2  # no record has its only replica on the machine
 
 
 class RevisionStatus(Enum):
-    """What became of an operator's text under its revision."""
+    """The status of an operator's configuration text under its revision."""
 
     COMMITTED = "committed"  # this text was chosen under this revision
-    CONFLICT = "conflict"  # another text was
-    ABSENT = "absent"  # none was, and one still may be
+    CONFLICT = "conflict"  # another text was chosen under this revision
+    ABSENT = "absent"  # no text was chosen under this revision, but one still may be
     FORGOTTEN = "forgotten"  # the revision is older than the history
 
 
@@ -88,9 +88,9 @@
 class ControlState:
     """One version of the control state.
 
-    `version` counts instances of Paxos, `epoch` changes of voters and members. `history` has pairs of a
-    revision and the digest of its text, oldest first. `cluster` is a random name, drawn at the founding:
-    states of another cluster are never mixed with these.
+    `version` counts instances of Paxos, `epoch` counts changes of voters and members. `history` has
+    pairs of a revision and the digest of its text, oldest first. `cluster` is a random name that is drawn at
+    the founding and keeps states of different clusters apart.
     """
 
     version: int = 0
@@ -105,12 +105,12 @@
 
     @cached_property
     def by_revision(self) -> dict[int, str]:
-        """The digest of the text of each remembered revision."""
+        """The digest of the text of each revision in the history."""
         return dict(self.history)
 
     @cached_property
     def group(self) -> str:
-        """A digest that names the voters which decide the next version."""
+        """A digest that identifies the group of voters that decides the next version."""
         text = f"{self.cluster} {self.version} " + " ".join(f"{v.node}/{v.identity}" for v in self.voters)
         return hashlib.sha256(text.encode()).hexdigest()[:16]
 
@@ -121,7 +121,7 @@
 
     @cached_property
     def excluded_nodes(self) -> frozenset[str]:
-        """Nodes that nobody waits for: empty after a decommission, or removed from the membership."""
+        """Nodes that are not waited for: empty after a decommission, or removed from the membership."""
         empty = {node for node, mark in self.decommissions if mark is DecommissionMark.EMPTY}
         return frozenset(empty | set(self.removed_members))
 
@@ -132,34 +132,34 @@
 
     @property
     def awaiting_founding(self) -> bool:
-        """Whether the seeds have still to found the cluster; states of others may then be of another one."""
+        """Whether the seeds have yet to found the cluster; others' states may then be of another cluster."""
         return self.version == 0 and bool(self.voters)
 
     def follows(self, other: ControlState) -> bool:
-        """Whether this is known to be a later state of the same cluster."""
+        """Whether this is certainly a later state of the cluster of `other`."""
         later = self.version > other.version
         return later and not other.awaiting_founding and other.cluster in ("", self.cluster)
 
     def status(self, revision: int, digest: str) -> RevisionStatus:
-        """What became of the text with this digest under its revision."""
-        known = self.by_revision.get(revision)
-        if known is not None:
-            return RevisionStatus.COMMITTED if known == digest else RevisionStatus.CONFLICT
+        """Return the status of the text with this digest under this revision."""
+        chosen = self.by_revision.get(revision)
+        if chosen is not None:
+            return RevisionStatus.COMMITTED if chosen == digest else RevisionStatus.CONFLICT
         if len(self.history) >= MAX_HISTORY and revision < self.revision:
             return RevisionStatus.FORGOTTEN
         return RevisionStatus.ABSENT
 
     def decommission_mark(self, node: str) -> DecommissionMark | None:
-        """The progress of a node's decommission; None if none was ordered."""
+        """Return the progress of a node's decommission; None if none was ordered."""
         return dict(self.decommissions).get(node)
 
     def voter(self, node: str) -> Voter | None:
-        """The voter on a node; None if it has no vote."""
+        """Return the voter on a node; None if the node has no vote."""
         return next((voter for voter in self.voters if voter.node == node), None)
 
     @property
     def majority(self) -> int:
-        """The number of voters that are more than half."""
+        """The smallest number of voters that is more than half of the group."""
         return len(self.voters) // 2 + 1
 
     def to_wire(self) -> list[object]:
--- a/emberlatch/cluster/consensus/wire.py
+++ b/emberlatch/cluster/consensus/wire.py
@@ -1,4 +1,4 @@
-"""Decoding of payloads: checks of shape that raise MessageDecodeError."""
+"""Checks of the structure of payloads; a failed check raises MessageDecodeError."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def as_sequence(payload: object, message: str) -> Sequence[object]:
-    """The payload itself, if it is a list; else raises MessageDecodeError, which names `message`."""
+    """Return the payload if it is a list; otherwise raise MessageDecodeError, which names `message`."""
     if isinstance(payload, list | tuple):
         return payload
     raise MessageDecodeError(message, f"a list is expected, not {type(payload).__name__}")
@@ -20,7 +20,7 @@
 def decode_by_kind(
     payload: object, decoders: Mapping[str, Callable[[object], Message]], message: str
 ) -> Message:
-    """Decode a list with the decoder for its first item, the kind; raises MessageDecodeError."""
+    """Decode a list with the decoder for its first item, which is the kind. Raises MessageDecodeError."""
     match payload:
         case [str(kind), *_] if kind in decoders:
             return decoders[kind](payload)
