--- a/emberlatch/cluster/consensus/coordinator.py
+++ b/emberlatch/cluster/consensus/coordinator.py
@@ -1,7 +1,7 @@
-"""Has commands decided: queues what is submitted and proposes it in batches, version after version.
+"""Has commands decided: queues submitted commands and proposes them in batches, one version after another.
 
-The first reachable voter is the preferred proposer, to whom the others delegate, so that proposers seldom
-collide. That is an optimization only: safety rests on the ballots.
+The first reachable voter is the preferred proposer. Other processes delegate commands to it, so that
+proposers seldom collide. This is only an optimization: safety depends on the ballots alone.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from emberlatch.cluster.consensus.state import Ballot, ControlState
 from emberlatch.cluster.consensus.voter_client import VoterClient
 
-DELEGATION_TIMEOUT_S = 0.3  # for the preferred proposer to have a batch decided
-BASE_BACKOFF_S = 0.004  # the bound of the first backoff after a collision; it doubles with each next one
+DELEGATION_TIMEOUT_S = 0.3  # time that the preferred proposer has to get a batch decided
+BASE_BACKOFF_S = 0.004  # times 2 ** collisions this is the bound of the random backoff
 MAX_BACKOFF_S = 0.12
-MAX_DOUBLINGS = 10
+MAX_DOUBLINGS = 10  # limit of the exponent in the bound of the backoff
 MAX_BATCH_COMMANDS = 64
 MAX_PENDING_COMMANDS = 1024
 
 
 @dataclass(slots=True)
 class _PendingCommand:
-    """A command that waits to be decided, and the future of its submitter."""
+    """A command that is not decided yet, and the future that its submitter awaits."""
 
     command: Command
     done: asyncio.Future[ControlState]
@@ -47,9 +47,10 @@
         self._proposing = False
 
     async def submit(self, command: Command, timeout: float) -> ControlState:
-        """Have a command decided; returns a state in which it has had its effect, if it can have one.
+        """Have a command decided; returns a state to which it was applied, or to which it no longer applies.
 
-        `timeout` is in seconds. Raises UndecidedError: the command may still be decided, or never.
+        `timeout` is in seconds. Raises UndecidedError if the outcome is not known by then; the command may
+        still be decided later.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
@@ -71,7 +72,7 @@
         return Learned(voter, max(state.version for state in states))
 
     def _is_final(self, command: Command) -> bool:
-        """Whether a command can have no effect any more: it was applied, or overtaken."""
+        """Whether a command can no longer change the state, because it was applied or superseded."""
         state = self._register.state
         return state.version > 0 and command.apply(state) is state
 
@@ -81,7 +82,7 @@
         return next((voter.node for voter in voters if voter.node in reachable), None)
 
     async def _delegate(self, node: str, batch: Batch) -> None:
-        """Have another process propose. Failures are ignored: this process proposes itself then."""
+        """Have another process propose a batch. Failures are ignored: the caller then proposes the batch."""
         try:
             reply = await self._client.call(node, Submit(batch), DELEGATION_TIMEOUT_S)
             if isinstance(reply, Learned) and reply.version > self._register.state.version:
@@ -90,7 +91,7 @@
             pass
 
     async def _decide(self, command: Command, timeout: float) -> ControlState:
-        """Queue a command for this process's own proposals, and wait until it is final."""
+        """Queue a command for this process's own proposals, and wait until the command is final."""
         if len(self._pending) >= MAX_PENDING_COMMANDS:
             raise UndecidedError("too many commands are pending")
         pending = _PendingCommand(command, asyncio.get_running_loop().create_future())
@@ -109,7 +110,7 @@
                 self._pending.remove(pending)
 
     async def _propose(self) -> None:
-        """Propose until nothing is pending."""
+        """Propose batches until no command is pending."""
         collisions = 0
         try:
             while self._pending:
@@ -122,9 +123,9 @@
             self._proposing = False
 
     def _next_batch(self) -> Batch:
-        """The commands to propose next; a change of voters is proposed alone.
+        """Return the commands to propose next; a change of voters is proposed alone.
 
-        No command is then decided by a group that another command of its batch has replaced.
+        Otherwise a command could be decided by a group that another command of the same batch replaces.
         """
         commands = [pending.command for pending in self._pending]
         if self._register.state.version == 0:
@@ -136,12 +137,12 @@
         return tuple(others[:MAX_BATCH_COMMANDS])
 
     def backoff_s(self, collisions: int) -> float:
-        """Seconds to wait after so many collisions: random, with a bound that grows exponentially."""
+        """Return a random number of seconds to wait; its bound grows exponentially with `collisions`."""
         bound = BASE_BACKOFF_S * 2.0 ** min(collisions, MAX_DOUBLINGS)
         return self._random.uniform(0, min(MAX_BACKOFF_S, bound))
 
     def _complete_final(self) -> None:
-        """Complete the futures of commands that can have no effect any more."""
+        """Complete the futures of commands that are final."""
         for pending in list(self._pending):
             if self._is_final(pending.command):
                 self._pending.remove(pending)
@@ -152,7 +153,7 @@
         """Make one attempt to decide the next version; returns whether that version is decided now."""
         state = self._register.state
         if not state.voters or (state.version == 0 and not batch):
-            return False  # before the founding nothing else is decided; the maintenance loop looks for one
+            return False  # version 1 can only be the founding, which the maintenance loop submits
         self._round += 1
         ballot = Ballot(self._round, self._proposer_id)
         proposer = Proposer(state, self._client.quorum(state), ballot, batch)
@@ -170,8 +171,8 @@
     async def _conclude(self, proposer: Proposer) -> bool:
         """Learn and announce the outcome of an attempt; returns whether the version is decided."""
         register = self._register
-        if proposer.highest is not None:
-            self._round = max(self._round, proposer.highest.round)
+        if proposer.preempting_ballot is not None:
+            self._round = max(self._round, proposer.preempting_ballot.round)
         if proposer.stage is Stage.CHOSEN:
             learn = proposer.learn()
             await register.learn_batch(proposer.state, learn.batch)
@@ -179,8 +180,8 @@
             return True
         if proposer.stage is not Stage.SUPERSEDED:
             return False
-        if proposer.newer is not None:
-            await register.learn(proposer.newer)
+        if proposer.newer_state is not None:
+            await register.learn(proposer.newer_state)
         elif proposer.decision is not None:
             await register.learn_batch(proposer.state, proposer.decision)
         return True
--- a/emberlatch/cluster/consensus/durable_record.py
+++ b/emberlatch/cluster/consensus/durable_record.py
@@ -1,4 +1,4 @@
-"""The acceptor's record on this machine's disk, and the condition of that disk."""
+"""The acceptor's record on this machine's disk, and whether that disk works."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 async def _wait_until_done(write: asyncio.Future[None]) -> bool:
-    """Wait for the end of a write, also if this task is cancelled meanwhile; returns whether it was.
+    """Wait until a write has ended, even if this task is cancelled; returns whether it was cancelled.
 
-    A write can't be taken back: the next one may not overtake it.
+    A write that has started can't be undone, and the next write must not begin before it has ended.
     """
     cancelled = False
     while not write.done():
@@ -24,7 +24,7 @@
 
 
 def _disk_error(write: asyncio.Future[None]) -> OSError | None:
-    """The error of a write that has ended; None if it succeeded. Any error but OSError is raised."""
+    """Return the OSError of a write that has ended, or None if it succeeded; raise any other error."""
     try:
         write.result()
     except OSError as error:
@@ -33,10 +33,11 @@
 
 
 class DurableRecord:
-    """A record, and the storage that it is synced to; both None until the disk could be opened.
+    """The current record, and the storage to which it is synced; both are None until the disk is open.
 
-    `lock` serializes the changes of the record: whoever computes the next one holds it until that is durable.
-    `disk_failing` is set while the last use of the disk failed: the machine gives no vote then.
+    `lock` serializes changes of the record: a caller acquires it before it computes the next record, and
+    releases it once that record is durable. `disk_failing` is True if the last use of the disk failed; the
+    machine does not vote then.
     """
 
     def __init__(self, record: AcceptorRecord | None, storage: Storage | None, ports: RegisterPorts) -> None:
@@ -51,11 +52,11 @@
         return self.current is not None and self._storage is not None
 
     def attach(self, record: AcceptorRecord, storage: Storage) -> None:
-        """Begin to use a disk that could be opened at last."""
+        """Start to use a disk that could not be opened until now."""
         self.current, self._storage = record, storage
 
     async def persist(self, record: AcceptorRecord) -> bool:
-        """Make a record durable and the current one; returns whether the disk took it. Needs the lock."""
+        """Make a record durable and current; returns whether that succeeded. The caller has the lock."""
         assert self.current is not None
         if replace(record, last_batch=None) == replace(self.current, last_batch=None):
             self.current = record
@@ -63,13 +64,16 @@
         return await self._write(record)
 
     async def rewrite(self) -> None:
-        """Write the current record again after a failed write, to see whether the disk works now."""
+        """Write the current record again after a failed write, to find out whether the disk works again."""
         async with self.lock:
             if self.current is not None and self._storage is not None:
                 await self._write(self.current)
 
     async def _write(self, record: AcceptorRecord) -> bool:
-        """Write; a caller that is cancelled leaves only once it is known whether the disk took the record."""
+        """Write a record; returns whether that succeeded.
+
+        If the caller is cancelled, CancelledError is raised only after the result of the write is known.
+        """
         storage = self._storage
         assert storage is not None
         durable = replace(record, last_batch=None)
@@ -84,7 +88,7 @@
         return error is None
 
     def report_disk_result(self, error: OSError | None) -> None:
-        """Note how the last use of the disk ended: the only place where its condition changes."""
+        """Record the result of the last use of the disk: `disk_failing` changes only here."""
         failing = error is not None
         if failing != self.disk_failing:
             self.disk_failing = failing
--- a/emberlatch/cluster/consensus/maintenance_loop.py
+++ b/emberlatch/cluster/consensus/maintenance_loop.py
@@ -1,7 +1,7 @@
 """Maintains the group of voters: founds it, learns newer states, and has due changes decided.
 
-Every process with a disk runs the loop; it is safe that several do. What is due is computed by the pure
-functions of `maintenance`; random pauses keep the processes from proposing all at once.
+Every process with a disk runs the loop, which is safe. The functions of `maintenance` compute which change is
+due; random pauses keep the processes from proposing it all at once.
 """
 
 from __future__ import annotations
@@ -24,32 +24,32 @@
 from emberlatch.cluster.consensus.service import ControlService
 from emberlatch.cluster.consensus.state import ControlState, Voter
 
-STEP_INTERVAL_S = (0.2, 0.4)  # the bounds of the random time between two steps
-MAX_PROPOSAL_DELAY_S = 0.3  # the bound of the random time for which a due change is left to others
+STEP_INTERVAL_S = (0.2, 0.4)  # bounds of the random pause between two steps
+MAX_PROPOSAL_DELAY_S = 0.3  # bound of the random delay before a due change is proposed
 PROPOSAL_TIMEOUT_S = 2.0
-USUAL_SEEDS = 3  # a process that is given fewer seeds is given all machines that there are
-FOUNDING_WAIT_PER_MEMBER_S = 4.0  # for each missing member, before a smaller group is founded
+USUAL_SEED_COUNT = 3  # fewer seeds than this are taken to be all machines of the cluster
+FOUNDING_WAIT_PER_MEMBER_S = 4.0  # wait for each missing member before a smaller group is founded
 
 
 class MembershipView(Protocol):
-    """What this process knows of the machines with a disk, itself included."""
+    """The information that this process has about the machines with a disk, itself included."""
 
     def reports(self) -> Mapping[str, MemberReport]:
-        """Every machine that was heard of, and every voter, by its node.
+        """Return a report on every known machine and on every voter, by node.
 
-        A voter that this incarnation never heard is among them: else nobody would replace one that stays
-        away after all processes have restarted.
+        Voters that never contacted this incarnation are included. Otherwise a voter that stays unreachable
+        after all processes have restarted would never be replaced.
         """
 
     def founding_voters(self) -> tuple[Voter, ...]:
-        """The seeds, which vote on the founding."""
+        """Return the seeds, which vote on the founding."""
 
     def now(self) -> float:
-        """Seconds of a monotonic clock."""
+        """Return the time of a monotonic clock in seconds."""
 
 
 class MaintenanceLoop:
-    """The loop of one process. `tolerance` is what the group has to tolerate."""
+    """The loop of one process. `tolerance` says which losses the group has to tolerate."""
 
     def __init__(
         self,
@@ -60,27 +60,27 @@
     ) -> None:
         self._service, self._view, self._tolerance, self._random = service, view, tolerance, random_source
         self._started_at = view.now()
-        self._cluster = f"{random_source.getrandbits(64):016x}"  # the name of the cluster if we found it
+        self._cluster = f"{random_source.getrandbits(64):016x}"  # the cluster's name if founded by this loop
 
     async def run(self) -> None:
-        """Step until cancelled."""
+        """Perform steps until cancelled."""
         while True:
             await asyncio.sleep(self._random.uniform(*STEP_INTERVAL_S))
             await self.step()
 
     async def step(self) -> None:
-        """Learn what other machines have, and have the change that is due decided."""
+        """Learn newer states from other machines, and have the change that is due decided."""
         await self._learn()
         due = self._due_change()
         if due is None:
             return
         await asyncio.sleep(self._random.uniform(0, MAX_PROPOSAL_DELAY_S))
-        if self._due_change() == due:  # nobody else has had it decided meanwhile
+        if self._due_change() == due:  # it was not decided in the meantime
             with contextlib.suppress(UndecidedError):  # the next step tries again
                 await self._service.submit(due, PROPOSAL_TIMEOUT_S)
 
     async def _learn(self) -> None:
-        """Learn the newest state that a reachable machine of the cluster has; join a cluster if in none."""
+        """Learn the newest state of the reachable machines of the cluster; join a cluster if in none."""
         register, client, state = self._service.register, self._service.client, self._service.state
         others = [m for m in self._view.reports().values() if m.reachable and m.voter != register.local_voter]
         with contextlib.suppress(UnreachableError):
@@ -95,7 +95,10 @@
                 await client.fetch(newest.voter.node)
 
     def _local_version(self) -> int:
-        """The version on disk, where there is one: a state that could not be written is fetched again."""
+        """Return the version on disk, so that a state that could not be written is fetched again.
+
+        Without a disk it is the newest known version.
+        """
         register = self._service.register
         return register.record.state.version if register.record is not None else register.state.version
 
@@ -106,7 +109,7 @@
         return self._due_founding(state)
 
     def _due_founding(self, state: ControlState) -> FoundGroup | None:
-        """The founding of a group of full size at once, or of a smaller one after a wait for the others.
+        """Return the founding of a full group at once, or of a smaller one after a wait for missing members.
 
         A smaller group tolerates fewer faults; one that tolerates no loss of a machine is never founded.
         """
@@ -115,14 +118,14 @@
         command = founding_command(self._view.reports().values(), self._tolerance, self._cluster)
         if command is None or len(command.voters) <= self._tolerance.machines:
             return None
-        if len(state.voters) < USUAL_SEEDS and len(command.voters) == len(state.voters):
-            return command  # there are no other machines
+        if len(state.voters) < USUAL_SEED_COUNT and len(command.voters) == len(state.voters):
+            return command  # the seeds are all machines, so there is no other to wait for
         missing = self._tolerance.voters - len(command.voters)
         waited_s = self._view.now() - self._started_at
         return command if waited_s >= missing * FOUNDING_WAIT_PER_MEMBER_S else None
 
     def _may_found(self, state: ControlState) -> bool:
-        """Whether this machine votes on the founding, by the seeds that it was started with."""
+        """Whether this machine votes on the founding, and its recorded seeds are those of its settings."""
         record = self._service.register.record
         if record is None or record.founding_voter is None or record.founding_voter not in state.voters:
             return False
--- a/emberlatch/cluster/consensus/proposer.py
+++ b/emberlatch/cluster/consensus/proposer.py
@@ -1,7 +1,7 @@
-"""The proposer of Paxos: one attempt to decide the next version, and one read of the newest. Pure.
+"""The proposer of Paxos: one attempt to decide the next version, and one read of the newest one, without I/O.
 
-Any process may propose. Two proposers collide, and the one with the lower ballot retries under a higher one.
-What an earlier proposer may have had chosen is finished before anything else is decided.
+Any process may propose. If two proposers collide, the one with the lower ballot retries under a higher one.
+A batch that an earlier proposer may have got chosen is completed before any other batch is decided.
 """
 
 from __future__ import annotations
@@ -28,11 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Quorum:
-    """The votes that each phase needs. `lost_voters` are those whose disks are known to be lost for good.
+    """The votes that each phase needs. `lost_voters` are those whose disks are known to be lost permanently.
 
-    A phase needs a majority. Where lost disks leave no majority, all survivors together decide as long as
-    every majority that decided before has one of them: in a group of two, four or six, after the loss of
-    half of it. A chosen batch is durable on at least `min_disks` disks, where the group has so many.
+    A phase needs a majority. If the survivors are fewer than that, all of them together decide, provided that
+    every possible majority has a survivor among its members. This holds in a group of two, four or six that
+    has lost half of its voters. A chosen batch is durable on at least `min_disks` disks, or on all disks of
+    a smaller group.
     """
 
     voters: tuple[Voter, ...]
@@ -41,29 +42,29 @@
 
     @property
     def survivors(self) -> frozenset[Voter]:
-        """The voters that may still vote."""
+        """The voters whose disks are not lost."""
         return frozenset(self.voters) - self.lost_voters
 
     @property
     def majority(self) -> int:
-        """The number of voters that are more than half."""
+        """The smallest number of voters that is more than half of the group."""
         return len(self.voters) // 2 + 1
 
-    def _satisfied(self, votes: set[Voter], least: int) -> bool:
+    def _suffices(self, votes: set[Voter], required: int) -> bool:
         survivors = self.survivors
         counted = len(votes & survivors)
-        if len(survivors) >= least:
-            return counted >= least
-        meets_every_majority = len(survivors) > len(self.voters) - self.majority
-        return meets_every_majority and counted == len(survivors)
+        if len(survivors) >= required:
+            return counted >= required
+        intersects_every_majority = len(survivors) > len(self.voters) - self.majority
+        return intersects_every_majority and counted == len(survivors)
 
     def satisfies_prepare(self, votes: set[Voter]) -> bool:
         """Whether promises of these voters complete phase 1."""
-        return self._satisfied(votes, self.majority)
+        return self._suffices(votes, self.majority)
 
     def satisfies_accept(self, votes: set[Voter]) -> bool:
         """Whether a batch that these voters accepted is chosen."""
-        return self._satisfied(votes, max(self.majority, min(self.min_disks, len(self.voters))))
+        return self._suffices(votes, max(self.majority, min(self.min_disks, len(self.voters))))
 
 
 class Stage(Enum):
@@ -72,16 +73,16 @@
     PREPARING = "preparing"
     ACCEPTING = "accepting"
     CHOSEN = "chosen"  # `decision` is chosen
-    PREEMPTED = "preempted"  # a higher ballot was promised: retry above `highest`
-    SUPERSEDED = "superseded"  # the version was decided before: as `decision`, or within `newer`
+    PREEMPTED = "preempted"  # a voter promised a higher ballot: retry above `preempting_ballot`
+    SUPERSEDED = "superseded"  # the version was decided before: see `decision` or `newer_state`
 
 
 @dataclass
 class Proposer:
     """One attempt to decide the version after `state`, under one ballot.
 
-    `decision` is the batch that is chosen, `newer` a later state that a voter had, and `highest` the ballot
-    that pre-empted this one; each is None until it is known.
+    `decision` is the chosen batch, `newer_state` a later state that a voter has, and `preempting_ballot` the
+    higher ballot that a voter promised; each is None until it is known.
     """
 
     state: ControlState
@@ -90,8 +91,8 @@
     batch: Batch
     stage: Stage = Stage.PREPARING
     decision: Batch | None = None
-    newer: ControlState | None = None
-    highest: Ballot | None = None
+    newer_state: ControlState | None = None
+    preempting_ballot: Ballot | None = None
     _votes: set[Voter] = field(default_factory=set)
     _highest_accepted: Proposal | None = None
 
@@ -101,20 +102,20 @@
         return self.state.version + 1
 
     def request(self) -> Request:
-        """The request to each voter in the current stage."""
+        """Return the request to each voter in the current stage."""
         if self.stage is Stage.PREPARING:
             return Prepare(self.version, self.state.group, self.ballot)
         return Accept(self.version, self.state.group, self.ballot, self.batch)
 
     def learn(self) -> Learn:
-        """The notification of the decision, once there is one."""
+        """Return the announcement of the decision; there must be one."""
         assert self.decision is not None
         return Learn(self.version, self.state.group, self.decision)
 
     def receive(self, reply: Reply) -> Request | None:
         """Count a reply; returns a request that its voter needs before it can vote, if any.
 
-        The caller reads `stage` to see whether to go on.
+        The caller reads `stage` to find out whether the phase has ended.
         """
         match reply:
             case Promise() if reply.version == self.version and reply.ballot == self.ballot:
@@ -142,7 +143,7 @@
             self._highest_accepted = accepted
         if self.quorum.satisfies_prepare(self._votes):
             self.stage, self._votes = Stage.ACCEPTING, set()
-            if self._highest_accepted is not None:  # it may have been chosen: it has to be finished first
+            if self._highest_accepted is not None:  # may have been chosen, so it must be completed first
                 self.batch = self._highest_accepted.batch
 
     def _on_accepted(self, accepted: Accepted) -> None:
@@ -154,47 +155,47 @@
 
     def _on_preempted(self, promised: Ballot) -> None:
         if self.stage in (Stage.PREPARING, Stage.ACCEPTING) and promised > self.ballot:
-            self.stage, self.highest = Stage.PREEMPTED, promised
+            self.stage, self.preempting_ballot = Stage.PREEMPTED, promised
 
     def _on_superseded(self, batch: Batch | None, state: ControlState | None) -> None:
         if self.stage in (Stage.PREPARING, Stage.ACCEPTING, Stage.PREEMPTED):
-            self.stage, self.decision, self.newer = Stage.SUPERSEDED, batch, state
+            self.stage, self.decision, self.newer_state = Stage.SUPERSEDED, batch, state
 
 
 class ReadOutcome(Enum):
-    """The result of a read so far."""
+    """The result of a round of a read so far."""
 
     OPEN = "open"
-    CONFIRMED = "confirmed"  # nothing newer had been chosen when the read began
-    PENDING = "pending"  # something newer may be: the next version has to be decided first
-    BEHIND = "behind"  # something newer is chosen
+    CONFIRMED = "confirmed"  # no newer version had been chosen when the read began
+    PENDING = "pending"  # a newer version may be chosen; it has to be decided first
+    BEHIND = "behind"  # a newer version is chosen
 
 
 @dataclass
 class ReadRound:
     """One round of a linearizable read: asks a majority whether the version of `state` is the newest.
 
-    With `require_durable` only voters count whose disks have that version, as many as a decision needs.
-    `newest` is a voter that has a later version.
+    With `require_durable`, only voters that have that version on disk are counted, and as many of them are
+    needed as for a decision. `newer_voter` is a voter that has a later version, or None.
     """
 
     state: ControlState
     quorum: Quorum
     require_durable: bool = False
     outcome: ReadOutcome = ReadOutcome.OPEN
-    newest: Voter | None = None
+    newer_voter: Voter | None = None
     _votes: set[Voter] = field(default_factory=set)
 
     def request(self) -> Request:
-        """The request to each voter."""
+        """Return the request to each voter."""
         return Read(self.state.version)
 
     def receive(self, reply: Reply) -> None:
-        """Count a reply; the caller reads `outcome` to see whether to go on."""
+        """Count a reply; the caller reads `outcome` to find out whether the round has ended."""
         if not isinstance(reply, ReadState) or self.outcome is not ReadOutcome.OPEN:
             return
         if reply.version > self.state.version and reply.voter in self.quorum.voters:
-            self.outcome, self.newest = ReadOutcome.BEHIND, reply.voter
+            self.outcome, self.newer_voter = ReadOutcome.BEHIND, reply.voter
         elif reply.voter in self.quorum.survivors:
             self._count(reply)
 
--- a/emberlatch/cluster/consensus/reader.py
+++ b/emberlatch/cluster/consensus/reader.py
@@ -13,12 +13,12 @@
 from emberlatch.cluster.consensus.state import ControlState
 from emberlatch.cluster.consensus.voter_client import VoterClient
 
-READ_TIMEOUT_S = 2.0  # for a shared read, whatever the time-outs of its callers
-RETRY_BACKOFF_S = 0.002  # between two rounds of a read, besides the random backoff
+READ_TIMEOUT_S = 2.0  # limit of one read, in addition to the time-outs of its callers
+RETRY_BACKOFF_S = 0.002  # fixed part of the pause between two rounds; a random part is added
 
 
 class StateReader:
-    """Reads for one process. Concurrent reads share rounds."""
+    """Performs the reads of one process; concurrent calls of `confirm` share a read."""
 
     def __init__(self, client: VoterClient, coordinator: ProposalCoordinator) -> None:
         self._client, self._coordinator = client, coordinator
@@ -26,7 +26,7 @@
         self._next: asyncio.Task[ControlState] | None = None
 
     async def confirm(self, timeout: float) -> ControlState:
-        """Return a state of which nothing newer had been chosen when this was called.
+        """Return a state that is at least as new as any that was chosen before this call.
 
         `timeout` is in seconds. Raises UndecidedError if too few voters reply within it.
         """
@@ -37,7 +37,7 @@
             raise UndecidedError("too few voters answer") from None
 
     async def confirm_durable(self, timeout: float) -> ControlState:
-        """Like `confirm`, and the state is on as many disks as a decision needs."""
+        """Like `confirm`; the returned state is also durable on as many disks as a decision needs."""
         try:
             async with asyncio.timeout(timeout):
                 return await self._read(require_durable=True)
@@ -45,7 +45,10 @@
             raise UndecidedError("too few voters answer") from None
 
     def _shared_read(self) -> asyncio.Task[ControlState]:
-        """The read of all callers that came while one ran: the next one, which begins after they came."""
+        """Return a read that begins after this call.
+
+        All calls during one read share the next read: the running one began too early to confirm for them.
+        """
         if self._current is None or self._current.done():
             self._current, self._next = self._client.spawn(self._read(require_durable=False)), None
             return self._current
@@ -53,8 +56,8 @@
             self._next = self._client.spawn(self._read_after(self._current))
         return self._next
 
-    async def _read_after(self, before: asyncio.Task[ControlState]) -> ControlState:
-        await asyncio.wait({before})
+    async def _read_after(self, previous: asyncio.Task[ControlState]) -> ControlState:
+        await asyncio.wait({previous})
         self._current, self._next = asyncio.current_task(), None
         return await self._read(require_durable=False)
 
@@ -68,7 +71,7 @@
                 if outcome is ReadOutcome.CONFIRMED:
                     return state
                 if outcome is ReadOutcome.PENDING:
-                    await self._coordinator.attempt(())  # finish what may be chosen
+                    await self._coordinator.attempt(())  # complete the batch that may be chosen
             rounds += 1
             await asyncio.sleep(RETRY_BACKOFF_S + self._coordinator.backoff_s(rounds))
         raise UndecidedError("too few voters answer")
@@ -83,7 +86,7 @@
             return Install(state) if require_durable and lacks else None
 
         await client.call_voters(state, read.request(), receive, lambda: read.outcome is not ReadOutcome.OPEN)
-        if read.outcome is ReadOutcome.BEHIND and read.newest is not None:
+        if read.outcome is ReadOutcome.BEHIND and read.newer_voter is not None:
             with contextlib.suppress(UnreachableError):
-                await client.fetch(client.transport.node_of(read.newest) or read.newest.node)
+                await client.fetch(client.transport.node_of(read.newer_voter) or read.newer_voter.node)
         return read.outcome
--- a/emberlatch/cluster/consensus/register.py
+++ b/emberlatch/cluster/consensus/register.py
@@ -1,7 +1,7 @@
 """The replicated register on one machine: its votes, and the newest state that it knows.
 
-What is promised, accepted and chosen is decided by the pure modules `acceptor` and `proposer`; this one joins
-them to the disk. A process without a disk only learns.
+The modules `acceptor` and `proposer` decide without I/O what is promised, accepted and chosen; this module
+connects them to the disk. A process without a disk has no vote and only learns chosen states.
 """
 
 from __future__ import annotations
@@ -42,17 +42,17 @@
 
     @property
     def local_voter(self) -> Voter:
-        """This machine and its disk; both names are empty without a disk."""
+        """The voter that this machine and its disk are; node and identity are empty without a disk."""
         record = self._durable.current
         return record.voter if record is not None else Voter("", "")
 
     @property
     def disk_failing(self) -> bool:
-        """Whether the last use of the disk failed: this machine gives no vote until one succeeds."""
+        """Whether the last use of the disk failed; this machine does not vote until a use succeeds."""
         return self._durable.disk_failing
 
     async def handle(self, request: Request) -> Reply:
-        """Handle a request of this or another process; the reply is returned once the record is durable."""
+        """Handle a request of this or another process; returns the reply once the record is durable."""
         durable = self._durable
         if durable.current is None or not durable.is_open:
             return Declined(self.local_voter, "no disk here")
@@ -65,31 +65,31 @@
     # The disk.
 
     def attach(self, record: AcceptorRecord, storage: Storage) -> None:
-        """Begin to vote with a disk that could be opened at last."""
+        """Start to vote with a disk that could not be opened until now."""
         self._durable.attach(record, storage)
         if record.state.version >= self._state.version and record.state != self._state:
-            self._state = record.state  # before the founding too: it names the seeds
+            self._state = record.state  # also before the founding, when the state names the seeds
             self._listener.state_changed(record.state)
         self._durable.report_disk_result(None)
 
     def report_disk_result(self, error: OSError | None) -> None:
-        """Note that opening the disk failed with this error, or worked."""
+        """Record that opening the disk failed with `error`, or succeeded if `error` is None."""
         self._durable.report_disk_result(error)
 
     async def rewrite(self) -> None:
-        """Write the record again after a failed write, to see whether the disk works now."""
+        """Write the record again after a failed write, to find out whether the disk works again."""
         await self._durable.rewrite()
 
     # Learning.
 
     def _advance_state(self, state: ControlState) -> None:
-        """Replace the known state by a newer one: the only place where a running register does so."""
+        """Replace the known state if `state` is newer; besides this only `attach` replaces it."""
         if state.version > self._state.version and self._state.cluster in ("", state.cluster):
             self._state = state
             self._listener.state_changed(state)
 
     async def learn(self, state: ControlState) -> None:
-        """Learn a state that was chosen elsewhere; one of another cluster is ignored."""
+        """Learn a state that was chosen elsewhere; a state of another cluster is ignored."""
         record = self._durable.current
         if state.follows(self._state) or (record is not None and is_later_state(record, state)):
             self._advance_state(state)
@@ -101,13 +101,13 @@
                 await self._durable.persist(adopt_state(current, state))
 
     def _disk_lacks(self, record: AcceptorRecord, state: ControlState) -> bool:
-        """Whether the record is older than a state of the cluster that this process knows."""
+        """Whether `state` is newer than the record and belongs to the same cluster as this process."""
         if record.state.version == 0:
             return state.cluster == self._state.cluster and self._state.version > 0
         return state.follows(record.state)
 
     async def join(self, state: ControlState) -> None:
-        """Take part in the cluster of this state, which was founded without this machine."""
+        """Join the cluster of this state, which was founded without this machine."""
         self._advance_state(state)
         await self.learn(state)
 
--- a/emberlatch/cluster/consensus/service.py
+++ b/emberlatch/cluster/consensus/service.py
@@ -1,4 +1,4 @@
-"""The replicated control state as the rest of a process uses it."""
+"""The entry point of a process to the replicated control state."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     async def serve(self, payload: object) -> list[object]:
         """Handle an encoded request of another process; returns the encoded reply.
 
-        Raises MessageDecodeError if it is no request.
+        Raises MessageDecodeError if the payload is no request.
         """
         request = request_from_wire(payload)
         if isinstance(request, Submit):
@@ -52,21 +52,22 @@
         return (await self.register.handle(request)).to_wire()
 
     async def submit(self, command: Command, timeout: float) -> ControlState:
-        """Have a command decided; returns a state in which it has had its effect, if it can have one.
+        """Have a command decided; returns a state to which it was applied, or to which it no longer applies.
 
-        `timeout` is in seconds. Raises UndecidedError: the command may still be decided, or never.
+        `timeout` is in seconds. Raises UndecidedError if the outcome is not known by then; the command may
+        still be decided later.
         """
         return await self._coordinator.submit(command, timeout)
 
     async def confirm(self, timeout: float) -> ControlState:
-        """Return a state of which nothing newer had been chosen when this was called.
+        """Return a state that is at least as new as any that was chosen before this call.
 
         `timeout` is in seconds. Raises UndecidedError if too few voters reply within it.
         """
         return await self._reader.confirm(timeout)
 
     async def confirm_durable(self, timeout: float) -> ControlState:
-        """Like `confirm`, and the state is on as many disks as a decision needs."""
+        """Like `confirm`; the returned state is also durable on as many disks as a decision needs."""
         return await self._reader.confirm_durable(timeout)
 
     def close(self) -> None:
--- a/emberlatch/cluster/consensus/state_client.py
+++ b/emberlatch/cluster/consensus/state_client.py
@@ -1,6 +1,7 @@
-"""The agreed control state as the rest of the process reads and changes it.
+"""Access to the agreed control state for the rest of the process.
 
-Each answer rests on a majority of the voters. Without one the outcome is unknown: `UNDECIDED`, None or False.
+Each result is confirmed by a majority of the voters. Without a majority the outcome is unknown, and the
+result is `UNDECIDED`, None or False.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 
 
 class CommitOutcome(Enum):
-    """What became of a configuration."""
+    """The outcome of committing a configuration."""
 
-    COMMITTED = "committed"  # its revision is bound to this text for ever
-    CONFLICT = "conflict"  # its revision is bound to another text for ever
+    COMMITTED = "committed"  # its revision is bound to this text permanently
+    CONFLICT = "conflict"  # its revision is bound to another text permanently
     FORGOTTEN = "forgotten"  # its revision is older than the history
-    UNDECIDED = "undecided"  # it may be committed, now or later
+    UNDECIDED = "undecided"  # not known; the configuration may be committed already or later
 
 
 _OUTCOMES = {
@@ -44,8 +45,8 @@
     async def commit_configuration(self, revision: int, text: bytes) -> CommitOutcome:
         """Commit a valid configuration under its revision.
 
-        Nothing is submitted before the cluster is founded: the seeds would decide it in place of the
-        founding, and there would never be one.
+        Nothing is submitted before the cluster is founded: the seeds would decide the configuration in place
+        of the founding, which could then never happen.
         """
         if self._service.state.version == 0:
             return CommitOutcome.UNDECIDED
@@ -63,7 +64,7 @@
             return None
 
     async def advance_decommission(self, node: str, mark: DecommissionMark) -> bool:
-        """Advance the decommission of a node; returns whether it is known to be at least that far."""
+        """Advance the decommission of a node; returns whether it is known to have reached `mark`."""
         if self._service.state.version == 0:
             return False
         try:
@@ -74,9 +75,9 @@
         return reached is not None and reached >= mark
 
     async def is_decommissioned(self, node: str) -> bool:
-        """Whether a machine may be taken away, its disk too: it is empty and has no vote, durably.
+        """Whether a machine and its disk may be removed: it is empty and has no vote, in a durable state.
 
-        False also if no majority confirms it in time.
+        Also False if no majority confirms that in time.
         """
         try:
             state = await self._service.confirm_durable(self._timeout)
--- a/emberlatch/cluster/consensus/storage.py
+++ b/emberlatch/cluster/consensus/storage.py
@@ -1,8 +1,8 @@
-"""The acceptor's record in files: the identity of the disk, the newest state, and the open vote.
+"""The acceptor's record in files: the identity of the disk, the newest state, and the vote on the next one.
 
-Each of the three files is replaced atomically. The identity is drawn where there is none, so that a machine
-whose disk was lost is another voter. A damaged file counts as a lost disk; one that can't be read just now
-does not.
+Each of the three files is replaced atomically. A disk without an identity gets a new random one, so that a
+machine whose disk was lost is a different voter. A damaged file counts as a lost disk; a file that can't be
+read because of an I/O error does not.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 from emberlatch.cluster.rpc.errors import MessageDecodeError
 
 IDENTITY_FILE, STATE_FILE, VOTE_FILE = "identity.cbor", "state.cbor", "vote.cbor"
-IDENTITY_BYTES = 8  # of randomness
+IDENTITY_BYTES = 8  # number of random bytes in an identity
 
 WriteFile = Callable[[Path, bytes], None]
-"""Replaces a file atomically, and syncs it; raises OSError."""
+"""Replaces a file atomically and syncs it; raises OSError."""
 
 
 @dataclass(frozen=True, slots=True)
 class DiskIdentity:
-    """The content of the identity file. `founding_address` is that of the machine as a seed, if it is one."""
+    """The content of the identity file. `founding_address` is the machine's address as a seed."""
 
     identity: str
     founding_address: str | None
@@ -48,18 +48,18 @@
         raise MessageDecodeError(IDENTITY_FILE, f"{payload!r:.60}")
 
     def voter(self, node: str) -> Voter:
-        """The voter that this disk makes of a node."""
+        """Return the voter that a node with this disk is."""
         return Voter(node, self.identity)
 
     @property
     def founding_voter(self) -> Voter | None:
-        """The voter on the founding; None if the machine takes no part in it."""
+        """The voter on the founding; None if the machine takes no part in the founding."""
         return None if self.founding_address is None else Voter(self.founding_address, "")
 
 
 @dataclass(frozen=True, slots=True)
 class StoredVote:
-    """The content of the vote file: what was promised and accepted about one version."""
+    """The content of the vote file: what was promised and accepted for one version."""
 
     version: int
     promised: Ballot | None
@@ -74,8 +74,8 @@
     def from_wire(cls, payload: object, decided_version: int = -1) -> Self:
         """Decode; raises MessageDecodeError.
 
-        Of a vote on a version that was decided since, only the version is read: its proposal may be of a
-        kind that this release of the program does not know.
+        If the version is at most `decided_version`, only the version is read: the proposal may be of a kind
+        that this release of the program does not know.
         """
         match payload:
             case [int(version), _, _] if version <= decided_version:
@@ -87,7 +87,7 @@
 
 
 class RecordStorage:
-    """The files of one node in `folder`, which nobody else writes to."""
+    """The files of one node in `folder`; nothing else writes to that folder."""
 
     def __init__(self, folder: Path, node: str, write: WriteFile = write_synced) -> None:
         self._folder, self._node, self._write_file = folder, node, write
@@ -95,9 +95,10 @@
         folder.mkdir(parents=True, exist_ok=True)
 
     def load(self) -> AcceptorRecord | None:
-        """Read the record; None if the disk has none, or a damaged one.
+        """Read the record; returns None if it is missing or damaged.
 
-        Raises OSError if the disk can't be read: that is no loss, and no reason for a new identity.
+        Raises OSError if the disk can't be read. The disk does not count as lost then, and must not get a
+        new identity.
         """
         try:
             identity = DiskIdentity.from_wire(_read(self._folder / IDENTITY_FILE))
@@ -108,7 +109,7 @@
         return self._with_vote(AcceptorRecord(identity.voter(self._node), identity.founding_voter, state))
 
     def _with_vote(self, record: AcceptorRecord) -> AcceptorRecord | None:
-        """The record with the vote that is on disk; None if that can't be trusted."""
+        """Return the record with the vote on disk; None if the vote is damaged or has no preceding state."""
         try:
             vote = StoredVote.from_wire(_read(self._folder / VOTE_FILE), record.state.version)
         except FileNotFoundError:
@@ -116,17 +117,17 @@
         except MessageDecodeError:
             return None
         if vote.version > record.state.version + 1:
-            return None  # the state that it follows is lost
+            return None  # the state before the version of this vote is lost
         if vote.version <= record.state.version:
-            return record  # that version was decided since
+            return record  # the version of this vote has been decided since
         return replace(record, promised=vote.promised, accepted=vote.accepted)
 
     def create(self, state: ControlState, founding_address: str | None) -> AcceptorRecord:
-        """Draw an identity for an empty disk; returns its record. Raises OSError if it can't be written.
+        """Write a new random identity and a state to an empty disk; returns the record. Raises OSError.
 
         `founding_address` is this machine's address if it takes part in the founding.
         """
-        for name in (IDENTITY_FILE, VOTE_FILE):  # the old identity goes first: the rest may be cut off
+        for name in (IDENTITY_FILE, VOTE_FILE):  # the identity first, as a crash may interrupt the rest
             (self._folder / name).unlink(missing_ok=True)
             sync_folder(self._folder)
         identity = DiskIdentity(secrets.token_hex(IDENTITY_BYTES), founding_address)
@@ -143,11 +144,11 @@
         self.write(record)
 
     def write(self, record: AcceptorRecord) -> None:
-        """Make a record durable; raises OSError. The state is written again after a failure."""
-        on_disk, self._state_on_disk = self._state_on_disk, None  # unknown until the write has ended
+        """Make a record durable; raises OSError. After a failure the next call writes the state again."""
+        on_disk, self._state_on_disk = self._state_on_disk, None  # unknown until the write succeeds
         if record.state != on_disk:
             self._write(STATE_FILE, record.state.to_wire())
-        if record.promised is not None or record.accepted is not None:  # else an older vote may stay
+        if record.promised is not None or record.accepted is not None:  # else an older vote may stay on disk
             vote = StoredVote(record.state.version + 1, record.promised, record.accepted)
             self._write(VOTE_FILE, vote.to_wire())
         self._state_on_disk = record.state
@@ -157,7 +158,7 @@
 
 
 def _read(path: Path) -> object:
-    """The decoded content of a file; raises OSError, or MessageDecodeError if it is damaged."""
+    """Return the decoded content of a file; raises OSError, or MessageDecodeError if it is damaged."""
     raw = path.read_bytes()
     try:
         content: object = cbor2.loads(raw)
@@ -167,7 +168,7 @@
 
 
 def read_state(folder: Path) -> ControlState | None:
-    """The state in a folder, for tools that inspect a disk; None if there is none that can be read."""
+    """Return the state in a folder, for tools that inspect a disk; None if it is missing or unreadable."""
     try:
         return ControlState.from_wire(_read(folder / STATE_FILE))
     except (OSError, MessageDecodeError):
--- a/emberlatch/cluster/consensus/voter_client.py
+++ b/emberlatch/cluster/consensus/voter_client.py
@@ -1,4 +1,4 @@
-"""Requests of this process to the voters, its own one included."""
+"""Sends requests of this process to the voters, including the voter of this process."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from emberlatch.cluster.consensus.state import ControlState, Voter
 from emberlatch.cluster.rpc.errors import MessageDecodeError
 
-REQUEST_TIMEOUT_S = 0.35  # for one request to a voter, its sync to disk included
-PHASE_TIMEOUT_S = 0.5  # for a quorum of voters to reply
+REQUEST_TIMEOUT_S = 0.35  # limit of one request to a voter, including the sync to its disk
+PHASE_TIMEOUT_S = 0.5  # time that a quorum of voters has to reply
 
 ReplyHandler = Callable[[Reply], Request | None]
-"""Takes a reply; returns a request that its voter needs before it is asked again, if any."""
+"""Handles a reply; returns a request to send to that voter before the same request is repeated, if any."""
 
 Result = TypeVar("Result")
 
@@ -37,12 +37,12 @@
         self._tasks: set[asyncio.Task[object]] = set()
 
     def close(self) -> None:
-        """Cancel all tasks that still run."""
+        """Cancel all running tasks."""
         for task in list(self._tasks):
             task.cancel()
 
     def quorum(self, state: ControlState) -> Quorum:
-        """The quorum for the version after this one; for the founding a majority is enough."""
+        """Return the quorum for the version after `state`; for the founding a majority is enough."""
         min_disks = self._min_disks if state.version > 0 else 1
         return Quorum(state.voters, self.transport.lost_voters(state.voters), min_disks)
 
@@ -64,9 +64,10 @@
     async def call_voters(
         self, state: ControlState, request: Request, receive: ReplyHandler, ended: Callable[[], bool]
     ) -> None:
-        """Call all voters of a state at once; returns when `ended` holds, all have replied, or on time-out.
+        """Call all voters of a state concurrently.
 
-        Replies that come after `ended` holds are dropped.
+        Returns when `ended` is true, when all calls are complete, or after PHASE_TIMEOUT_S. Replies that
+        arrive while `ended` is true are dropped.
         """
         done = asyncio.Event()
 
@@ -109,7 +110,7 @@
     async def join(self, node: str, cluster: str) -> None:
         """Join a cluster that was founded without this machine, with the state of `node`.
 
-        Does nothing if the node belongs to another cluster than that. Raises UnreachableError.
+        Does nothing if `node` does not belong to `cluster`. Raises UnreachableError.
         """
         reply = await self.call(node, Fetch())
         founded = self.register.state.version > 0
@@ -117,7 +118,7 @@
             await self.register.join(reply.state)
 
     def announce(self, nodes: Iterable[str], request: Request) -> None:
-        """Send a decision to these nodes in the background, without retries: heartbeats spread it as well."""
+        """Send a decision to these nodes in the background, without retries: heartbeats also spread it."""
         for node in nodes:
             if node != self.register.local_voter.node:
                 self.spawn(self._announce(node, request))
@@ -141,4 +142,4 @@
     def _task_done(self, task: asyncio.Task[object]) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
-            task.exception()  # retrieved, or the loop would log it: whoever awaits the task sees it
+            task.exception()  # marks the error as retrieved, so that it isn't logged; awaiting raises it
--- a/tests/cluster/test_consensus_model.py
+++ b/tests/cluster/test_consensus_model.py
@@ -89,10 +89,10 @@
     return len(self.survivors) // 2 + 1
 
 
-def any_survivors(self: Quorum, votes: set[Voter], least: int) -> bool:
+def any_survivors(self: Quorum, votes: set[Voter], required: int) -> bool:
     """All survivors are enough, whatever majorities there were."""
     counted = len(votes & self.survivors)
-    return counted >= least or counted == len(self.survivors)
+    return counted >= required or counted == len(self.survivors)
 
 
 def highest_digest_wins(self: Proposer, promise: Promise) -> None:
@@ -199,7 +199,7 @@
         ONE_COPY,
         ((Quorum, "majority", property(majority_of_the_live)),),
     ),
-    "any survivors": (scenarios.SECOND_LOSS_TOO_EARLY, ((Quorum, "_satisfied", any_survivors),)),
+    "any survivors": (scenarios.SECOND_LOSS_TOO_EARLY, ((Quorum, "_suffices", any_survivors),)),
     "a version that was decided": (scenarios.SUCCESSION, ((Acceptor, "_reply_unless_next", any_version),)),
     "another group": (scenarios.FOUNDING, ((Acceptor, "_reply_unless_next", any_group),)),
     "a founding vote kept by an empty disk": (FOUNDING_VOTE_KEPT, ()),
