--- a/tests/cluster/consensus_states.py
+++ b/tests/cluster/consensus_states.py
@@ -1,4 +1,4 @@
-"""The model checker's states: a scenario, and one state of a small deployment."""
+"""Data types of the model checker: scenarios, and the states of a small deployment."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from emberlatch.cluster.consensus.replies import Accepted, Promise, Reply
 from emberlatch.cluster.consensus.state import Ballot, ControlState, Voter
 
-ABSENT = -1  # stands for an identifier where there is none
-UNNAMED = Voter("", "")  # stands for the voter that the disk belongs to
+ABSENT = -1  # used in place of an identifier that does not exist
+UNNAMED = Voter("", "")  # used in place of the voter to which a disk belongs
 
 Item = TypeVar("Item", bound=Hashable)
 
 
 class Interner(Generic[Item]):
-    """Gives equal values one small number, so that states hash quickly."""
+    """Maps equal values to one small number, so that states hash quickly."""
 
     def __init__(self) -> None:
         self._numbers: dict[Item, int] = {}
         self._items: list[Item] = []
 
     def number(self, item: Item) -> int:
-        """The number of a value."""
+        """Return the number of a value."""
         known = self._numbers.setdefault(item, len(self._items))
         if known == len(self._items):
             self._items.append(item)
@@ -36,49 +36,49 @@
 
 
 @dataclass(frozen=True)
-class Order:
-    """The batch that an attempt may propose; None for the change that `next_change` finds due."""
+class BatchChoice:
+    """A batch that an attempt may propose; None for the change that `next_change` finds due."""
 
     batch: Batch | None
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """A small deployment and the faults that may happen to it. Disks are named by their index in `disks`."""
+    """A small deployment and the faults that may happen to it. Disks are given by their index in `disks`."""
 
     disks: tuple[Voter, ...]
     initial: ControlState
-    orders: tuple[tuple[Order, ...], ...]  # for each attempt; a later attempt has a higher ballot
-    versions: int  # none above is proposed
-    ballots: tuple[Ballot, ...] = ()  # of the attempts, if not all are to be distinct
-    founding_voters: tuple[Voter | None, ...] = ()  # of the disks, where there is a founding
-    other_initial: tuple[ControlState, ...] = ()  # what misconfigured proposers begin with
-    absent: frozenset[int] = frozenset()  # disks that come in place of a lost one
-    may_lose: tuple[int, ...] = ()
-    replacements: tuple[tuple[int, int], ...] = ()  # a lost disk, and the empty one in its place
-    losses: int = 0
-    losses_at_once: int = 1  # before a completed change of voters makes up for them
-    tolerated_losses: int = 1  # so many at once lose nothing, and block nothing
-    decommissioned: int = ABSENT  # is switched off for good once the voters without it hold the state
+    batch_choices: tuple[tuple[BatchChoice, ...], ...]  # by attempt; later attempts have higher ballots
+    max_version: int  # no version above this one is proposed
+    ballots: tuple[Ballot, ...] = ()  # by attempt; empty for a distinct ballot each
+    founding_voters: tuple[Voter | None, ...] = ()  # by disk; empty without a founding
+    other_initial: tuple[ControlState, ...] = ()  # initial states of misconfigured proposers
+    absent: frozenset[int] = frozenset()  # disks that exist only as replacements
+    may_lose: tuple[int, ...] = ()  # disks that may be lost
+    replacements: tuple[tuple[int, int], ...] = ()  # pairs of a lost disk and its empty replacement
+    max_losses: int = 0
+    max_losses_at_once: int = 1  # losses before a completed change of voters
+    tolerated_losses: int = 1  # simultaneous losses that must not lose data or block
+    decommissioned: int = ABSENT  # switched off when the voters without it have the state
     reads: bool = False
-    symmetric: tuple[int, ...] = ()
-    disk_copies: int = 2
+    symmetric: tuple[int, ...] = ()  # interchangeable disks
+    min_disks: int = 2  # number of disks on which a chosen batch must be durable
 
     def ballot(self, attempt: int) -> Ballot:
-        """The ballot of an attempt; two proposers take turns, in the same rounds."""
+        """Return the ballot of an attempt; two proposers alternate, with one attempt each per round."""
         return self.ballots[attempt] if self.ballots else Ballot(attempt // 2 + 1, "pq"[attempt % 2])
 
     def founding_voter(self, disk: int) -> Voter | None:
-        """The founding voter of a disk; None if it has no founding vote."""
+        """Return the founding voter of a disk; None if the disk has no vote on the founding."""
         return self.founding_voters[disk] if self.founding_voters else None
 
-    def own(self, disk: int, version: int) -> Voter:
-        """The voter as which a disk replies about a version."""
+    def replying_voter(self, disk: int, version: int) -> Voter:
+        """Return the voter under which a disk replies to requests about a version."""
         return (self.founding_voter(disk) if version == 1 else None) or self.disks[disk]
 
 
 class Sent(NamedTuple):
-    """A reply that may count as a vote, and the batch that it accepted."""
+    """A reply that may count as a vote, and the batch that it accepts, if any."""
 
     reply: Promise | Accepted
     batch: Batch | None
@@ -86,23 +86,23 @@
 
 @dataclass(frozen=True, eq=False, slots=True)
 class Disk:
-    """One disk: its synced record, and the replies it sent. Equal ones are one object, see `Pool`."""
+    """One disk: its synced record and the votes it sent. Equal disks are one object, see `Pool`."""
 
     number: int
     record: int
     sent: frozenset[int]
-    read: bool  # the read counts its reply
+    read: bool  # whether the read in progress has counted its reply
 
 
 @dataclass(frozen=True, eq=False, slots=True)
 class Attempt:
-    """One proposer under one ballot. Equal ones are one object, see `Pool`."""
+    """One proposer under one ballot. Equal attempts are one object, see `Pool`."""
 
-    place: int
+    index: int
     stage: Stage
-    base: int
+    base: int  # number of the state before the proposed version
     batch: Batch
-    lost: int  # the disks that it knows to be gone, as bits
+    lost: int  # bit mask of the disks that it knows to be lost
     votes: frozenset[Voter]
 
 
@@ -114,28 +114,28 @@
         self._attempts: dict[Hashable, Attempt] = {}
 
     def disk(self, record: int, sent: frozenset[int] = frozenset(), read: bool = False) -> Disk:
-        """The one disk with this content."""
+        """Return the only `Disk` with this content."""
         key = (record, sent, read)
         if key not in self._disks:
             self._disks[key] = Disk(len(self._disks), record, sent, read)
         return self._disks[key]
 
     def attempt(
-        self, place: int, stage: Stage, base: int, batch: Batch, lost: int, votes: frozenset[Voter]
+        self, index: int, stage: Stage, base: int, batch: Batch, lost: int, votes: frozenset[Voter]
     ) -> Attempt:
-        """The one attempt that is so far."""
-        key = (place, stage.value, base, batch, lost, votes)
+        """Return the only `Attempt` with these values."""
+        key = (index, stage.value, base, batch, lost, votes)
         if key not in self._attempts:
-            self._attempts[key] = Attempt(place, stage, base, batch, lost, votes)
+            self._attempts[key] = Attempt(index, stage, base, batch, lost, votes)
         return self._attempts[key]
 
 
 class Reading(NamedTuple):
-    """The read: of which state, and what had been confirmed before it began."""
+    """A read in progress."""
 
-    state: int
-    floor: int
-    lost: int
+    state: int  # number of the state that it would confirm
+    min_version: int  # newest version that was confirmed before the read began
+    lost: int  # bit mask of the disks that the reader knows to be lost
     confirmed: bool = False
 
 
@@ -145,44 +145,44 @@
     disks: tuple[Disk, ...]
     attempts: tuple[Attempt | None, ...]
     reading: Reading | None = None
-    lost: int = 0  # disks that are gone, as bits
-    compensated: int = 0  # of them, and decommissioned: those that a completed change has compensated for
+    lost: int = 0  # bit mask of the lost disks
+    retired: int = 0  # bit mask of the lost or decommissioned disks without a vote in a durable state
 
 
 @dataclass
 class Result:
-    """What an exploration found."""
+    """The result of an exploration."""
 
     states: int = 0
     depth: int = 0
     complete: bool = False
     violation: str = ""
     trace: list[str] = field(default_factory=list)
-    reached: set[str] = field(default_factory=set)  # what happened in some state
+    coverage: set[str] = field(default_factory=set)  # events that happened in some state
 
 
-class Answer(NamedTuple):
-    """What a disk holds after a request, and what it replied: one that may count as a vote, or another."""
+class HandledRequest(NamedTuple):
+    """The result of a request: the number of the disk's record, and either a vote or another reply."""
 
     record: int
-    sent: int
-    other: Reply | None
+    vote: int
+    other_reply: Reply | None
 
 
-def milestones(scenario: Scenario) -> set[str]:
-    """What has to happen in some state of a scenario, so that its invariants are tried at all."""
-    expected = {f"version {scenario.versions}"}
-    expected |= {"loss"} if scenario.losses else set()
+def expected_coverage(scenario: Scenario) -> set[str]:
+    """Return the events that must happen in some state, as otherwise the invariants would not be tested."""
+    expected = {f"version {scenario.max_version}"}
+    expected |= {"loss"} if scenario.max_losses else set()
     expected |= {"read"} if scenario.reads else set()
     expected |= {"decommission"} if scenario.decommissioned != ABSENT else set()
     return expected
 
 
 class InvariantError(Exception):
-    """An invariant does not hold."""
+    """An invariant is violated."""
 
 
 def require(holds: bool, rule: str) -> None:
-    """Check an invariant."""
+    """Raise InvariantError with this text unless an invariant holds."""
     if not holds:
         raise InvariantError(rule)
--- a/tests/cluster/consensus_subject.py
+++ b/tests/cluster/consensus_subject.py
@@ -1,4 +1,4 @@
-"""The subject of the model check: runs the shipped consensus code on the checker's states."""
+"""The code under test of the model checker: runs the production consensus code on the checker's states."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from tests.cluster.consensus_states import (
     ABSENT,
     UNNAMED,
-    Answer,
     Attempt,
     Disk,
+    HandledRequest,
     Interner,
     Pool,
     Scenario,
@@ -27,13 +27,13 @@
 )
 
 RECOVERY_BALLOT = Ballot(99, "recovery")
-RECOVERY_FOUNDING = (FoundGroup((Voter("recovery", "recovery"),)),)  # seeds decide nothing but a founding
+RECOVERY_FOUNDING = (FoundGroup((Voter("recovery", "recovery"),)),)  # seeds decide only a founding
 RECOVERY_ATTEMPTS = 5
 STAGES = (Stage.PREPARING, Stage.ACCEPTING)
 
 
-class Shipped:
-    """The shipped acceptor, proposer and reads over interned values; one for each exploration."""
+class CodeUnderTest:
+    """The production acceptor, proposer and reads on interned values; one object per exploration."""
 
     def __init__(self, scenario: Scenario) -> None:
         self._scenario = scenario
@@ -41,81 +41,90 @@
         self.states: Interner[ControlState] = Interner()
         self.sent: Interner[Sent] = Interner()
         self.pool = Pool()
-        self._made_by: dict[ControlState, Batch] = {}
+        self._producing_batch: dict[ControlState, Batch] = {}
         self._acceptor = Acceptor()
 
-    def next(self, attempt: Attempt) -> int:
-        """The state that follows if the batch of this attempt is chosen."""
+    def next_state(self, attempt: Attempt) -> int:
+        """Return the number of the state that follows if the batch of this attempt is chosen."""
         state = apply_batch(self.states[attempt.base], attempt.batch)
-        self._made_by[state] = attempt.batch
+        self._producing_batch[state] = attempt.batch
         return self.states.number(state)
 
     # Voters.
 
     def requests(self, attempt: Attempt) -> list[Request]:
-        """All requests that an attempt sends to voters up to its stage."""
-        base, ballot = self.states[attempt.base], self._scenario.ballot(attempt.place)
+        """Return all requests that an attempt sends to voters up to its stage."""
+        base, ballot = self.states[attempt.base], self._scenario.ballot(attempt.index)
         version = base.version + 1
         requests: list[Request] = [Prepare(version, base.group, ballot)]
         if attempt.stage is not Stage.PREPARING:
             requests.append(Accept(version, base.group, ballot, attempt.batch))
         if attempt.stage is Stage.CHOSEN:
             requests.append(Learn(version, base.group, attempt.batch))
-            requests.append(Install(self.states[self.next(attempt)]))
+            requests.append(Install(self.states[self.next_state(attempt)]))
         return requests
 
-    def handle(self, place: int, number: int, request: Request) -> Answer:
-        """The record of a disk after a request, and its reply, the same with and without the last batch."""
+    def handle(self, index: int, number: int, request: Request) -> HandledRequest:
+        """Return the record of a disk after a request, and its reply.
+
+        Checks that the record does not depend on whether the last batch is known.
+        """
         record = self.records[number]
         named = replace(
-            record, voter=self._scenario.disks[place], founding_voter=self._scenario.founding_voter(place)
+            record, voter=self._scenario.disks[index], founding_voter=self._scenario.founding_voter(index)
         )
         after, reply = self._acceptor.handle(named, request)
-        require(after.state.version >= record.state.version, "a disk went back")
-        if (batch := self._made_by.get(record.state)) is not None:
+        require(after.state.version >= record.state.version, "a disk went back to an older version")
+        if (batch := self._producing_batch.get(record.state)) is not None:
             same, reply = self._acceptor.handle(replace(named, last_batch=batch), request)
-            require(replace(same, last_batch=after.last_batch) == after, "the last batch changed a record")
+            require(
+                replace(same, last_batch=after.last_batch) == after,
+                "the record depends on whether the last batch is known",
+            )
             if isinstance(reply, Chosen):
-                require((reply.version, reply.batch) == (record.state.version, batch), "untrue Chosen")
-        kept = self.records.number(replace(after, voter=UNNAMED, founding_voter=None, last_batch=None))
+                require(
+                    (reply.version, reply.batch) == (record.state.version, batch),
+                    "a Chosen reply has another version or batch than the one chosen",
+                )
+        stored = self.records.number(replace(after, voter=UNNAMED, founding_voter=None, last_batch=None))
         if not isinstance(reply, Promise | Accepted):
-            return Answer(kept, ABSENT, reply)
-        if reply.voter == self._scenario.own(place, reply.version):
+            return HandledRequest(stored, ABSENT, reply)
+        if reply.voter == self._scenario.replying_voter(index, reply.version):
             reply = replace(reply, voter=UNNAMED)
         accepted = request.batch if isinstance(request, Accept) else None
-        return Answer(kept, self.sent.number(Sent(reply, accepted)), None)
+        return HandledRequest(stored, self.sent.number(Sent(reply, accepted)), None)
 
     def replies(self, disks: Iterable[Disk]) -> list[Promise | Accepted]:
-        """All votes in flight, with the names of their voters."""
+        """Return all sent votes, each with its voter."""
         return [
-            self.named(place, self.sent[number].reply)
-            for place, disk in enumerate(disks)
+            self.named(index, self.sent[number].reply)
+            for index, disk in enumerate(disks)
             for number in sorted(disk.sent)
         ]
 
-    def named(self, place: int, reply: Promise | Accepted) -> Promise | Accepted:
-        """A vote as the disk at this place sent it."""
+    def named(self, index: int, reply: Promise | Accepted) -> Promise | Accepted:
+        """Return a vote with the voter of the disk that sent it."""
         if reply.voter != UNNAMED:
             return reply
-        return replace(reply, voter=self._scenario.own(place, reply.version))
+        return replace(reply, voter=self._scenario.replying_voter(index, reply.version))
 
     # Proposers.
 
     def quorum(self, state: ControlState, lost: int) -> Quorum:
-        """The quorum for the version after this one, if these disks are known to be lost."""
-        lost_voters = {voter for place, voter in enumerate(self._scenario.disks) if lost >> place & 1}
+        """Return the quorum for the version after `state`; `lost` is a bit mask of disks known to be lost."""
+        lost_voters = {voter for index, voter in enumerate(self._scenario.disks) if lost >> index & 1}
         lost_voters |= {
             founding_voter
-            for place, founding_voter in enumerate(self._scenario.founding_voters)
-            if founding_voter and lost >> place & 1
+            for index, founding_voter in enumerate(self._scenario.founding_voters)
+            if founding_voter and lost >> index & 1
         }
-        copies = self._scenario.disk_copies if state.version else 1
-        return Quorum(state.voters, frozenset(lost_voters) & set(state.voters), copies)
+        min_disks = self._scenario.min_disks if state.version else 1
+        return Quorum(state.voters, frozenset(lost_voters) & set(state.voters), min_disks)
 
     def proposer(self, attempt: Attempt) -> Proposer:
-        """The shipped proposer in the state of this attempt."""
+        """Return a production proposer in the state of this attempt."""
         state = self.states[attempt.base]
-        quorum, ballot = self.quorum(state, attempt.lost), self._scenario.ballot(attempt.place)
+        quorum, ballot = self.quorum(state, attempt.lost), self._scenario.ballot(attempt.index)
         proposer = Proposer(state, quorum, ballot, attempt.batch, attempt.stage)
         proposer._votes = set(attempt.votes)
         return proposer
@@ -127,19 +136,19 @@
         return proposer != untouched
 
     def count(self, attempt: Attempt, replies: list[Promise | Accepted]) -> list[Attempt]:
-        """The attempts that follow from some of these replies, each duplicated, in either order."""
+        """Return the attempts that result from subsets of these replies, each duplicated, in two orders."""
         counting = [reply for reply in replies if self.changes_proposer(attempt, reply)]
         outcomes: dict[Attempt, None] = {}
         for size in range(1, min(len(counting), len(self._scenario.disks)) + 1):
-            for some in combinations(counting, size):
-                for ordered in (some, some[::-1]):
+            for subset in combinations(counting, size):
+                for ordered in (subset, subset[::-1]):
                     after = self._receive(attempt, ordered)
                     if after.stage is not attempt.stage:
                         outcomes[after] = None
         return list(outcomes)
 
     def _receive(self, attempt: Attempt, replies: Iterable[Reply]) -> Attempt:
-        """The attempt after these replies, up to the first change of stage."""
+        """Return the attempt after these replies, up to the first change of its stage."""
         proposer = self.proposer(attempt)
         for reply in replies:
             for _ in range(2):
@@ -150,30 +159,30 @@
             return attempt
         votes = frozenset(proposer._votes) if stage in STAGES else frozenset()
         batch = proposer.decision if proposer.decision is not None else batch
-        return self.pool.attempt(attempt.place, stage, attempt.base, batch, attempt.lost, votes)
+        return self.pool.attempt(attempt.index, stage, attempt.base, batch, attempt.lost, votes)
 
-    def receive_other(self, attempt: Attempt, reply: Reply) -> None:
-        """A reply that is no vote decides nothing."""
+    def receive_other_reply(self, attempt: Attempt, reply: Reply) -> None:
+        """Check that a reply that is no vote decides nothing."""
         if attempt.stage in STAGES:
             proposer = self.proposer(attempt)
             proposer.receive(reply)
-            require(proposer.stage is not Stage.CHOSEN, "chosen without votes")
+            require(proposer.stage is not Stage.CHOSEN, "a batch was chosen without votes")
 
-    def voted(self, attempt: Attempt, disks: tuple[Disk, ...]) -> bool:
-        """Whether the votes sent show the batch of this attempt to be chosen, judged without a proposer."""
-        state, ballot = self.states[attempt.base], self._scenario.ballot(attempt.place)
+    def has_quorum(self, attempt: Attempt, disks: tuple[Disk, ...]) -> bool:
+        """Whether the sent votes choose the batch of this attempt, computed without a proposer."""
+        state, ballot = self.states[attempt.base], self._scenario.ballot(attempt.index)
         votes = set()
-        for place, disk in enumerate(disks):
+        for index, disk in enumerate(disks):
             for reply, batch in map(self.sent.__getitem__, disk.sent):
-                asked = (reply.version, reply.ballot, batch) == (state.version + 1, ballot, attempt.batch)
-                if asked and isinstance(reply, Accepted):
-                    votes.add(self.named(place, reply).voter)
+                matches = (reply.version, reply.ballot, batch) == (state.version + 1, ballot, attempt.batch)
+                if matches and isinstance(reply, Accepted):
+                    votes.add(self.named(index, reply).voter)
         return self.quorum(state, attempt.lost).satisfies_accept(votes)
 
     # Reads and changes of voters.
 
-    def due(self, disks: tuple[Disk, ...], base: int) -> Batch:
-        """The change that the shipped maintenance finds due, by the reports of all disks that are present."""
+    def due_change(self, disks: tuple[Disk, ...], base: int) -> Batch:
+        """Return the change that the production maintenance finds due, given reports of all present disks."""
         members = {}
         for voter, disk in zip(self._scenario.disks, disks, strict=True):
             if disk.record != ABSENT:
@@ -183,46 +192,55 @@
         return () if command is None else (command,)
 
     def is_durable(self, disks: tuple[Disk, ...], state: ControlState, lost: int) -> bool:
-        """Whether a read finds the state on enough disks of its voters."""
+        """Whether a read finds the state on enough of its voters' disks."""
         read = ReadRound(state, self.quorum(state, lost), require_durable=True)
-        for place, disk in enumerate(disks):
-            if disk.record != ABSENT and self._scenario.disks[place] in state.voters:
-                reply = self.handle(place, disk.record, Read(state.version)).other
+        for index, disk in enumerate(disks):
+            if disk.record != ABSENT and self._scenario.disks[index] in state.voters:
+                reply = self.handle(index, disk.record, Read(state.version)).other_reply
                 assert reply is not None
                 read.receive(reply)
         return read.outcome is ReadOutcome.CONFIRMED
 
     def recover(self, records: tuple[int, ...], lost: int) -> ControlState | None:
-        """The first version that a new proposer decides for itself on these disks, if it can decide one."""
-        live = {
-            place: replace(
+        """Return the state after the first batch that a new proposer gets decided on these disks, or None."""
+        records_by_index = {
+            index: replace(
                 self.records[n],
-                voter=self._scenario.disks[place],
-                founding_voter=self._scenario.founding_voter(place),
+                voter=self._scenario.disks[index],
+                founding_voter=self._scenario.founding_voter(index),
             )
-            for place, n in enumerate(records)
+            for index, n in enumerate(records)
             if n != ABSENT
         }
         for _ in range(RECOVERY_ATTEMPTS):
-            state = max((record.state for record in live.values()), key=lambda known: known.version)
+            state = max(
+                (record.state for record in records_by_index.values()), key=lambda known: known.version
+            )
             probe = () if state.version > 0 else RECOVERY_FOUNDING
             proposer = Proposer(state, self.quorum(state, lost), RECOVERY_BALLOT, probe)
             for stage in STAGES:
-                self._call_live(live, state, proposer, stage)
+                self._call_all(records_by_index, state, proposer, stage)
             if proposer.decision is None:
                 return None
             after = apply_batch(state, proposer.decision)
-            live = {place: self._acceptor.handle(old, Install(after))[0] for place, old in live.items()}
+            records_by_index = {
+                index: self._acceptor.handle(old, Install(after))[0]
+                for index, old in records_by_index.items()
+            }
             if proposer.decision == probe:
                 return after
         return None
 
-    def _call_live(
-        self, live: dict[int, AcceptorRecord], state: ControlState, proposer: Proposer, stage: Stage
+    def _call_all(
+        self,
+        records_by_index: dict[int, AcceptorRecord],
+        state: ControlState,
+        proposer: Proposer,
+        stage: Stage,
     ) -> None:
-        for place, record in live.items():
+        for index, record in records_by_index.items():
             record, _ = self._acceptor.handle(record, Install(state))
             if proposer.stage is stage:
                 record, reply = self._acceptor.handle(record, proposer.request())
                 proposer.receive(reply)
-            live[place] = record
+            records_by_index[index] = record
--- a/tests/cluster/test_consensus_model.py
+++ b/tests/cluster/test_consensus_model.py
@@ -1,6 +1,7 @@
-"""Every order of steps of the shipped agreement on control state, and planted bugs that the check must find.
+"""Model checks of the consensus on the control state, and planted bugs that the check must find.
 
-`PYTHONPATH=. python -m tests.cluster.consensus_scenarios 500000` explores more, up to so many states each.
+`PYTHONPATH=. python -m tests.cluster.consensus_scenarios 500000` explores larger scenarios, up to 500000
+states each.
 """
 
 from __future__ import annotations
@@ -29,17 +30,17 @@
 from emberlatch.cluster.consensus.state import Ballot, ControlState, Voter, text_digest
 from tests.cluster import consensus_scenarios as scenarios
 from tests.cluster.consensus_model import Explorer
-from tests.cluster.consensus_states import Scenario, milestones
+from tests.cluster.consensus_states import Scenario, expected_coverage
 
-Plant = tuple[Any, str, Any]
-"""Where, which name, and the wrong thing that it stands for."""
+Patch = tuple[Any, str, Any]
+"""A class or module, the name of its attribute, and the faulty value that replaces it."""
 
 
 @contextmanager
-def planted(*plants: Plant) -> Iterator[None]:
-    """For a while names in the shipped code stand for something wrong."""
+def patched(*patches: Patch) -> Iterator[None]:
+    """Replace attributes of the production code by faulty ones, and restore them at the end."""
     with ExitStack() as stack:
-        for where, name, bug in plants:
+        for where, name, bug in patches:
             stack.callback(setattr, where, name, getattr(where, name))
             setattr(where, name, bug)
         yield
@@ -47,8 +48,8 @@
 
 # Planted bugs.
 
-handle, vote, not_next = Acceptor.handle, Acceptor._vote, Acceptor._reply_unless_next
-receive, promised, accepted = Proposer.receive, Proposer._on_promise, Proposer._on_accepted
+handle, vote, reply_unless_next = Acceptor.handle, Acceptor._vote, Acceptor._reply_unless_next
+receive, on_promise, on_accepted = Proposer.receive, Proposer._on_promise, Proposer._on_accepted
 receive_read = ReadRound.receive
 
 
@@ -62,8 +63,8 @@
     return (record if isinstance(reply, Accepted) else after), reply
 
 
-def vote_of_the_machine(self: AcceptorRecord) -> Voter | None:
-    """Whatever disk the machine has."""
+def vote_with_any_disk(self: AcceptorRecord) -> Voter | None:
+    """The machine votes even if its disk is not the voter's."""
     return self.state.voter(self.voter.node)
 
 
@@ -71,33 +72,35 @@
     return vote(self, replace(record, promised=None), request)
 
 
-def any_version(self: Acceptor, record: AcceptorRecord, voter: Voter, request: Any) -> Reply | None:
-    """Requests about versions that were decided count for the next one."""
-    reply = not_next(self, record, voter, request)
+def decided_version_handled(
+    self: Acceptor, record: AcceptorRecord, voter: Voter, request: Any
+) -> Reply | None:
+    """Requests about decided versions are handled as if they were about the next one."""
+    reply = reply_unless_next(self, record, voter, request)
     return None if isinstance(reply, Chosen | Snapshot) else reply
 
 
-def any_group(self: Acceptor, record: AcceptorRecord, voter: Voter, request: Any) -> Reply | None:
-    return not_next(self, record, voter, replace(request, group=record.state.group))
+def other_group_handled(self: Acceptor, record: AcceptorRecord, voter: Voter, request: Any) -> Reply | None:
+    return reply_unless_next(self, record, voter, replace(request, group=record.state.group))
 
 
 def half_is_enough(self: Quorum) -> int:
     return len(self.voters) // 2
 
 
-def majority_of_the_live(self: Quorum) -> int:
+def majority_of_survivors(self: Quorum) -> int:
     return len(self.survivors) // 2 + 1
 
 
-def any_survivors(self: Quorum, votes: set[Voter], required: int) -> bool:
-    """All survivors are enough, whatever majorities there were."""
+def all_survivors_suffice(self: Quorum, votes: set[Voter], required: int) -> bool:
+    """All survivors suffice, even if a majority may have none of them."""
     counted = len(votes & self.survivors)
     return counted >= required or counted == len(self.survivors)
 
 
 def highest_digest_wins(self: Proposer, promise: Promise) -> None:
     self._highest_accepted, best = None, self._highest_accepted
-    promised(self, promise)
+    on_promise(self, promise)
     found = [proposal for proposal in (best, promise.accepted) if proposal is not None]
     self._highest_accepted = max(found, key=lambda proposal: digest_of(proposal.batch), default=None)
     if self.stage is Stage.ACCEPTING and self._highest_accepted is not None:
@@ -109,39 +112,39 @@
 
 
 def accepted_ignored(self: Proposer, promise: Promise) -> None:
-    promised(self, replace(promise, accepted=None))
+    on_promise(self, replace(promise, accepted=None))
 
 
 def first_accepted_wins(self: Proposer, promise: Promise) -> None:
-    """The first proposal told, not that of the highest ballot."""
+    """The first reported proposal is taken, not that of the highest ballot."""
     best = self._highest_accepted or promise.accepted
-    promised(self, promise)
+    on_promise(self, promise)
     self._highest_accepted = best
     if self.stage is Stage.ACCEPTING and best is not None:
         self.batch = best.batch
 
 
-def any_ballot(self: Proposer, reply: Reply) -> Request | None:
-    """Replies to an earlier ballot count."""
+def earlier_ballot_counted(self: Proposer, reply: Reply) -> Request | None:
+    """Replies to an earlier ballot are counted."""
     if isinstance(reply, Promise | Accepted):
         reply = replace(reply, ballot=self.ballot)
     return receive(self, reply)
 
 
-def counted_again(self: Proposer, reply: Accepted) -> None:
-    """A doubled reply counts as that of another voter."""
+def duplicate_counted(self: Proposer, reply: Accepted) -> None:
+    """A duplicated reply is counted as a reply of another voter."""
     others = sorted(self.quorum.survivors - self._votes)
-    accepted(self, replace(reply, voter=others[0]) if reply.voter in self._votes and others else reply)
+    on_accepted(self, replace(reply, voter=others[0]) if reply.voter in self._votes and others else reply)
 
 
 def promises_counted_as_votes(self: Proposer, promise: Promise) -> None:
     votes = {*self._votes, promise.voter}
-    promised(self, promise)
+    on_promise(self, promise)
     if self.stage is Stage.ACCEPTING:
         self._votes = votes
 
 
-def read_without_round(self: ReadRound, reply: Reply) -> None:
+def read_confirmed_by_one_reply(self: ReadRound, reply: Reply) -> None:
     receive_read(self, reply)
     if self.outcome is ReadOutcome.OPEN and isinstance(reply, ReadState):
         self.outcome = ReadOutcome.CONFIRMED
@@ -151,7 +154,7 @@
     receive_read(self, replace(reply, pending=False) if isinstance(reply, ReadState) else reply)
 
 
-def holding_ignored(self: ReadRound, reply: Reply) -> None:
+def durability_ignored(self: ReadRound, reply: Reply) -> None:
     self.require_durable = False
     receive_read(self, reply)
 
@@ -160,7 +163,7 @@
     return replace(record, state=state, promised=None, accepted=None, last_batch=None)
 
 
-def learning_resets_nothing(record: AcceptorRecord, state: ControlState) -> AcceptorRecord:
+def install_keeps_vote(record: AcceptorRecord, state: ControlState) -> AcceptorRecord:
     return replace(record, state=state) if state.version > record.state.version else record
 
 
@@ -169,8 +172,8 @@
     return replace(state, history=tuple(history.items()), revision=self.revision, text=self.text)
 
 
-def rejected_never(self: Acceptor, record: AcceptorRecord, request: Prepare | Accept) -> Step:
-    """A voter that promised a higher ballot accepts, and keeps its higher promise."""
+def rejected_batch_accepted(self: Acceptor, record: AcceptorRecord, request: Prepare | Accept) -> Step:
+    """A voter accepts a lower ballot than it promised, and keeps its higher promise."""
     after, reply = vote(self, record, request)
     if isinstance(reply, Rejected) and isinstance(request, Accept):
         after, reply = vote(self, replace(record, promised=None), request)
@@ -179,70 +182,73 @@
 
 
 RACE, REPLACEMENT, DECOMMISSION = scenarios.RACE, scenarios.REPLACEMENT, scenarios.DECOMMISSION
-ONE_COPY = replace(scenarios.SECOND_LOSS_TOO_EARLY, disk_copies=1)
-REUSED = (Ballot(1, "p"), Ballot(1, "p"), Ballot(2, "p"))
+ONE_DISK_NEEDED = replace(scenarios.SECOND_LOSS_TOO_EARLY, min_disks=1)
+REUSED_BALLOTS = (Ballot(1, "p"), Ballot(1, "p"), Ballot(2, "p"))
 FOUNDING_VOTE_KEPT = replace(
     scenarios.FOUNDING,
     founding_voters=(*scenarios.FOUNDING_VOTERS, scenarios.FOUNDING_VOTERS[2]),
     symmetric=(),
 )
 
-BUGS: dict[str, tuple[Scenario, tuple[Plant, ...]]] = {
+BUGS: dict[str, tuple[Scenario, tuple[Patch, ...]]] = {
     "a promise that is not synced": (RACE, ((Acceptor, "handle", promise_unsynced),)),
     "an acceptance that is not synced": (RACE, ((Acceptor, "handle", accept_unsynced),)),
     "a vote from an empty disk": (
         REPLACEMENT,
-        ((AcceptorRecord, "active_voter", property(vote_of_the_machine)),),
+        ((AcceptorRecord, "active_voter", property(vote_with_any_disk)),),
     ),
     "half of the voters": (RACE, ((Quorum, "majority", property(half_is_enough)),)),
     "a majority of the live": (
-        ONE_COPY,
-        ((Quorum, "majority", property(majority_of_the_live)),),
+        ONE_DISK_NEEDED,
+        ((Quorum, "majority", property(majority_of_survivors)),),
     ),
-    "any survivors": (scenarios.SECOND_LOSS_TOO_EARLY, ((Quorum, "_suffices", any_survivors),)),
-    "a version that was decided": (scenarios.SUCCESSION, ((Acceptor, "_reply_unless_next", any_version),)),
-    "another group": (scenarios.FOUNDING, ((Acceptor, "_reply_unless_next", any_group),)),
+    "any survivors": (scenarios.SECOND_LOSS_TOO_EARLY, ((Quorum, "_suffices", all_survivors_suffice),)),
+    "a version that was decided": (
+        scenarios.SUCCESSION,
+        ((Acceptor, "_reply_unless_next", decided_version_handled),),
+    ),
+    "another group": (scenarios.FOUNDING, ((Acceptor, "_reply_unless_next", other_group_handled),)),
     "a founding vote kept by an empty disk": (FOUNDING_VOTE_KEPT, ()),
-    "a read without a round": (scenarios.READ, ((ReadRound, "receive", read_without_round),)),
+    "a read without a round": (scenarios.READ, ((ReadRound, "receive", read_confirmed_by_one_reply),)),
     "a read that ignores what is pending": (scenarios.READ, ((ReadRound, "receive", pending_ignored),)),
-    "a member released too early": (DECOMMISSION, ((ReadRound, "receive", holding_ignored),)),
+    "a member released too early": (DECOMMISSION, ((ReadRound, "receive", durability_ignored),)),
     "the highest digest": (RACE, ((Proposer, "_on_promise", highest_digest_wins),)),
     "accepted proposals ignored": (RACE, ((Proposer, "_on_promise", accepted_ignored),)),
     "the first accepted proposal": (RACE, ((Proposer, "_on_promise", first_accepted_wins),)),
     "a lower ballot": (RACE, ((Acceptor, "_vote", lower_ballot_accepted),)),
-    "a lower ballot beside the promise": (RACE, ((Acceptor, "_vote", rejected_never),)),
-    "ballots used again after a restart": (replace(RACE, ballots=REUSED), ()),
-    "replies to an earlier ballot": (RACE, ((Proposer, "receive", any_ballot),)),
-    "a reply counted twice": (RACE, ((Proposer, "_on_accepted", counted_again),)),
+    "a lower ballot beside the promise": (RACE, ((Acceptor, "_vote", rejected_batch_accepted),)),
+    "ballots used again after a restart": (replace(RACE, ballots=REUSED_BALLOTS), ()),
+    "replies to an earlier ballot": (RACE, ((Proposer, "receive", earlier_ballot_counted),)),
+    "a reply counted twice": (RACE, ((Proposer, "_on_accepted", duplicate_counted),)),
     "promises counted as acceptances": (RACE, ((Proposer, "_on_promise", promises_counted_as_votes),)),
     "an older snapshot": (scenarios.SUCCESSION, ((acceptor_module, "install", older_snapshot_installed),)),
     "a promise kept beyond its version": (
         scenarios.SUCCESSION,
-        ((acceptor_module, "install", learning_resets_nothing),),
+        ((acceptor_module, "install", install_keeps_vote),),
     ),
     "the last text under a revision": (scenarios.SUCCESSION, ((Configure, "apply", last_text_wins),)),
 }
 
 
-REPLACING = ("a second loss after a replacement", "a loss in a group of two")
+WITH_REPLACEMENT = ("a second loss after a replacement", "a loss in a group of two")
 
 
-@test("no order of steps breaks the agreement: {name}")
+@test("no order of steps violates an invariant of the consensus: {name}")
 def _(name: str = each(*scenarios.CI)) -> None:
     scenario = scenarios.CI[name]
     result = Explorer(scenario).explore()
     assert result.complete and not result.violation, str(result)
-    assert milestones(scenario) <= result.reached, str(result)
+    assert expected_coverage(scenario) <= result.coverage, str(result)
 
 
-@test("a lost disk is replaced, and the replacement completed, in: {name}")
-def _(name: str = each(*REPLACING)) -> None:
-    assert "replacement" in Explorer(scenarios.CI[name]).explore().reached
+@test("a lost disk is replaced and the replacement is completed in: {name}")
+def _(name: str = each(*WITH_REPLACEMENT)) -> None:
+    assert "replacement" in Explorer(scenarios.CI[name]).explore().coverage
 
 
-@test("the check finds a planted bug: {bug}")
+@test("the model check detects the planted bug: {bug}")
 def _(bug: str = each(*BUGS)) -> None:
-    scenario, plants = BUGS[bug]
-    with planted(*plants):
+    scenario, patches = BUGS[bug]
+    with patched(*patches):
         result = Explorer(scenario).explore()
     assert result.violation, str(result)
--- a/tests/cluster/test_control_faults.py
+++ b/tests/cluster/test_control_faults.py
@@ -1,4 +1,7 @@
-"""Control and state through cuts, races and losses: what was measured to go wrong before there was agreement."""
+"""Control API and control state under partitions, concurrent changes and losses of disks.
+
+These tests guard against failures that were observed before the control state was replicated by consensus.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 
 
 async def call(scenario: Scenario, node: str, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
-    """One call to one machine; status 0 if no answer comes within a second."""
+    """Call one machine; returns status 0 if there is no answer within one second."""
     address = scenario.cluster.nodes[node].host, CONTROL_PORT
     try:
         answer = await send_request(address, method, path, body, {"Host": "c"}, 1.0)
@@ -31,7 +34,10 @@
 
 
 async def send_until_clear(scenario: Scenario, nodes: list[str], body: bytes, attempts: int = 12) -> int:
-    """An operator that sends a text again, to one machine after the other, until the answer is clear."""
+    """Send a text to one machine after the other until an answer other than 503 comes; return its status.
+
+    Returns 0 if there is no such answer in `attempts` attempts.
+    """
     for attempt in range(attempts):
         status, _ = await call(scenario, nodes[attempt % len(nodes)], "POST", REPLACE, body)
         if status not in (0, 503):
@@ -40,11 +46,11 @@
     return 0
 
 
-def partition(scenario: Scenario, one: list[str], other: list[str], seconds: float) -> None:
-    """The machines of two sides do not reach each other."""
-    for here in one:
-        for there in other:
-            scenario.cluster.partition(here, there, seconds)
+def partition(scenario: Scenario, side_a: list[str], side_b: list[str], seconds: float) -> None:
+    """Cut all links between the machines of two sides."""
+    for node_a in side_a:
+        for node_b in side_b:
+            scenario.cluster.partition(node_a, node_b, seconds)
 
 
 def active_configurations(scenario: Scenario) -> set[bytes]:
@@ -57,35 +63,33 @@
 
 
 def owners(scenario: Scenario, nodes: list[str]) -> list[str]:
-    """The machines among these that believe that they may hold and deliver messages."""
-    found = []
+    """Return those of these machines that consider themselves permitted to own and deliver messages."""
+    delivering = []
     for name in nodes:
         program = scenario.cluster.nodes[name].program
         assert program is not None and program.replicator is not None
         if program.replicator.ownership.may_deliver():
-            found.append(name)
-    return found
+            delivering.append(name)
+    return delivering
 
 
-@test(
-    "of two configurations of one revision, sent to both sides of a partition, the confirmed one stays: {stores}"
-)
-def _(stores: int = each(3, 5, 6, 9), small: int = each(1, 2, 2, 3)) -> None:
+@test("of two texts of one revision, sent to both sides of a partition, one is confirmed and stays: {stores}")
+def _(stores: int = each(3, 5, 6, 9), smaller_side: int = each(1, 2, 2, 3)) -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
         cluster = scenario.cluster
         names = [f"s{n}" for n in range(stores)]
-        one, other = names[:small], names[small:]
-        partition(scenario, one, other, 6.0)
+        side_a, side_b = names[:smaller_side], names[smaller_side:]
+        partition(scenario, side_a, side_b, 6.0)
         await asyncio.sleep(2.0)
         first, second = cluster.configuration_body(50, 700), cluster.configuration_body(50, 900)
         statuses = await asyncio.gather(
-            send_until_clear(scenario, one, first, 3), send_until_clear(scenario, other, second, 12)
+            send_until_clear(scenario, side_a, first, 3), send_until_clear(scenario, side_b, second, 12)
         )
         assert list(statuses).count(200) <= 1, statuses
         await asyncio.sleep(8.0)
         assert 200 in [await send_until_clear(scenario, names, text) for text in (first, second)], (
-            "nobody could have it confirmed once the cut was over"
+            "neither configuration was confirmed after the end of the partition"
         )
         confirmed = [text for text in (first, second) if await send_until_clear(scenario, names, text) == 200]
         assert len(confirmed) == 1
@@ -96,9 +100,7 @@
     play(Plan(51, stores=stores, tolerated_losses=1 if stores < 5 else 2), steps)
 
 
-@test(
-    "two operators at once with one revision, no fault: one is confirmed and stays, the other gets a conflict"
-)
+@test("two operators submit one revision at once: one text is confirmed and stays, the other gets a conflict")
 def _() -> None:
     for seed in range(5):
 
@@ -111,21 +113,19 @@
                 call(scenario, "s2", "POST", REPLACE, bodies[1]),
             )
             assert sorted(status for status, _ in answers) == [200, 409], answers
-            won = [status for status, _ in answers].index(200)
+            winner = [status for status, _ in answers].index(200)
             await asyncio.sleep(1.5)
-            assert active_configurations(scenario) == {bodies[won]}
-            conflict = json.loads(answers[1 - won][1])
+            assert active_configurations(scenario) == {bodies[winner]}
+            conflict = json.loads(answers[1 - winner][1])
             assert "digest" in json.dumps(conflict)
-            for node in ("s0", "s1", "s2"):  # sent again, wherever: the same answers
-                assert (await call(scenario, node, "POST", REPLACE, bodies[won]))[0] == 200
-                assert (await call(scenario, node, "POST", REPLACE, bodies[1 - won]))[0] == 409
+            for node in ("s0", "s1", "s2"):  # a repeated request gets the same answer from any machine
+                assert (await call(scenario, node, "POST", REPLACE, bodies[winner]))[0] == 200
+                assert (await call(scenario, node, "POST", REPLACE, bodies[1 - winner]))[0] == 409
 
         play(Plan(60 + seed), steps)
 
 
-@test(
-    "two removed stores return while two others lose the rest: never do both sides deliver ({losses} tolerated)"
-)
+@test("two removed stores return during a partition: both sides never deliver at once ({losses} tolerated)")
 def _(losses: int = each(1, 2)) -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -135,18 +135,18 @@
         await asyncio.sleep(8.9)
         partition(scenario, ["s0", "s1"], ["s2", "s3", "s4"], 14.0)
         began = cluster.loop.time()
-        together = 0.0
+        overlap_s = 0.0
         while cluster.loop.time() - began < 13.0:
             await asyncio.sleep(0.1)
-            both = owners(scenario, ["s0", "s1"]) and owners(scenario, ["s2", "s3", "s4"])
-            if both and cluster.loop.time() - began > 1.6:  # the silence of a link is known by then
-                together += 0.1
-        assert together == 0.0, f"both halves for {together:.1f} s"
+            both_sides = owners(scenario, ["s0", "s1"]) and owners(scenario, ["s2", "s3", "s4"])
+            if both_sides and cluster.loop.time() - began > 1.6:  # the partition is detected by then
+                overlap_s += 0.1
+        assert overlap_s == 0.0, f"both sides could deliver for {overlap_s:.1f} s"
 
     play(Plan(52, stores=5, tolerated_losses=losses), steps)
 
 
-@test("a machine that is isolated for twenty seconds answers 503 at once: nothing old, nothing confirmed")
+@test("an isolated machine answers each control call with 503 at once, and catches up after twenty seconds")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -165,7 +165,9 @@
             ):
                 status, _ = await call(scenario, "s0", method, path, body)
                 assert status == 503, (path, status)
-            assert cluster.loop.time() - asked_at < 0.1, "it held the caller"
+            assert cluster.loop.time() - asked_at < 0.1, (
+                f"four calls took {cluster.loop.time() - asked_at:.3f} s, expected less than 0.1 s"
+            )
             await asyncio.sleep(1.0)
         await asyncio.sleep(3.0)
         status, raw = await call(scenario, "s0", "GET", RETRIEVE)
@@ -174,9 +176,7 @@
     play(Plan(53), steps)
 
 
-@test(
-    "a decommission leaves two of three stores, and one of them loses its disk at once: changes are still decided"
-)
+@test("one of the two stores that remain after a decommission loses its disk: changes are still decided")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -198,7 +198,7 @@
     play(Plan(54), steps)
 
 
-@test("a store lost for good is replaced by an empty one, and then a second disk is lost: no state is lost")
+@test("a permanently lost store is replaced by an empty one, then a second disk is lost: no state is lost")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -207,7 +207,7 @@
         cluster.nodes["s0"].power_off(1e6, wipe=True)
         await asyncio.sleep(1.0)
         cluster.add_store("s9", "z0")
-        await asyncio.sleep(4.5)  # the time after which a replaced machine counts as lost no longer
+        await asyncio.sleep(4.5)  # after this time the replaced machine no longer counts as lost
         cluster.nodes["s1"].power_off(1.0, wipe=True)
         await asyncio.sleep(4.5)
         status, raw = await call(scenario, "s9", "GET", RETRIEVE)
@@ -219,23 +219,23 @@
     play(Plan(55), steps)
 
 
-@test("a machine with the disk of another system changes nothing here, and learns nothing")
+@test("a machine with the disk of another cluster neither changes this cluster nor learns its state")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         cluster = scenario.cluster
-        elsewhere = Voter("s2", "a disk from elsewhere")
+        foreign_voter = Voter("s2", "a disk from elsewhere")
         state = ControlState(
             version=40,
             epoch=4,
-            voters=(elsewhere,),
+            voters=(foreign_voter,),
             revision=99,
             text=cluster.configuration_body(99, 700),
             cluster="other",
         )
         storage = RecordStorage(cluster.nodes["s2"].folder / FOLDER, "s2")
-        storage.initialize(AcceptorRecord(elsewhere, None, state))
+        storage.initialize(AcceptorRecord(foreign_voter, None, state))
         await scenario.start()
-        await asyncio.sleep(5.0)  # the two founded the system after their patience for a third voter
+        await asyncio.sleep(5.0)  # s0 and s1 found the cluster after the wait for a third voter
         assert await send_until_clear(scenario, ["s0", "s1"], cluster.configuration_body(9, 700)) == 200
         for node in ("s0", "s1"):
             status, raw = await call(scenario, node, "GET", RETRIEVE)
@@ -249,7 +249,9 @@
     play(Plan(57), steps)
 
 
-@test("300 changes while a machine is down: it returns with its old disk, catches up, and serves nothing old")
+@test(
+    "a machine that was down during 300 changes returns with its old disk, catches up and serves no old state"
+)
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -263,7 +265,9 @@
         program = cluster.nodes["s0"].program
         assert program is not None
         await until(lambda: program.active_configuration.revision == 309, 3.0)
-        assert await send_until_clear(scenario, ["s0"], first) == 200, "an old order is acknowledged again"
+        assert await send_until_clear(scenario, ["s0"], first) == 200, (
+            "a repeated configuration of an old revision is not acknowledged again"
+        )
         assert await send_until_clear(scenario, ["s0"], cluster.configuration_body(10, 999)) == 409
         status, raw = await call(scenario, "s0", "GET", RETRIEVE)
         assert status == 200 and json.loads(raw)["revision"] == 309
--- a/tests/cluster/test_control_messages.py
+++ b/tests/cluster/test_control_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the consensus: bytes that an earlier release sent, and payloads that are no message."""
+"""Consensus messages: bytes that an earlier release sent, and payloads that are not valid messages."""
 
 from __future__ import annotations
 
@@ -35,7 +35,10 @@
         "678267726561646d69746167"
     ),
 )
-"""Each kind of request, one command of each kind in its batch; CBOR as the release before the types sent it."""
+"""Each kind of request, batches with one command of each kind, as CBOR sent by an earlier release.
+
+That release had no message classes yet.
+"""
 
 REPLIES = (
     "856770726f6d697365826161613104820566702f312f6666f6",
@@ -61,33 +64,33 @@
     "846a72656164207374617465826161613103f4",
     "8365756e6669748261616131626e6f",
 )
-"""Each kind of reply, from the same release."""
+"""Each kind of reply, as CBOR sent by the same release."""
 
-WRONG: tuple[object, ...] = (None, -1.5, "text", b"bytes", [], [[]], {"key": 1})
+WRONG_VALUES: tuple[object, ...] = (None, -1.5, "text", b"bytes", [], [[]], {"key": 1})
 
 
 def damaged(payload: object) -> Iterator[object]:
-    """The payload with one item, at any depth, replaced by a value of another type."""
-    yield from WRONG
+    """Yield variants of the payload, each with one item at any depth replaced by an arbitrary value."""
+    yield from WRONG_VALUES
     if isinstance(payload, list):
-        for place, item in enumerate(payload):
+        for index, item in enumerate(payload):
             for wrong in damaged(item):
-                yield [*payload[:place], wrong, *payload[place + 1 :]]
+                yield [*payload[:index], wrong, *payload[index + 1 :]]
 
 
-@test("a request that an earlier release sent is read, and written again as the same bytes: {recorded:.40}")
+@test("a request that an earlier release sent is decoded and encoded to the same bytes: {recorded:.40}")
 def _(recorded: str = each(*REQUESTS)) -> None:
     raw = bytes.fromhex(recorded)
     assert cbor2.dumps(request_from_wire(cbor2.loads(raw)).to_wire()) == raw
 
 
-@test("a reply that an earlier release sent is read, and written again as the same bytes: {recorded:.40}")
+@test("a reply that an earlier release sent is decoded and encoded to the same bytes: {recorded:.40}")
 def _(recorded: str = each(*REPLIES)) -> None:
     raw = bytes.fromhex(recorded)
     assert cbor2.dumps(reply_from_wire(cbor2.loads(raw)).to_wire()) == raw
 
 
-@test("a payload that is damaged anywhere is a message all the same, or a decoding error and no other")
+@test("a payload with one damaged item is decoded or raises MessageDecodeError, and no other error")
 def _() -> None:
     rejected = 0
     for recorded in (*REQUESTS, *REPLIES):
@@ -100,7 +103,7 @@
     assert rejected > 1000
 
 
-@test("a message without its last item, or with one more, is rejected")
+@test("a message without its last item or with an additional item is rejected")
 def _() -> None:
     for recorded in (*REQUESTS, *REPLIES):
         decode = request_from_wire if recorded in REQUESTS else reply_from_wire
--- a/tests/cluster/test_exhaustive.py
+++ b/tests/cluster/test_exhaustive.py
@@ -1,4 +1,4 @@
-"""Every order of what can befall a message over three stores; see `orders`."""
+"""Explores every order of steps that can happen to a message in three stores; see `orders`."""
 
 from __future__ import annotations
 
@@ -10,23 +10,24 @@
 from tests.cluster.orders import explore
 
 
-@test("no order of steps over three stores breaks a rule, up to fourteen of them")
+@test("no order of up to fourteen steps over three stores breaks a rule")
 def _() -> None:
     count, broken = explore(14)
-    assert count > 10_000 and not broken, f"{count} {sorted(broken)}"
+    assert count > 10_000 and not broken, f"explored {count} states, broken rules: {sorted(broken)}"
 
 
-def planted(name: str, bug: Callable[..., bool]) -> set[str]:
-    sound = getattr(Record, name)
+def rules_broken_by(name: str, bug: Callable[..., bool]) -> set[str]:
+    """Return the rules that are broken if `bug` replaces the method of `Record` with this name."""
+    original = getattr(Record, name)
     setattr(Record, name, bug)
     try:
         return explore(9)[1]
     finally:
-        setattr(Record, name, sound)
+        setattr(Record, name, original)
 
 
 @test(
-    "merging that is wrong is caught: ends that are undone, voids that beat later takes, epochs passed over"
+    "a faulty merge breaks a rule: final states are undone, cancellations override epochs, or epochs are ignored"
 )
 def _() -> None:
     def last_wins(
@@ -35,7 +36,7 @@
         self.state, self.epoch, self.owner = state, epoch, owner
         return True
 
-    def cancellation_sticks(
+    def cancellation_overrides_epoch(
         self: Record, state: MessageState, seal: str, epoch: int, owner: str, attempts: int
     ) -> bool:
         if (int(state), epoch, owner) > (int(self.state), self.epoch, self.owner):
@@ -47,10 +48,10 @@
     ) -> bool:
         return False
 
-    for bug in (last_wins, cancellation_sticks, first_wins):
-        assert planted("merge", bug), bug.__name__
+    for bug in (last_wins, cancellation_overrides_epoch, first_wins):
+        assert rules_broken_by("merge", bug), bug.__name__
 
 
-@test("a second take that does not ask the first is caught")
+@test("a second acceptance that does not probe the first store breaks the rule TWICE")
 def _() -> None:
     assert "TWICE" in explore(10, probes=False)[1]
