--- a/emberlatch/cluster/consensus/coordinator.py
+++ b/emberlatch/cluster/consensus/coordinator.py
@@ -19,7 +19,7 @@
 from emberlatch.cluster.consensus.voter_client import VoterClient
 
 DELEGATION_TIMEOUT_S = 0.3  # time that the preferred proposer has to get a batch decided
-BASE_BACKOFF_S = 0.004  # times 2 ** collisions this is the bound of the random backoff
+BASE_BACKOFF_S = 0.004  # the random backoff is at most this times 2 ** collisions
 MAX_BACKOFF_S = 0.12
 MAX_DOUBLINGS = 10  # limit of the exponent in the bound of the backoff
 MAX_BATCH_COMMANDS = 64
--- a/emberlatch/cluster/consensus/maintenance.py
+++ b/emberlatch/cluster/consensus/maintenance.py
@@ -102,7 +102,7 @@
         return _replace_voter(state, old, new)
     spare = _best_spare(state, members)
     unreachable = next((v for v in state.voters if _lacks_contact(members.get(v.node))), None)
-    if unreachable is not None and spare is not None:  # first, as a voter being decommissioned still votes
+    if unreachable is not None and spare is not None:  # before a decommissioned voter, which still votes
         return _replace_voter(state, unreachable, spare)
     leaving = next((v for v in state.voters if state.decommission_mark(v.node) is not None), None)
     if leaving is not None and (spare is not None or _may_shrink(state, leaving, members, tolerance)):
--- a/emberlatch/cluster/consensus/storage.py
+++ b/emberlatch/cluster/consensus/storage.py
@@ -30,7 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DiskIdentity:
-    """The content of the identity file. `founding_address` is the machine's address as a seed."""
+    """The content of the identity file.
+
+    `founding_address` is the machine's address as a seed, None if it takes no part in the founding.
+    """
 
     identity: str
     founding_address: str | None
@@ -109,7 +112,7 @@
         return self._with_vote(AcceptorRecord(identity.voter(self._node), identity.founding_voter, state))
 
     def _with_vote(self, record: AcceptorRecord) -> AcceptorRecord | None:
-        """Return the record with the vote on disk; None if the vote is damaged or has no preceding state."""
+        """Return the record with the vote on disk; None if that is damaged or the state before it is lost."""
         try:
             vote = StoredVote.from_wire(_read(self._folder / VOTE_FILE), record.state.version)
         except FileNotFoundError:
