--- a/tests/cluster/consensus_states.py
+++ b/tests/cluster/consensus_states.py
@@ -140,7 +140,7 @@
 
 
 class SystemState(NamedTuple):
-    """One state of the whole deployment."""
+    """One state of a deployment."""
 
     disks: tuple[Disk, ...]
     attempts: tuple[Attempt | None, ...]
