--- a/emberlatch/cluster/consensus/commands.py
+++ b/emberlatch/cluster/consensus/commands.py
@@ -73,7 +73,8 @@
     def apply(self, state: ControlState) -> ControlState:
         """Add, remove or replace a single voter; a change that was computed for another epoch has no effect.
 
-        Changing one server at a time keeps a majority of the old group in common with one of the new group.
+        As only one server changes at a time, a majority of the old group and one of the new group have voters
+        in common.
         """
         before, after = set(state.voters), set(self.voters)
         if self.epoch != state.epoch or not after or before == after:
--- a/tests/cluster/test_control_faults.py
+++ b/tests/cluster/test_control_faults.py
@@ -62,7 +62,7 @@
     }
 
 
-def owners(scenario: Scenario, nodes: list[str]) -> list[str]:
+def delivering_nodes(scenario: Scenario, nodes: list[str]) -> list[str]:
     """Return those of these machines that consider themselves permitted to own and deliver messages."""
     delivering = []
     for name in nodes:
@@ -138,7 +138,9 @@
         overlap_s = 0.0
         while cluster.loop.time() - began < 13.0:
             await asyncio.sleep(0.1)
-            both_sides = owners(scenario, ["s0", "s1"]) and owners(scenario, ["s2", "s3", "s4"])
+            both_sides = delivering_nodes(scenario, ["s0", "s1"]) and delivering_nodes(
+                scenario, ["s2", "s3", "s4"]
+            )
             if both_sides and cluster.loop.time() - began > 1.6:  # the partition is detected by then
                 overlap_s += 0.1
         assert overlap_s == 0.0, f"both sides could deliver for {overlap_s:.1f} s"
--- a/tests/cluster/test_control_messages.py
+++ b/tests/cluster/test_control_messages.py
@@ -69,12 +69,12 @@
 WRONG_VALUES: tuple[object, ...] = (None, -1.5, "text", b"bytes", [], [[]], {"key": 1})
 
 
-def damaged(payload: object) -> Iterator[object]:
+def damaged_variants(payload: object) -> Iterator[object]:
     """Yield variants of the payload, each with one item at any depth replaced by an arbitrary value."""
     yield from WRONG_VALUES
     if isinstance(payload, list):
         for index, item in enumerate(payload):
-            for wrong in damaged(item):
+            for wrong in damaged_variants(item):
                 yield [*payload[:index], wrong, *payload[index + 1 :]]
 
 
@@ -95,7 +95,7 @@
     rejected = 0
     for recorded in (*REQUESTS, *REPLIES):
         decode = request_from_wire if recorded in REQUESTS else reply_from_wire
-        for payload in damaged(cbor2.loads(bytes.fromhex(recorded))):
+        for payload in damaged_variants(cbor2.loads(bytes.fromhex(recorded))):
             try:
                 decode(payload)
             except MessageDecodeError:
