--- a/emberlatch/engine/__init__.py
+++ b/emberlatch/engine/__init__.py
@@ -1,4 +1,4 @@
-"""A message from its submission to its completion, independent of the protocols on either side."""
+"""The engine: handles a message from its submission to its completion, independent of network protocols."""
 
 from emberlatch.engine.carrier_router import CarrierRouter
 from emberlatch.engine.counters import Counters
--- a/emberlatch/engine/active_settings.py
+++ b/emberlatch/engine/active_settings.py
@@ -13,62 +13,72 @@
 log = logging.getLogger(__name__)
 
 DEADLINE_MARGIN_S = 0.25
-"""How long before its deadline a message is completed here. A process that is short of processor time, above
-all one that has just started, learns late what time it is: up to 0.6 s were seen, and 0.3 s late is lost."""
+"""Seconds before its deadline at which this process completes a message that is not delivered.
+
+The timers of a process that gets too little processor time fire late, above all just after its start: by up
+to 0.6 s in measurements. A message whose completion is 0.3 s late counts as lost.
+"""
 MAX_NAME_LENGTH = 256
-"""Of a message's id and key, in characters."""
+"""Maximum length of a message's id and of its idempotency key, in characters."""
 
 
 class ActiveSettings:
-    """The settings in force; `apply` replaces them."""
+    """The settings in force, which `apply` replaces."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.apply(settings)
 
     def apply(self, settings: api.Settings) -> None:
-        """Put new settings in force. Messages that were accepted before keep their terms."""
-        # There are no probes here beside calls, so the module must not wait for one.
+        """Replace the settings. Messages that were accepted before keep their terms."""
+        # The engine sends no probes besides calls, so the decision module must not wait for a probe.
         self.current = settings = replace(settings, probes=False, end_margin=DEADLINE_MARGIN_S)
         self.category_numbers = {category.name: n for n, category in enumerate(settings.categories)}
         self._tenant_numbers = {tenant.name: n for n, tenant in enumerate(settings.tenants)}
         terms = [api.Terms(category, settings.max_attempts) for category in settings.categories]
-        self._terms = [(each, encode_terms(each)) for each in terms]  # by number of class
+        self._terms = [
+            (each, encode_terms(each)) for each in terms
+        ]  # terms and their stored text, by class number
 
     def tenant_number(self, tenant: str) -> int:
-        """The number of a tenant; 0 if it is unknown."""
+        """Return the number of a tenant, or 0 if the tenant is unknown."""
         return self._tenant_numbers.get(tenant, 0)
 
     def encoded_terms(self, category: int) -> str:
-        """The terms of a message that is accepted now, as the journal stores them."""
+        """Return the current terms of a class in the form that the journal stores with a new message."""
         return self._terms[category][1]
 
     def terms_of(self, entry: Entry) -> api.Terms | None:
-        """The terms under which a message was accepted; without any, those of its class now.
+        """Return the terms under which a message was accepted.
 
-        None if there is no such class.
+        If the entry has no readable terms, return the current terms of its class, or None if the class is not
+        configured any more.
         """
         try:
             return decode_terms(entry.terms)
         except (ValueError, KeyError, TypeError) as error:
             if entry.terms:
-                log.error("message %s: its terms cannot be read: %r", entry.id, error)
+                log.error("message %s: the terms in its journal entry cannot be read: %r", entry.id, error)
         number = self.category_numbers.get(entry.category)
         return None if number is None else self._terms[number][0]
 
     def latency_deadline(self, entry: Entry) -> float:
-        """When the latency target of a message ends, on the journal's clock."""
+        """Return the time on the journal's clock at which the latency target of a message ends."""
         terms = self.terms_of(entry)
         category = terms.category if terms is not None else self.current.categories[0]
         return entry.deadline - category.deadline + category.latency_target
 
     def validate(self, message: Submission) -> int:
-        """The number of the message's class.
+        """Validate a submission and return the number of its class.
 
-        Raises BadMessageError if its fields are invalid or unknown. The destination is not checked here.
+        Raises BadMessageError if a field is invalid or names an unknown class or tenant. The destination is
+        not checked here.
         """
         if message.remaining <= 0:
             raise BadMessageError("no time is left")
-        for value in (message.id, message.key):  # in a batch they share a line, separated by spaces
+        for value in (
+            message.id,
+            message.key,
+        ):  # a batch request writes both on one line, separated by spaces
             if len(value) > MAX_NAME_LENGTH or not value.isprintable() or " " in value:
                 raise BadMessageError("an id or a key cannot be passed on")
         if not message.id or message.category not in self.category_numbers:
@@ -78,5 +88,5 @@
         return self.category_numbers[message.category]
 
     def requires_key(self, category: int) -> bool:
-        """Whether messages of a class must have an idempotency key."""
+        """Return whether messages of a class must have an idempotency key."""
         return self.current.categories[category].effect is api.Effect.KEYED
--- a/emberlatch/engine/carrier_router.py
+++ b/emberlatch/engine/carrier_router.py
@@ -1,4 +1,4 @@
-"""Several carriers as one: each endpoint belongs to the carrier of its protocol."""
+"""Combines the carriers of several protocols: each endpoint is assigned to its protocol's carrier."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 class CarrierRouter:
     """Routes calls to the carrier of each endpoint.
 
-    `protocol` returns the protocol of an endpoint in a membership update. An endpoint that is removed stays
-    with its last carrier until that has no call to it in flight.
+    `protocol` returns the protocol of an endpoint that is listed in a membership update. An endpoint that was
+    removed stays assigned to its last carrier until that carrier has no call to the endpoint in flight.
     """
 
     def __init__(self, carriers: Mapping[str, Carrier], protocol: Callable[[Target], str]) -> None:
@@ -23,11 +23,11 @@
 
     @property
     def in_flight(self) -> int:
-        """Calls without an outcome, over all carriers."""
+        """The number of calls without an outcome, over all carriers."""
         return sum(carrier.in_flight for carrier in self._carriers.values())
 
     def update(self, entries: Sequence[Entry], addresses: Addresses, is_complete: bool) -> None:
-        """Give each carrier its endpoints; one whose protocol has changed is removed from the old carrier."""
+        """Pass each carrier its endpoints; an endpoint whose protocol changed leaves its old carrier."""
         shares: dict[Carrier, list[Entry]] = {carrier: [] for carrier in self._carriers.values()}
         for entry in entries:
             target, previous = entry.target, self._carrier_by_target.get(entry.target)
@@ -42,7 +42,7 @@
         for carrier, share in shares.items():
             if share or is_complete:
                 carrier.update(share, {entry.target: addresses[entry.target] for entry in share}, is_complete)
-        # A removed endpoint without a call in flight is unknown to its carrier.
+        # A carrier returns no entry for an endpoint that was removed and has no call in flight.
         self._carrier_by_target = {
             target: carrier
             for target, carrier in self._carrier_by_target.items()
--- a/emberlatch/engine/completions.py
+++ b/emberlatch/engine/completions.py
@@ -1,4 +1,4 @@
-"""Completes messages: recorded first, notified once the record is durable, forgotten once confirmed."""
+"""Completes messages: records, notifies once the record is durable, removes once the notice is confirmed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class CompletionResult(StrEnum):
-    """How a message was completed, as in its notice."""
+    """How a message was completed; the value is sent in its completion notice."""
 
     DELIVERED = "delivered"
     BOUNCED = "bounced"
@@ -29,36 +29,39 @@
 
     @property
     def pending(self) -> bool:
-        """Whether any notice is unconfirmed."""
+        """Whether any completion notice is unconfirmed."""
         return self._notifier.pending
 
     def restore(self, entry: Entry) -> None:
-        """Notify a completion that the journal holds."""
+        """Restore a completed message from the journal and send its notice again."""
         self._messages.restore_completed(entry)
         self._notifier.add(entry.ref, cast(CompletionNotice, entry.notice))
 
     def complete_undelivered(
         self, ref: int, result: CompletionResult, retry_after_ms: int | None = None
     ) -> None:
-        """Complete a message that is not delivered; ignored if it is not open."""
+        """Complete a message that was not delivered; do nothing if the message is not open."""
         if (entry := self._messages.open.get(ref)) is not None:
             self._counters.count(result.value, entry.category)
             self.complete(entry, result, retry_after_ms)
 
     def complete_delivered(self, entry: Entry) -> None:
-        """Complete a message on its endpoint's response; its sender is notified where that is required."""
+        """Complete a message that its endpoint has accepted; notify the sender if deliveries are notified."""
         if self._notifier.notifies_deliveries:
             self.complete(entry, CompletionResult.DELIVERED)
         else:
             self.complete_unnotified(entry)
 
     def complete_unnotified(self, entry: Entry) -> None:
-        """Complete a message of which nobody is notified."""
+        """Complete a message without a notice."""
         self._messages.remove(entry)
         self._messages.forget(entry)
 
     def complete(self, entry: Entry, result: CompletionResult, retry_after_ms: int | None = None) -> None:
-        """Record a completion, and notify it once it is durable: a sender must never hear of another one."""
+        """Record a completion, and send its notice once the record is durable.
+
+        Otherwise a crash could lose the record, and the sender would get a second, different notice.
+        """
         notice = CompletionNotice(ref=entry.id, result=result.value)
         if retry_after_ms is not None:
             notice["wait_ms"] = retry_after_ms
@@ -67,6 +70,6 @@
         self._durability.when_durable((entry.category,), lambda: self._notifier.add(entry.ref, notice))
 
     def confirm(self, refs: Iterable[int]) -> None:
-        """Forget these completions: their notices are confirmed."""
+        """Remove the messages whose completion notices are confirmed."""
         for ref in refs:
             self._messages.confirm(ref)
--- a/emberlatch/engine/counters.py
+++ b/emberlatch/engine/counters.py
@@ -1,9 +1,9 @@
-"""Counters of what has happened since the process started.
+"""Counters of events since the process started.
 
-The log's line of sums and the operators' metrics are two views of the same counters. With many forwarders no
-single log tells why a message was lost; lines of sums can be added up over all of them
-(`python -m benchmarks.fleet_logs FOLDER`). Counting costs a dictionary look-up, and nothing is written while
-nothing is counted.
+The `sums` line in the log and the operators' metrics are two views of the same counters. With many forwarders
+the log of one process is not enough to explain why a message was lost, so the `sums` lines of all forwarders
+can be added up (`python -m benchmarks.fleet_logs FOLDER`). Counting costs one dictionary look-up, and no line
+is written for an interval in which nothing was counted.
 """
 
 from __future__ import annotations
@@ -13,46 +13,48 @@
 
 LINE_INTERVAL_S = 1.0
 MAX_LINE_TARGETS = 200
-"""In one line; beyond that the targets with the lowest counts are left out."""
+"""Maximum number of targets in one line; the targets with the lowest counts are omitted beyond that."""
 MAX_LINE_PERIOD_S = 999.0
 
 
 class Counters:
-    """Counts by name and class of message, and by target and name."""
+    """Counts by name and message class, and by target and name."""
 
     def __init__(self) -> None:
         self._counts: Counter[tuple[str, str]] = Counter()
-        self._reported: Counter[tuple[str, str]] = Counter()  # the counts as of the last line
-        self._targets: dict[bytes, Counter[str]] = {}  # since the last line
+        self._reported: Counter[tuple[str, str]] = Counter()  # the counts at the time of the last line
+        self._targets: dict[bytes, Counter[str]] = {}  # counts since the last line
         self._reported_at = 0.0
 
     def count(self, name: str, category: str = "", by: int = 1) -> None:
-        """Count something that concerns the forwarder, or one class of message."""
+        """Add to a counter of the forwarder, or of one message class."""
         self._counts[name, category] += by
 
     def count_target(self, target: bytes, name: str, by: int = 1) -> None:
-        """Count something that concerns one target."""
+        """Add to a counter of one target."""
         self._targets.setdefault(target, Counter())[name] += by
 
     def total(self, name: str, category: str = "") -> int:
-        """One count since the process started."""
+        """Return one count since the process started."""
         return self._counts[name, category]
 
     def totals(self) -> dict[str, int]:
-        """All counts since the process started, added up over the classes."""
+        """Return all counts since the process started, added up over the message classes."""
         totals = Counter[str]()
         for (name, _), number in self._counts.items():
             totals[name] += number
         return dict(totals)
 
     def categories(self) -> set[str]:
-        """The classes that have counts."""
+        """Return the message classes that have counts."""
         return {category for _, category in self._counts if category}
 
     def interval_line(self, now: float) -> str | None:
-        """The sums since the last line, as JSON; None unless a second has passed and something was counted.
+        """Return the counts since the last line as JSON.
 
-        `now` is in seconds on the loop's clock. Keys: `for` (seconds), `all` and `targets` (counts by name).
+        Returns None if less than a second has passed since the last line, or if nothing was counted. `now` is
+        in seconds on the event loop's clock. The keys are `for` (the interval in seconds), `all` (counts by
+        name) and `targets` (counts by target and name).
         """
         if now - self._reported_at < LINE_INTERVAL_S or (
             self._counts == self._reported and not self._targets
--- a/emberlatch/engine/deliveries.py
+++ b/emberlatch/engine/deliveries.py
@@ -1,4 +1,4 @@
-"""Attempts to deliver: recorded in the journal, sent in calls, and completed by their outcomes."""
+"""Delivery attempts: each is recorded in the journal, sent in a call, and ended by its outcome."""
 
 from __future__ import annotations
 
@@ -13,8 +13,9 @@
 from emberlatch.store import Entry, UnknownOutcome
 
 NOT_EXECUTED_RESULTS = (api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.NOT_EXECUTED)
-"""After any other result an attempt may have been executed."""
+"""Results that rule out an execution; after any other result the attempt may have been executed."""
 MIN_TIMEOUT_S = 0.001
+"""Lower bound of a call's timeout, for a message whose deadline has passed."""
 
 CallsByTarget = dict[api.Target, list[CallItem]]
 
@@ -31,46 +32,47 @@
         counters: Counters,
         post: Callable[[api.Event], None],
     ) -> None:
-        """`post` gives an event to the decision module."""
+        """`post` queues an event for the decision module."""
         self._settings, self._completions, self._carrier = settings, completions, carrier
         self._messages, self._clock = journal.messages, journal.clock
         self._durability = journal.durability
         self._counters, self._post = counters, post
-        self._awaiting_sync: set[AttemptKey] = set()  # whose records are not durable yet: not sent
+        self._awaiting_sync: set[AttemptKey] = set()  # attempts not sent yet: their records are not durable
 
     def add_attempts(self, action: api.Send, calls: CallsByTarget) -> None:
-        """Record an attempt before it is sent, and add it to the calls of its target."""
+        """Record an attempt, which must precede its sending, and add it to the calls of its target."""
         calls.setdefault(action.target, []).extend(self._record_attempt(action))
 
     def _record_attempt(self, action: api.Send) -> Iterator[CallItem]:
         entry = self._messages.open.get(action.ref)
         if entry is None:
-            # It could not be written, so it was not accepted. The module counts a lease for its first call,
-            # which would never be released without an outcome.
+            # The message could not be written to the journal, so it was not accepted. The decision module has
+            # already counted a lease for its first call; without an outcome that lease is never released.
             self._post_not_executed(action.ref, 0, action.target, closed=True)
             return
         attempt, now = entry.attempts, self._clock.now()
         entry.attempts += 1
         endpoint = self._carrier.entry(action.target)
-        if endpoint is None:  # removed since
+        if endpoint is None:  # the endpoint was removed after the decision
             self._post_not_executed(entry.ref, attempt, action.target)
             return
         unknown = UnknownOutcome(attempt, action.target.decode(), endpoint.zone, now)
         entry.unknown_outcomes.append(unknown)
         if not self._messages.record(entry):
-            entry.unknown_outcomes.remove(unknown)  # an attempt that is not in the journal must not be sent
+            entry.unknown_outcomes.remove(unknown)  # an attempt without a journal record must not be sent
             self._post_not_executed(entry.ref, attempt, action.target)
             return
-        left = max(entry.deadline - now, MIN_TIMEOUT_S)
-        left -= min(DEADLINE_MARGIN_S, left / 4)  # shortly before the deadline most of the rest may be used
-        timeout = min(action.timeout or left, left)
+        remaining = max(entry.deadline - now, MIN_TIMEOUT_S)
+        # Close to the deadline the margin is at most a quarter of the remaining time.
+        remaining -= min(DEADLINE_MARGIN_S, remaining / 4)
+        timeout = min(action.timeout or remaining, remaining)
         yield CallItem(entry.ref, attempt, entry.id, entry.key, entry.body, timeout)
 
     def _post_not_executed(self, ref: int, attempt: int, target: api.Target, closed: bool = False) -> None:
         self._post(api.Outcome(ref, attempt, target, api.Result.NOT_EXECUTED, 0.0, closed=closed))
 
     def start_calls(self, calls: CallsByTarget) -> None:
-        """Start the calls of one decision, each with as many messages as its target accepts in one call."""
+        """Start the calls of one decision, each with at most as many messages as its target accepts."""
         for target, items in calls.items():
             size = self._max_items_per_call(target)
             for first in range(0, len(items), size):
@@ -82,10 +84,11 @@
         return max(limits[kind : kind + 1], default=1)
 
     def _latest_deadline_first(self, items: list[CallItem]) -> list[CallItem]:
-        """The messages of one call, the one with the latest deadline in front.
+        """Return the messages of one call, sorted by deadline with the latest first.
 
-        A hung endpoint was seen to answer `ok` for all of a batch once the deadline of its first message had
-        passed, though none had been delivered. After the latest deadline nobody is left who could believe it.
+        A hung endpoint was observed to answer `ok` for all of a batch once the deadline of its first message
+        had passed, although no message had been delivered. With the latest deadline first, such an answer
+        arrives only after all messages of the call have been completed, and is ignored.
         """
         return sorted(items, key=lambda item: -self._messages.open[item.ref].deadline)
 
@@ -99,7 +102,7 @@
 
         def send_remaining() -> None:
             remaining = [item for item in items if (item.ref, item.attempt) in self._awaiting_sync]
-            for item in items:  # completed or cancelled meanwhile: it was not executed
+            for item in items:  # completed or cancelled during the sync, so it was not sent
                 if item not in remaining or item.ref not in self._messages.open:
                     result = api.Result.NOT_EXECUTED
                     self.report(api.Outcome(item.ref, item.attempt, target, result, 0.0))
@@ -115,25 +118,25 @@
         self._carrier.call(target, items)
 
     def cancel(self, ref: int, attempt: int) -> None:
-        """Stop waiting for an attempt; one that is not sent yet will not be."""
+        """Stop waiting for an attempt; do not send it if its record is not durable yet."""
         if (ref, attempt) in self._awaiting_sync:
             self._awaiting_sync.discard((ref, attempt))
         else:
             self._carrier.cancel(ref, attempt)
 
     def report(self, outcome: api.Outcome) -> None:
-        """An attempt has ended. Its outcome is written before the decision module receives it."""
+        """Record the outcome of an attempt in the journal, then pass it to the decision module."""
         self._record_outcome(outcome)
         self._post(outcome)
 
     def _record_outcome(self, outcome: api.Outcome) -> None:
-        """Write what an outcome changes in its message."""
+        """Write the change that an outcome makes to its message."""
         entry = self._messages.open.get(outcome.ref)
         self._counters.count_target(outcome.target, outcome.result.name.lower())
         if entry is not None and outcome.closed:
             self._close(entry, outcome.result)
         elif entry is not None and outcome.result in NOT_EXECUTED_RESULTS:
-            # Any other result leaves the attempt among those that may have been executed.
+            # After any other result the attempt stays listed as one that may have been executed.
             attempts = entry.unknown_outcomes
             entry.unknown_outcomes = [each for each in attempts if each.attempt != outcome.attempt]
             self._messages.record(entry)
--- a/emberlatch/engine/durability.py
+++ b/emberlatch/engine/durability.py
@@ -1,4 +1,4 @@
-"""Delays what depends on a journal record until the record is as durable as its class requires."""
+"""Delays actions that depend on a journal record until the record is as durable as its class requires."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 def ignore_sync_failure(_: OSError) -> None:
-    """For forwarders without durable classes, which never sync."""
+    """Do nothing: the callback of forwarders without durable classes, which never sync."""
 
 
 @dataclass(frozen=True, slots=True)
 class DurableClasses:
-    """The classes of one gateway whose messages must survive a loss of power.
+    """The message classes of one gateway whose messages must survive a power loss.
 
-    For the others it is enough that the journal is written: that survives the process.
+    Records of other classes are written to the journal without a sync. They survive the end of the process.
     """
 
     names: frozenset[str] = frozenset()
     on_sync_failed: Callable[[OSError], None] = ignore_sync_failure
-    """Called once, when the disk can't guarantee any more that what is written is durable."""
+    """Called once, after the first failed sync: from then on no write is guaranteed to be durable."""
 
     @property
     def exist(self) -> bool:
@@ -33,7 +33,7 @@
 
 
 class DurabilityGate:
-    """Runs what depends on a record at once, or after a sync if a durable class is among its classes."""
+    """Runs an action after a sync if it concerns a durable class, else immediately."""
 
     def __init__(self, durable_classes: DurableClasses, sync: GroupSync) -> None:
         self._durable_classes = durable_classes
@@ -45,7 +45,7 @@
         return self._durable_classes.exist
 
     def when_durable(self, categories: Iterable[str], action: Callable[[], None]) -> None:
-        """Run `action` once all that is written now is durable for these classes; at once if it is."""
+        """Run `action` once all records written so far are as durable as these classes require."""
         if self._durable_classes.names.isdisjoint(categories):
             action()
         else:
--- a/emberlatch/engine/engine.py
+++ b/emberlatch/engine/engine.py
@@ -1,4 +1,4 @@
-"""The engine: collects the events of a loop iteration, asks the decision module, and executes its actions."""
+"""The engine: collects events per loop iteration, calls the decision module and executes its actions."""
 
 from __future__ import annotations
 
@@ -37,28 +37,31 @@
 log = logging.getLogger(__name__)
 
 MAX_FINAL_DECISIONS = 5
-"""Before a hand-over; events that the last of them causes are left to the next process."""
+"""Maximum number of decisions that complete pending events before a hand-over.
+
+Events that the last of these decisions causes are handled by the next process.
+"""
 FAILED_DECISION_RETRY_S = 0.05
 
 
-EngineFigures = TypedDict(  # noqa: UP013 - as a field, `held` would be a name in the code
+EngineFigures = TypedDict(  # noqa: UP013 - a class would make the outer key `held` an identifier
     "EngineFigures",
     {
         "held": int,  # open messages
-        "notices_owed": int,  # completed messages whose notice is not confirmed
-        "counts": dict[str, int],  # the counters since the start, added up over the classes
+        "notices_owed": int,  # completed messages whose notices are not confirmed
+        "counts": dict[str, int],  # counts since the start of the process, added up over the message classes
     },
 )
-"""The engine's own part of its status."""
+"""The engine's own part of the status; the rest comes from the decision module."""
 
 
 class EngineStatus(EngineFigures, ForwarderView):
-    """One engine and its decision module at one moment, by the keys that operators see."""
+    """The state of an engine and its decision module at one moment, under the keys that operators see."""
 
 
 @dataclass(frozen=True, slots=True)
 class _ConnectedParts:
-    """The ports of one engine, and those of its parts that call a port."""
+    """The ports of one engine, and the parts of the engine that call a port."""
 
     ports: EnginePorts
     completions: Completions
@@ -68,11 +71,13 @@
 class Engine:
     """One forwarder: it owns every message from its submission until its completion notice is confirmed.
 
-    It is made in two steps. The adapters behind the ports call `submit`, `outcome`, `listed` and `confirmed`,
-    so they need the engine, and it needs them: first the engine is made, then its adapters, then `connect`
-    gives it all of them at once. Until then `start`, and all else that needs a port, raises EnginePortsError.
+    The engine is created in two steps, because the engine and the adapters behind its ports call each other:
+    the adapters call `submit`, `outcome`, `listed` and `confirmed`. Create the engine, then its adapters,
+    then pass all of them to `connect`. Until then `start`, and any other method that needs a port, raises
+    EnginePortsError.
 
-    Attributes: `messages`, `counters`, `durability` and `relayed` are read by others and changed here only.
+    Attributes: `messages`, `counters`, `durability` and `relayed` may be read by other classes, and are
+    changed by the engine only.
     """
 
     def __init__(
@@ -84,8 +89,7 @@
         machine: Machine = REAL_MACHINE,
         durable_classes: DurableClasses = NO_DURABLE_CLASSES,
     ) -> None:
-        """`seed` is that of the decision module's random choices. `journal` is one that syncs if there are
-        durable classes."""
+        """`seed` initializes the random choices of decisions. `journal` must be durable if any class is."""
         self._settings = ActiveSettings(settings)
         self._forwarder = Forwarder(self._settings.current, seed)
         self._tasks, self._journal = tasks, journal
@@ -98,19 +102,21 @@
         self._message_journal = MessageJournal(self.messages, self._clock, self.durability)
         self.relayed = RelayedAttempts()
         self.recovered_ids: frozenset[str] = frozenset()
-        """Ids of the messages that were in the journal at the start."""
+        """Ids of the messages that the journal contained at the start."""
         self._events = EventQueue(self._decide)
         self._submissions = Submissions(
             self._settings, self._message_journal, self.counters, self._events.post
         )
         self._timer: asyncio.TimerHandle | None = None
-        self._deferred: list[Callable[[], None]] = []  # reports while another process may own the journal
+        self._deferred: list[
+            Callable[[], None]
+        ] = []  # reports received while another process may own the journal
         self._connected_parts: _ConnectedParts | None = None
 
     def connect(self, ports: EnginePorts) -> None:
-        """Connect the ports, once, before the start. Raises EnginePortsError the second time."""
+        """Connect the ports. Call this once, before `start`; a second call raises EnginePortsError."""
         if self._connected_parts is not None:
-            raise EnginePortsError("the engine has its ports already: connect it once")
+            raise EnginePortsError("the engine is connected to its ports already: call connect only once")
         journal, counters = self._message_journal, self.counters
         completions = Completions(journal, ports.notifier, counters)
         deliveries = Deliveries(
@@ -127,19 +133,19 @@
         return self._connected_parts
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Put new settings in force; messages that were accepted before keep their terms."""
+        """Replace the settings; messages that were accepted before keep their terms."""
         self._settings.apply(settings)
         self._events.post(api.SettingsChanged(self._settings.current))
 
     # Start and stop.
 
     async def start(self, received: ReceivedHandover | None = None) -> None:
-        """Continue with what the journal and the predecessor's state contain, then accept messages."""
+        """Restore the messages from the journal and the predecessor's state, then accept new messages."""
         connected = self._connected
         connected.ports.membership.start()
         entries = self._journal.load()
         if received is not None:
-            received.confirm_ownership()  # nothing is written before this
+            received.confirm_ownership()  # this process must not write before it has confirmed its ownership
             self.relayed.start(received.relayed)
         self.recovered_ids = frozenset(entry.id for entry in entries)
         self._clock.start()
@@ -179,7 +185,7 @@
         self._events.post(api.Recovered(arrival, entry.attempts - relayed, unknown, terms, relayed))
 
     async def stop(self) -> None:
-        """Shut down gracefully: accept for a little longer, let calls end, leave the rest to the journal."""
+        """Shut down gracefully: accept connections briefly, wait for calls, keep open messages journaled."""
         began, ingresses = self._loop.time(), self._connected.ports.ingresses
         for ingress in ingresses:
             ingress.stop()
@@ -198,19 +204,19 @@
             or self.durability.sync.pending
         )
 
-    # For operators.
+    # Information for operators.
 
     @property
     def categories(self) -> list[str]:
-        """The classes of which messages may be submitted now."""
+        """The classes whose messages can be submitted under the current settings."""
         return list(self._settings.category_numbers)
 
     def count_endpoints(self) -> EndpointCounts:
-        """How many endpoints are listed, and how many of them get no message at the moment."""
+        """Return how many endpoints are listed, and how many of them currently get no messages."""
         return count_endpoints(self._forwarder, self._loop.time())
 
     def status(self) -> EngineStatus:
-        """Open messages, unconfirmed notices, the counters, and the decision module's state."""
+        """Return open messages, unconfirmed notices, the counters, and the decision module's state."""
         open_messages, unconfirmed = self._sizes()
         return {
             "held": open_messages,
@@ -219,21 +225,21 @@
             **view(self._forwarder, self._loop.time()),
         }
 
-    # What adapters report.
+    # Reports from adapters.
 
     def submit(self, message: Submission, responder: SubmissionResponder) -> None:
-        """Accept a message with the next decision; it is answered then, or at once if its id is known.
+        """Queue a submission for the next decision, which answers it; answer at once if its id is known.
 
-        Raises BadMessageError.
+        Raises BadMessageError if the submission is invalid.
         """
         self._submissions.submit(message, responder)
 
     def outcome(self, outcome: api.Outcome) -> None:
-        """An attempt has ended. Its outcome is written before the decision module receives it."""
+        """Record the outcome of an attempt in the journal, then pass it to the decision module."""
         self._connected.deliveries.report(outcome)
 
     def listed(self, update: api.DirectoryUpdate, addresses: Addresses) -> None:
-        """Membership reports endpoints."""
+        """Apply a membership update: endpoints that were added, changed or removed, or the complete list."""
         if self._events.suspended:
             self._deferred.append(lambda: self.listed(update, addresses))
             return
@@ -243,24 +249,24 @@
         self._events.post(update)
 
     def confirmed(self, refs: list[int]) -> None:
-        """These completion notices are confirmed."""
+        """Remove the messages whose completion notices are confirmed."""
         if self._events.suspended:
             self._deferred.append(lambda: self.confirmed(refs))
             return
         self._connected.completions.confirm(refs)
 
     def on_endpoint_hold(self, target: api.Target, seconds: float) -> None:
-        """An endpoint rejected another forwarder of this sender with a `Retry-After` of so many seconds."""
+        """Apply a `Retry-After` of `seconds` that an endpoint sent to another forwarder of this sender."""
         self._events.post(api.PeerRetryAfter(target, seconds))
 
     def on_directory_moved(self) -> None:
-        """Membership is requested at another address from now on."""
+        """Inform the decision module that the endpoint directory now has another address."""
         self._events.post(api.DirectoryMoved())
 
-    # Hand-over to another process.
+    # Hand-over of all messages to another process.
 
     def freeze(self) -> dict[str, object]:
-        """Make the last decisions, write no more, and return the decision module's state."""
+        """Make the last decisions, stop writing to the journal, and return the decision module's state."""
         for _ in range(MAX_FINAL_DECISIONS):
             if not (self._events or self._submissions.has_pending):
                 break
@@ -273,16 +279,16 @@
         return self._forwarder.handover_state()
 
     def thaw(self) -> None:
-        """Continue, with what was reported since: no other process has taken over."""
+        """Resume after `freeze`, because no other process took over, and apply the reports received since."""
         self._journal.reopen()
         self._events.suspended = False
         deferred, self._deferred = self._deferred, []
         for report in deferred:
             report()
-        self._events.post(api.TimerFired(0))  # the module's own timer is not set
+        self._events.post(api.TimerFired(0))  # `freeze` cancelled the decision module's timer
 
     def leave(self) -> None:
-        """Drop all messages: another process owns them now."""
+        """Drop all messages from memory: another process owns them now."""
         self._events.suspended = True
         self._deferred = []
         self.messages.clear()
@@ -290,14 +296,16 @@
     # Decisions.
 
     def _decide(self) -> None:
-        deliveries = self._connected.deliveries  # raises before any event is taken
+        deliveries = (
+            self._connected.deliveries
+        )  # without ports this raises before any event is taken from the queue
         pending, events = self._submissions.take(self._events.take())
         unread = iter(events)
         try:
             actions = self._forwarder.handle(self._loop.time(), unread)
         except Exception:
             log.exception("decision failed on %r", events)
-            actions = self._after_failed_decision(list(unread), pending)
+            actions = self._actions_after_failed_decision(list(unread), pending)
         self._submissions.answer(pending, actions)
         calls: CallsByTarget = {}
         for action in actions:
@@ -309,21 +317,25 @@
             log.info("sums %s", line)
         deliveries.start_calls(calls)
 
-    def _after_failed_decision(self, unread: list[api.Event], pending: PendingByRef) -> list[api.Action]:
-        """The actions of a decision that failed at an event.
+    def _actions_after_failed_decision(
+        self, unread: list[api.Event], pending: PendingByRef
+    ) -> list[api.Action]:
+        """Return the actions to execute after a decision that raised an exception at one of its events.
 
-        What was decided before is executed, since the module counts on it. The events after the failed one
-        are posted again; submissions among them leave `pending`. A new message that the module did not
-        register fails.
+        The actions decided before that event are included, since the decision module's state assumes that
+        they are executed. The events after it are posted again; submissions among them are removed from
+        `pending`. A new message that the module did not register fails.
         """
         undecided = {event.ref for event in unread if isinstance(event, api.Arrival)}
-        self._submissions.put_back({ref: pending.pop(ref) for ref in undecided})
+        self._submissions.requeue({ref: pending.pop(ref) for ref in undecided})
         failed = [api.Fail(ref) for ref in pending if ref not in self._forwarder.open_messages]
         actions = [*failed, *self._forwarder.actions]
         for event in unread:
             self._events.post(event)
         retry_at = self._loop.time() + FAILED_DECISION_RETRY_S
-        self._events.post_at(retry_at, api.TimerFired(0))  # the module's own timer may not be set
+        self._events.post_at(
+            retry_at, api.TimerFired(0)
+        )  # the failed decision may not have set the decision module's timer
         return actions
 
     def _execute(self, action: api.Action, calls: CallsByTarget) -> None:
--- a/emberlatch/engine/event_queue.py
+++ b/emberlatch/engine/event_queue.py
@@ -1,4 +1,4 @@
-"""The events since the last decision."""
+"""The queue of events since the last decision."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class EventQueue:
-    """Collects events; the first one after a decision schedules the next decision in the loop."""
+    """Collects events; the first event after a decision schedules the next decision on the event loop."""
 
     def __init__(self, decide: Callable[[], None]) -> None:
         self._decide, self._loop = decide, asyncio.get_running_loop()
         self._events: list[api.Event] = []
         self._scheduled = False
         self.suspended = False
-        """While it is set, events are collected and no decision is scheduled."""
+        """While this is set, events are collected but no decision is scheduled."""
 
     def __bool__(self) -> bool:
         return bool(self._events)
@@ -34,11 +34,11 @@
             self._decide()
 
     def post_at(self, at: float, event: api.Event) -> asyncio.TimerHandle:
-        """Add an event when the loop's clock reaches `at`."""
+        """Add an event when the event loop's clock reaches `at`."""
         return self._loop.call_at(at, self.post, event)
 
     def take(self) -> list[api.Event]:
-        """Remove and return all events, for a decision that is made now."""
+        """Remove and return all events, for a decision that the caller makes immediately."""
         self._scheduled = False
         events, self._events = self._events, []
         return events
--- a/emberlatch/engine/graceful_shutdown.py
+++ b/emberlatch/engine/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: accept for a little longer, let calls end, leave the rest to the journal."""
+"""Graceful shutdown: accept connections briefly, wait for calls, keep open messages in the journal."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from emberlatch.engine.ports import Ingress
 
 ACCEPT_AFTER_STOP_S = 0.5
-"""For which new connections are accepted after the start of a shutdown."""
+"""Seconds after the start of a shutdown during which new connections are still accepted."""
 CALLS_AFTER_STOP_S = 3.0
-"""After which calls must have ended."""
+"""Seconds after the start of a shutdown by which calls must have ended."""
 EXIT_AFTER_STOP_S = 3.3
-"""After which the process exits whatever is pending."""
+"""Seconds after the start of a shutdown at which the process exits, even with pending work."""
 CHECK_INTERVAL_S = 0.02
 
 
@@ -22,11 +22,12 @@
     busy: Callable[[], bool],
     has_open_messages: Callable[[], bool],
 ) -> None:
-    """Stop the ingresses, and return when nothing is pending or the time is over.
+    """Stop the ingresses, and return when nothing is pending or the time limit is reached.
 
-    `began` is the loop's time of the start. `busy` says whether calls, notices or syncs are pending; for open
-    messages alone it waits as long as calls may take. A client that connected just before may be writing its
-    request right now: while one is connected, the process stays to respond.
+    `began` is the start of the shutdown on the event loop's clock. `busy` returns whether calls, notices or
+    syncs are pending. If only open messages remain, the function waits no longer than CALLS_AFTER_STOP_S. It
+    also waits while a client is connected, since a client that connected just before the listener was closed
+    may still be writing its request.
     """
     loop = asyncio.get_running_loop()
     await asyncio.sleep(ACCEPT_AFTER_STOP_S)
--- a/emberlatch/engine/journal_clock.py
+++ b/emberlatch/engine/journal_clock.py
@@ -11,9 +11,9 @@
 class JournalClock:
     """Unix time that does not jump when the wall clock is set.
 
-    Deadlines and the ages of attempts must not change then. The loop's clock is never set, and runs on when
-    the process is replaced, but starts anew with the machine. So the journal stores the offset between both
-    clocks, with the boot id of the machine in which it was measured.
+    Setting the wall clock must not change deadlines or the ages of attempts. The event loop's clock is
+    monotonic and continues across a restart of the process, but restarts when the machine boots. So the
+    journal stores the offset between both clocks, with the id of the boot in which the offset was measured.
     """
 
     def __init__(self, journal: Journal, machine: Machine) -> None:
@@ -22,11 +22,11 @@
         self._offset = 0.0
 
     def start(self) -> None:
-        """Adopt the stored offset, or measure and store one; called once the journal is loaded."""
+        """Use the stored offset, or measure and store a new one. Call this after the journal is loaded."""
         self._offset = self._measure_offset()
 
     def _measure_offset(self) -> float:
-        """Seconds by which the journal's clock is ahead of the loop's."""
+        """Return and store the seconds by which the journal's clock is ahead of the event loop's clock."""
         boot, offset = self._machine.boot(), self._machine.wall() - self._loop.time()
         stored = self._journal.clock
         if boot and stored is not None and stored[0] == boot:
@@ -35,5 +35,5 @@
         return offset
 
     def now(self) -> float:
-        """Seconds since 1970."""
+        """Return the time in seconds since the Unix epoch."""
         return self._loop.time() + self._offset
--- a/emberlatch/engine/machine.py
+++ b/emberlatch/engine/machine.py
@@ -1,6 +1,7 @@
-"""What a process uses of its machine beside the event loop, so that a simulated machine can replace it.
+"""The operating system facilities that a process uses besides the event loop.
 
-The loop's clock and outgoing connections come from the running loop; the rest is here.
+A simulated machine can replace them. The monotonic clock and outgoing connections are provided by the
+running event loop.
 """
 
 from __future__ import annotations
@@ -17,31 +18,31 @@
 from emberlatch.store import Files, Folder, Offload
 
 BACKLOG = 512
-"""Connections that may wait to be accepted."""
+"""Maximum number of connections that wait to be accepted."""
 
 
 class Listener(Protocol):
-    """A listening socket, as far as it is used; it is readable while connections wait to be accepted."""
+    """The used part of a listening socket's interface. It is readable while a connection is waiting."""
 
     def accept(self) -> tuple[Any, Any]:
-        """The next connection and its peer's address; raises BlockingIOError if none is waiting."""
+        """Return the next connection and its peer's address; raises BlockingIOError if none is waiting."""
 
     def fileno(self) -> int:
-        """The descriptor to wait on."""
+        """Return the file descriptor to wait on."""
 
     def close(self) -> None:
         """Stop listening."""
 
 
 def listen(address: Address) -> Listener:
-    """A real listening socket; raises OSError if the address cannot be bound."""
+    """Open a listening TCP socket; raises OSError if the address cannot be bound."""
     listener = socket.create_server(address, backlog=BACKLOG)
     listener.setblocking(False)
     return listener
 
 
 def boot() -> str:
-    """Linux's boot id, new with each start of the machine; empty where there is none."""
+    """Return Linux's boot id, which changes with each boot; an empty text on systems without one."""
     try:
         return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
     except OSError:
@@ -52,9 +53,9 @@
 class Machine:
     """The facilities of a machine.
 
-    Attributes: `wall` is the wall clock (Unix time in seconds), `boot` the boot id, within which the loop's
-    clock never jumps, `listen` opens a listening socket, `files` a folder that survives the process, and
-    `offload` runs what blocks outside of the event loop.
+    Attributes: `wall` returns the wall clock (Unix time in seconds), `boot` the boot id (the event loop's
+    clock never jumps while the id stays the same), `listen` opens a listening socket, `files` opens a folder
+    whose files survive the process, and `offload` runs a blocking function outside of the event loop.
     """
 
     wall: Callable[[], float] = time.time
--- a/emberlatch/engine/message_table.py
+++ b/emberlatch/engine/message_table.py
@@ -1,4 +1,4 @@
-"""The messages that this process owns, in memory and in the journal, and the journal as its parts use it."""
+"""The messages that this process owns, in memory and in the journal, and access to the journal."""
 
 from __future__ import annotations
 
@@ -14,39 +14,40 @@
 
 
 class MessageTable:
-    """The open messages, and the completed ones whose notice is not confirmed.
+    """The open messages, and the completed ones whose notices are not confirmed.
 
-    A write to the journal that fails is logged and reported by the return value, so that nothing is sent or
-    promised on the strength of it.
+    A failed write to the journal is logged and reported by the return value, so that callers neither send nor
+    accept a message whose record is missing.
 
-    Attributes: `open` and `completed` are read by others and changed here only.
+    Attributes: `open` and `completed` may be read by other classes, and are changed by this class only.
     """
 
     def __init__(self, journal: Journal) -> None:
         self._journal = journal
         self.open: dict[int, Entry] = {}
-        """Accepted and not completed, by reference."""
+        """Messages that are accepted and not completed, by reference."""
         self.completed: dict[int, Entry] = {}
-        """Completed with a notice that is not confirmed yet, by reference."""
+        """Completed messages whose notice is not confirmed yet, by reference."""
         self._open_ids: set[str] = set()
 
     def is_open(self, message_id: str) -> bool:
-        """Whether a message with this id is accepted and not completed."""
+        """Return whether a message with this id is accepted and not completed."""
         return message_id in self._open_ids
 
     def restore_open(self, entry: Entry) -> None:
-        """Add an open message that the journal holds already."""
+        """Add an open message that is already in the journal."""
         self.open[entry.ref] = entry
         self._open_ids.add(entry.id)
 
     def restore_completed(self, entry: Entry) -> None:
-        """Add a completed message that the journal holds already."""
+        """Add a completed message that is already in the journal."""
         self.completed[entry.ref] = entry
 
     def accept(self, entry: Entry) -> bool:
-        """Add a new message; False if the journal is full or fails.
+        """Add a new message and return True; return False if the journal is full or a write fails.
 
-        Capacity is checked for each message: those of one loop iteration could fill the journal between them.
+        The capacity is checked for each message, since the messages of one loop iteration together could
+        exceed it.
         """
         if not (self._journal.has_capacity(len(entry.body)) and self._write(self._journal.add, entry)):
             return False
@@ -54,26 +55,26 @@
         return True
 
     def record(self, entry: Entry) -> bool:
-        """Write the present state of a message; False if the journal fails."""
+        """Write the current state of a message to the journal; return False if the write fails."""
         return self._write(self._journal.update, entry)
 
     def remove(self, entry: Entry) -> None:
-        """Take a message out of the open ones; the journal is not changed."""
+        """Remove a message from the open ones in memory; the journal is not changed."""
         del self.open[entry.ref]
         self._open_ids.discard(entry.id)
 
     def complete(self, entry: Entry) -> None:
-        """Move an open message, whose notice is set, to the completed ones."""
+        """Record an open message whose notice is set, and move it to the completed ones."""
         self.remove(entry)
         self.record(entry)
         self.completed[entry.ref] = entry
 
     def forget(self, entry: Entry) -> None:
-        """Record that nothing of a removed message is pending."""
+        """Record that no work or notice is pending for a message that was removed from memory."""
         self._write(self._journal.remove, entry)
 
     def confirm(self, ref: int) -> None:
-        """Forget a completed message, whose notice is confirmed; an unknown one is ignored."""
+        """Remove a completed message whose notice is confirmed; ignore an unknown reference."""
         if (entry := self.completed.pop(ref, None)) is not None:
             self.forget(entry)
 
@@ -93,11 +94,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageJournal:
-    """The journal of one engine, as its parts use it; the engine alone loads, closes and reopens it."""
+    """The access of an engine's parts to its journal; only the engine itself loads, closes and reopens it."""
 
     messages: MessageTable
-    """What is in it, and the one way to write to it."""
+    """The messages in the journal; all writes to the journal go through this table."""
     clock: JournalClock
-    """Its times, in seconds since 1970: of deadlines and of attempts."""
+    """The clock of the journal's deadlines and attempt times, in seconds since the Unix epoch."""
     durability: DurabilityGate
-    """When what was written to it is as durable as its class requires."""
+    """Runs actions once the records written so far are as durable as their classes require."""
--- a/emberlatch/engine/message_terms.py
+++ b/emberlatch/engine/message_terms.py
@@ -1,4 +1,4 @@
-"""The terms under which a message was accepted, as text for the journal."""
+"""Encodes the terms under which a message was accepted as text for the journal, and decodes them."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     "dedup_window": "window",
     "ordered": "ordered",
 }
-"""Field to stored key. Journals of earlier versions have these keys, so they stay."""
+"""The stored key of each field. Journals of earlier versions contain these keys, so they must not change."""
 CATEGORY_FIELDS = {key: name for name, key in CATEGORY_KEYS.items()}
 
 
 def encode_terms(terms: api.Terms) -> str:
-    """One line of JSON, identical for equal terms."""
+    """Return the terms as one line of JSON, which is identical for equal terms."""
     values = {key: getattr(terms.category, name) for name, key in CATEGORY_KEYS.items()}
     plain = {key: value.value if isinstance(value, Enum) else value for key, value in values.items()}
     return json.dumps(plain | {"max_attempts": terms.max_attempts}, separators=(",", ":"), sort_keys=True)
@@ -32,7 +32,7 @@
 
 @lru_cache(256)
 def decode_terms(text: str) -> api.Terms:
-    """Raises ValueError, KeyError or TypeError if the text holds no terms."""
+    """Return the terms in a stored text; raises ValueError, KeyError or TypeError if it contains none."""
     values = json.loads(text)
     max_attempts = int(values.pop("max_attempts"))
     values |= {"effect": api.Effect(values["effect"]), "scope": api.Scope(values["scope"])}
--- a/emberlatch/engine/ports.py
+++ b/emberlatch/engine/ports.py
@@ -1,9 +1,9 @@
-"""The ports of the engine: where messages come in, where they go, and who is notified of their completion.
+"""The ports of the engine: how messages are submitted and sent, and how their completion is notified.
 
 The engine owns a message from its submission until its completion notice is confirmed. An adapter behind a
-port translates between a protocol and the types of this module, and decides nothing. Everything here runs on
-one event loop: the methods of a port return at once, and its adapter reports later, by the engine's `submit`,
-`outcome`, `listed` and `confirmed`.
+port translates between a protocol and the types of this module, and makes no decisions. All code here runs on
+one event loop: the methods of a port return without blocking, and the adapter reports results later through
+the engine's `submit`, `outcome`, `listed` and `confirmed`.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 """The addresses of the endpoints of a membership update."""
 
 AttemptKey = tuple[int, int]
-"""The reference of a message, and the number of one of its attempts, from 0."""
+"""The reference of a message, and the number of one of its attempts, counted from 0."""
 
 
 class CompletionNotice(TypedDict):
-    """How a message was completed; sent as JSON and stored in the journal with these keys."""
+    """How a message was completed. The keys are those of the JSON on the wire and in the journal."""
 
     ref: str
     """The message's id."""
     result: str
     """`delivered`, `bounced` (not executed, may be submitted again) or `dead` (abandoned)."""
     wait_ms: NotRequired[int]
-    """Of a bounced message: milliseconds after which it may be submitted again."""
+    """Milliseconds after which a bounced message may be submitted again; absent in other notices."""
 
 
 class BadMessageError(ValueError):
-    """A submission is invalid by fault of its sender; the text gives the reason."""
+    """A submission is invalid; the text tells its sender the reason."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,29 +52,29 @@
     """Seconds from now until its deadline."""
     body: bytes
     resubmitted: bool = False
-    """Submitted again after it was rejected."""
+    """Whether the sender submits the message again after a rejection."""
     inherited: bool = False
-    """Taken over by its sender from a forwarder that failed or did not answer."""
+    """Whether the sender submitted the message before to a forwarder that failed or did not answer."""
 
 
 class SubmissionResponder(Protocol):
-    """The one response that a submission is owed; exactly one of its methods is called, once."""
+    """Sends the response to one submission: exactly one of its methods is called, exactly once."""
 
     @property
     def gone(self) -> bool:
         """Whether the client has disconnected."""
 
     def accepted(self) -> None:
-        """The message is in the journal, and its completion will be notified."""
+        """Respond that the message is in the journal and that its completion will be notified."""
 
     def rejected(self, retry_after: float) -> None:
-        """The decision module rejected it; it may be submitted again after `retry_after` seconds."""
+        """Respond that the message is rejected and may be submitted again after `retry_after` seconds."""
 
     def unavailable(self, retry_after: float | None = None) -> None:
-        """It can't be accepted at the moment; nothing of it is kept. `retry_after` is in seconds."""
+        """Respond that the message can't be accepted now and is not stored. `retry_after` is in seconds."""
 
     def failed(self) -> None:
-        """It failed, and may not be submitted again."""
+        """Respond that the message failed and must not be submitted again."""
 
 
 class ReceivedHandover(Protocol):
@@ -86,7 +86,7 @@
 
     @property
     def relayed(self) -> Sequence[tuple[int, int, Target]]:
-        """Message, attempt and target of each attempt that is in flight in the predecessor."""
+        """Message reference, attempt number and target of each attempt in flight in the predecessor."""
 
     def confirm_ownership(self) -> None:
         """Notify the predecessor that this process owns the messages from now on."""
@@ -96,7 +96,7 @@
     """Receives messages and passes each to `Engine.submit`."""
 
     def start(self) -> None:
-        """Start to accept messages; raises OSError if it can't listen."""
+        """Start to accept messages; raises OSError if the listening socket cannot be opened."""
 
     def stop(self) -> None:
         """Begin a graceful shutdown: serve new requests, but ask clients to disconnect."""
@@ -106,7 +106,7 @@
 
     @property
     def has_clients(self) -> bool:
-        """Whether any client could still submit a message."""
+        """Whether any client that could submit a message is connected."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,24 +119,24 @@
     key: str
     body: bytes
     timeout: float
-    """Seconds to wait for its outcome."""
+    """Seconds to wait for the outcome of the attempt."""
 
 
 class Carrier(Protocol):
-    """Sends calls to endpoints. Each item of each call gets one `Outcome`, through `Engine.outcome`."""
+    """Sends calls to endpoints. Reports one `Outcome` for each item of each call to `Engine.outcome`."""
 
     @property
     def in_flight(self) -> int:
-        """Calls without an outcome."""
+        """The number of calls without an outcome."""
 
     def update(self, entries: Sequence[Entry], addresses: Addresses, is_complete: bool, /) -> None:
-        """Apply a membership update; `is_complete` says that `entries` is the complete list.
+        """Apply a membership update; `is_complete` states that `entries` is the complete list.
 
-        Nothing is sent to an endpoint that is draining or removed, once the grace period is over.
+        After the grace period nothing is sent to an endpoint that is draining or removed.
         """
 
     def entry(self, target: Target) -> Entry | None:
-        """The entry of an endpoint that is listed or has a call in flight."""
+        """Return the entry of an endpoint that is listed or has a call in flight, else None."""
 
     def call(self, target: Target, items: list[CallItem]) -> None:
         """Start one call."""
@@ -149,26 +149,26 @@
 
 
 class Membership(Protocol):
-    """Reports which endpoints there are, through `Engine.listed`."""
+    """Reports the endpoints and changes to them to `Engine.listed`."""
 
     def start(self) -> None:
-        """Report the list that is known already."""
+        """Report the list of endpoints that is known at the start."""
 
     def watch(self, active: bool) -> None:
-        """Start to report changes, or stop."""
+        """Start or stop reporting changes."""
 
     def look_up(self) -> None:
         """Request the complete list once."""
 
 
 class CompletionNotifier(Protocol):
-    """Notifies the senders of completions, and confirms each through `Engine.confirmed`."""
+    """Sends completion notices to the senders, and reports each confirmed one to `Engine.confirmed`."""
 
     notifies_deliveries: bool
-    """Whether a delivery is notified as well; else it is complete with the endpoint's response."""
+    """Whether deliveries are notified too; else a message is removed with its endpoint's response."""
 
     def add(self, ref: int, notice: CompletionNotice) -> None:
-        """Send a notice, repeatedly until it is confirmed."""
+        """Send a notice repeatedly until it is confirmed."""
 
     @property
     def pending(self) -> bool:
@@ -176,15 +176,15 @@
 
 
 class EnginePortsError(RuntimeError):
-    """An engine is used before `Engine.connect`, or connected twice; the text says which."""
+    """An engine was used before `Engine.connect`, or connected twice; the text states which."""
 
 
 @dataclass(frozen=True, slots=True)
 class EnginePorts:
-    """Everything that one engine calls, given at once: no engine has some of its ports and lacks others."""
+    """All ports of one engine. They are connected together, so that an engine has either all or none."""
 
     ingresses: Sequence[Ingress]
-    """Started in this order once the journal is read; none where messages are submitted in-process."""
+    """Started in this order once the journal is read; empty if messages are only submitted in-process."""
     carrier: Carrier
     membership: Membership
     notifier: CompletionNotifier
--- a/emberlatch/engine/relayed_attempts.py
+++ b/emberlatch/engine/relayed_attempts.py
@@ -1,4 +1,7 @@
-"""Attempts that were in flight when this process took over, and whose outcomes its predecessor relays."""
+"""Attempts that were in flight in the predecessor when this process took over.
+
+The predecessor relays their outcomes to this process.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 
 class RelayedAttempts:
-    """The relayed attempts without an outcome."""
+    """The set of relayed attempts without an outcome."""
 
     def __init__(self) -> None:
         self._targets: dict[AttemptKey, api.Target] = {}
@@ -21,15 +24,18 @@
         return attempt in self._targets
 
     def start(self, attempts: Iterable[tuple[int, int, api.Target]]) -> None:
-        """Expect the outcomes of these: message, attempt and target of each."""
+        """Add the relayed attempts: message reference, attempt number and target of each."""
         self._targets = {(ref, attempt): target for ref, attempt, target in attempts}
 
     def discard(self, outcome: api.Outcome) -> None:
-        """Expect this outcome no longer."""
+        """Remove the attempt whose outcome has arrived."""
         self._targets.pop((outcome.ref, outcome.attempt), None)
 
     def as_reset(self) -> list[api.Outcome]:
-        """Outcomes for all of them when the predecessor relays no more: they may have been executed."""
+        """Return a reset outcome for each attempt, for use when the relay has ended.
+
+        A reset states that the attempt may have been executed.
+        """
         return [
             api.Outcome(ref, attempt, target, api.Result.RESET, 0.0)
             for (ref, attempt), target in self._targets.items()
--- a/emberlatch/engine/submissions.py
+++ b/emberlatch/engine/submissions.py
@@ -1,4 +1,4 @@
-"""Submissions between their arrival and the decision whether they are accepted."""
+"""Submissions from their arrival until the decision whether they are accepted."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from emberlatch.store import Entry
 
 JOURNAL_FULL_RETRY_S = 1.0
-"""After which a client may submit again when the journal is full."""
+"""Seconds after which a client may submit a message again when the journal is full."""
 
 
 class PendingSubmission(NamedTuple):
-    """A submission that the decision module has not seen, or has not decided on."""
+    """A submission on which the decision module has not decided yet."""
 
     entry: Entry
     responder: SubmissionResponder
@@ -28,7 +28,7 @@
 
 
 class Submissions:
-    """Validates submissions, queues them for the next decision and answers them by it."""
+    """Validates submissions, queues them for the next decision, and answers them according to it."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         counters: Counters,
         post: Callable[[api.Event], None],
     ) -> None:
-        """`post` gives an event to the decision module."""
+        """`post` queues an event for the decision module."""
         self._settings, self._counters, self._post = settings, counters, post
         self._messages, self._clock = journal.messages, journal.clock
         self._durability = journal.durability
@@ -47,11 +47,11 @@
         self._references = itertools.count()
 
     def start(self, first_reference: int) -> None:
-        """Number new messages from `first_reference` on."""
+        """Assign references to new messages, starting with `first_reference`."""
         self._references = itertools.count(first_reference)
 
     def add_destinations(self, destinations: Iterable[int]) -> None:
-        """Accept messages to these destinations from now on."""
+        """Add destinations to which messages are accepted."""
         self._destinations.update(destinations)
 
     @property
@@ -62,13 +62,13 @@
     def submit(self, message: Submission, responder: SubmissionResponder) -> None:
         """Queue a submission for the next decision, or answer it at once if its id is known.
 
-        Raises BadMessageError.
+        Raises BadMessageError if the submission is invalid.
         """
         category = self._validate(message)
-        if self._messages.is_open(message.id):  # submitted twice: it is accepted already
+        if self._messages.is_open(message.id):  # a repeated submission of a message that was accepted
             self._durability.when_durable((message.category,), responder.accepted)
             return
-        if message.id in self._pending_ids:  # what becomes of the first one is not known yet
+        if message.id in self._pending_ids:  # no decision has been made on the first submission of this id
             responder.unavailable()
             return
         ref, remaining = next(self._references), message.remaining
@@ -106,10 +106,10 @@
         return category
 
     def take(self, events: list[api.Event]) -> tuple[PendingByRef, list[api.Event]]:
-        """All pending submissions, and of `events` those that are to be decided on with them.
+        """Remove and return all pending submissions, together with the events to decide on.
 
-        A submission whose client has disconnected is dropped, with its event: the client did not receive
-        the response, so it may submit it again.
+        A submission whose client has disconnected is dropped and its event removed from `events`: the client
+        got no response, so it may submit the message again.
         """
         pending, self._pending = self._pending, {}
         self._pending_ids.clear()
@@ -119,13 +119,16 @@
             events = [e for e in events if not (isinstance(e, api.Arrival) and e.ref == ref)]
         return pending, events
 
-    def put_back(self, pending: PendingByRef) -> None:
-        """Keep submissions on which no decision was made for the next one."""
+    def requeue(self, pending: PendingByRef) -> None:
+        """Queue submissions again on which no decision was made."""
         self._pending |= pending
         self._pending_ids |= {entry.id for entry, _ in self._pending.values()}
 
     def answer(self, pending: PendingByRef, actions: list[api.Action]) -> None:
-        """Answer submissions by the decision; those that it does not reject or fail are written first."""
+        """Answer submissions according to a decision.
+
+        Those that it neither rejects nor fails are written to the journal first.
+        """
         negative = {action.ref: action for action in actions if isinstance(action, api.Reject | api.Fail)}
         for ref, (entry, responder) in pending.items():
             decision = negative.get(ref)
--- a/emberlatch/engine/tasks.py
+++ b/emberlatch/engine/tasks.py
@@ -10,7 +10,7 @@
 
 
 class Tasks:
-    """Keeps references to its tasks, logs the exception of one that fails, and cancels all at the end."""
+    """Keeps references to running tasks, logs the exception of a failed task, and cancels all on request."""
 
     def __init__(self) -> None:
         self._running: set[asyncio.Task[None]] = set()
