--- a/emberlatch/store/__init__.py
+++ b/emberlatch/store/__init__.py
@@ -1,4 +1,4 @@
-"""Logs on disk that outlast the process: the journal of accepted messages, and logs of small states."""
+"""Logs on disk: the journal of accepted messages, and logs of small states by key."""
 
 from emberlatch.store.entries import MAX_BODY, Entry, UnknownOutcome
 from emberlatch.store.errors import LimitTooSmallError, RecordDecodeError, StoreError
--- a/emberlatch/store/entries.py
+++ b/emberlatch/store/entries.py
@@ -1,11 +1,11 @@
-"""What the journal holds of one message. Its stored form is in `journal_records`."""
+"""The data that the journal stores for one message. `journal_records` defines the stored form."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import Any
 
-MAX_BODY = 64 * 1024  # bytes of a message's body
+MAX_BODY = 64 * 1024  # maximum size of a message's body
 
 
 @dataclass(slots=True)
@@ -13,10 +13,10 @@
     """An attempt that may have been executed.
 
     Attributes:
-        attempt: number of the attempt, from 0.
+        attempt: number of the attempt, counted from 0.
         target: the endpoint that it was sent to.
         zone: number of the endpoint's zone.
-        sent: when it was sent, on the journal's clock, in seconds since the epoch.
+        sent: time of sending on the journal's clock, in seconds since the epoch.
     """
 
     attempt: int
@@ -27,16 +27,16 @@
 
 @dataclass(slots=True)
 class Entry:
-    """A message that was accepted and is not yet forgotten.
+    """A message that was accepted and is not yet removed from the journal.
 
     Attributes:
-        ref: this forwarder's own number of the message, never used twice.
-        id, key: the client's request id and idempotency key.
-        deadline: on the journal's clock, in seconds since the epoch.
-        attempts: how many attempts were made.
-        unknown_outcomes: those of them that may have been executed.
-        notice: the end that is reported and not yet confirmed; None while the message is open.
-        terms: the terms under which it was accepted, as text; empty where an older journal has none.
+        ref: number that this forwarder assigned to the message; it is never reused.
+        id, key: the request id and the idempotency key from the client.
+        deadline: time on the journal's clock, in seconds since the epoch.
+        attempts: number of attempts made.
+        unknown_outcomes: the attempts that may have been executed.
+        notice: completion notice that is not yet confirmed; None while the message is open.
+        terms: the terms under which the message was accepted, as text; empty if an older journal has none.
     """
 
     ref: int
--- a/emberlatch/store/errors.py
+++ b/emberlatch/store/errors.py
@@ -1,15 +1,15 @@
-"""Errors of the store, one tree. What the file system refuses is raised as it comes: OSError."""
+"""The exception hierarchy of the store. Errors of the file system are raised unchanged, as OSError."""
 
 from __future__ import annotations
 
 
 class StoreError(Exception):
-    """Something that is stored, or was to be stored, cannot be used."""
+    """Base class: stored data cannot be read, or a log cannot be created."""
 
 
 class LimitTooSmallError(StoreError, ValueError):
-    """The disk space that a log may take is less than it needs."""
+    """The disk space limit of a log is less than the log needs."""
 
 
 class RecordDecodeError(StoreError, ValueError):
-    """A record whose checksum is right does not hold what a record has to."""
+    """The checksum of a record is correct, but its content is not a valid record."""
--- a/emberlatch/store/files.py
+++ b/emberlatch/store/files.py
@@ -1,4 +1,4 @@
-"""The one place where logs meet the file system: small enough to be replaced by a faulty one in tests."""
+"""The interface between the logs and the file system; tests replace it to inject faults."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 
 
 class Files(Protocol):
-    """The files of one folder. Everything raises OSError where the system does."""
+    """The files of one folder. Every method raises OSError if the system call fails."""
 
     def names(self) -> list[str]:
-        """The names of the files that are there."""
+        """Return the names of the files in the folder."""
 
     def read(self, name: str) -> bytes:
-        """All the content of a file."""
+        """Return the content of a file."""
 
     def append_to(self, name: str) -> int:
-        """Open a file, created if need be, to write at its end; returns a handle."""
+        """Open a file for appending, create it if it is missing, and return a handle."""
 
     def write(self, handle: int, data: memoryview) -> int:
-        """Write as much as there is space for; returns how many bytes that were."""
+        """Write as many bytes as there is space for, and return their number."""
 
     def close(self, handle: int) -> None:
         """Close a handle."""
 
     def remove(self, name: str) -> None:
-        """Remove a file; one that is not there is no error."""
+        """Remove a file; do nothing if it does not exist."""
 
     def sync(self, handle: int) -> None:
-        """Block until what was written to a file is durable; its name may still not be."""
+        """Block until the content of a file is durable; its directory entry may still not be."""
 
     def sync_folder(self) -> None:
-        """Block until the names are durable: new files, and those that were removed."""
+        """Block until the creation and removal of files in the folder is durable."""
 
 
 class Folder:
-    """A folder of the real file system. See `Files`."""
+    """A folder of the file system; implements `Files`."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
--- a/emberlatch/store/group_sync.py
+++ b/emberlatch/store/group_sync.py
@@ -1,8 +1,8 @@
-"""Group commit: one sync for all that was written while the sync before it ran.
+"""Group commit: one sync covers all writes made while the previous sync ran.
 
-A sync that fails is final (Rebello 2020: after a failed fsync the page cache may report success): nothing
-that waited is done, nothing waits any more, and whoever made the group is notified so that the process can
-end.
+A failed sync is not retried, since after a failed fsync the page cache may report success although the data
+is lost (Rebello 2020). The waiting callbacks are dropped, later ones are ignored, and `on_failure` is called
+so that the process can exit.
 """
 
 from __future__ import annotations
@@ -15,50 +15,52 @@
 log = logging.getLogger(__name__)
 
 Offload = Callable[[Callable[[], None]], Awaitable[None]]
-"""Runs a blocking call off the event loop; re-raises what the call raises."""
+"""Runs a blocking function outside of the event loop, and re-raises its exception."""
 
 
 class Syncable(Protocol):
-    """What can be synced."""
+    """A log whose writes can be made durable."""
 
     def prepare_sync(self) -> Callable[[], None]:
-        """A function that blocks until all that is written by now is durable; it raises OSError."""
+        """Return a function that blocks until all earlier writes are durable; it may raise OSError."""
 
     def on_synced(self) -> None:
-        """That function has returned."""
+        """Clean up after the function from `prepare_sync` has returned."""
 
 
 class GroupSync:
-    """Runs callbacks once what was written before them is durable.
+    """Runs callbacks once all writes made before their registration are durable.
 
     Attributes:
-        broken: whether a sync has failed.
-        syncs, served, largest: syncs done, callbacks run, and the most callbacks of one sync.
+        failed: whether a sync has failed.
+        syncs: number of completed syncs.
+        served: number of callbacks run.
+        largest: highest number of callbacks that shared one sync.
     """
 
     def __init__(self, source: Syncable, offload: Offload, on_failure: Callable[[OSError], None]) -> None:
         self._source, self._offload, self._on_failure = source, offload, on_failure
         self._waiting: list[Callable[[], None]] = []
         self._task: asyncio.Task[None] | None = None
-        self.broken = False
+        self.failed = False
         self.syncs = self.served = self.largest = 0
 
     @property
     def pending(self) -> bool:
-        """Whether any callback waits."""
-        return self._task is not None and not self.broken
+        """Whether any callback waits for a sync."""
+        return self._task is not None and not self.failed
 
     def when_durable(self, callback: Callable[[], None]) -> None:
-        """Run this once what is written by now is durable; never if that fails."""
-        if self.broken:
+        """Run a callback once all writes made so far are durable; never run it if the sync fails."""
+        if self.failed:
             return
         self._waiting.append(callback)
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def _run(self) -> None:
-        await asyncio.sleep(0)  # what else is written in this iteration of the loop shares the sync
-        while self._waiting and not self.broken:
+        await asyncio.sleep(0)  # later writes of this loop iteration share the sync
+        while self._waiting and not self.failed:
             batch, self._waiting = self._waiting, []
             try:
                 await self._offload(self._source.prepare_sync())
@@ -71,11 +73,11 @@
             for callback in batch:
                 try:
                     callback()
-                except Exception:  # the others of the batch are run all the same
-                    log.exception("a callback that waited for a sync failed")
+                except Exception:  # the failure of one callback must not prevent the others
+                    log.exception("a callback failed after its sync")
         self._task = None
 
     def _fail(self, error: OSError) -> None:
-        self.broken, self._waiting = True, []
-        log.error("a sync failed, which is final: %s", error)
+        self.failed, self._waiting = True, []
+        log.error("sync of the log on disk failed; it is not retried: %s", error)
         self._on_failure(error)
--- a/emberlatch/store/journal.py
+++ b/emberlatch/store/journal.py
@@ -1,8 +1,8 @@
-"""The journal: the messages that this forwarder has accepted and not yet finished, on disk.
+"""The journal: the log on disk of the messages that this forwarder has accepted and not yet finished.
 
-Numbered segment files hold framed records. Each record is a message's full present state (its body only in
-the first), so that a later one supersedes an earlier one. Space is made by copying the live entries of the
-oldest segment to the newest and removing the file.
+The journal consists of numbered segment files with framed records. Each record holds the full current state
+of a message, so that a later record supersedes an earlier one; only the first record also holds the body. To
+free space, the live entries of the oldest segment are copied to the newest and the oldest file is removed.
 """
 
 from __future__ import annotations
@@ -34,37 +34,40 @@
 
 log = logging.getLogger(__name__)
 
-SEGMENTS = 16  # that the limit is divided into
+SEGMENTS = 16  # a segment's size is the limit divided by this number
 MAX_RECORD_BYTES = MAX_BODY + 4096
-DISK_BLOCK_BYTES = 512  # that a file takes at least; after many restarts there are many small ones
+DISK_BLOCK_BYTES = 512  # unit of disk allocation; matters for the many small files of frequent restarts
 
 
 class Journal:
-    """Appends to the journal and keeps it under its limit. Writing raises OSError where it fails.
+    """Appends to the journal and keeps it under its limit. A failed write raises OSError.
 
     Attributes:
-        clock: name of a run of the machine, and the offset in seconds of the journal's clock to the loop's in
-            it; None if no journal was found. Written into each segment.
+        clock: the boot id of the machine, and the seconds by which the journal's clock is ahead of the
+            event loop's clock in that boot; None if no journal was found. It is written into each segment.
     """
 
     def __init__(self, files: Files, limit: int, durable: bool = False) -> None:
-        """`limit` is in bytes, over all files; with `durable` what is written is synced (`prepare_sync`).
+        """`limit` is the maximum size of all files in bytes. `durable` enables syncs (`prepare_sync`).
 
         Raises LimitTooSmallError.
         """
         segment_bytes = limit // SEGMENTS
-        compaction_bytes = segment_bytes + 3 * MAX_RECORD_BYTES  # what a compaction may take for a moment
+        compaction_bytes = segment_bytes + 3 * MAX_RECORD_BYTES  # additional space that a compaction may need
         self._max_bytes = limit - compaction_bytes
         self._max_live_bytes = self._max_bytes - 2 * segment_bytes
         if self._max_live_bytes < MAX_RECORD_BYTES:
-            raise LimitTooSmallError("too small for the journal")
+            raise LimitTooSmallError(
+                f"{limit} bytes are too small for the journal: the space for messages would be"
+                f" {self._max_live_bytes} bytes, at least {MAX_RECORD_BYTES} are needed"
+            )
         self._segments = SegmentFiles(files, "log", segment_bytes, durable)
         self._index = EntryIndex()
         self._terms = TermsTable()
         self.clock: tuple[str, float] | None = None
 
     def load(self) -> list[Entry]:
-        """Read the entries that are there and open a new segment. A damaged record costs itself alone."""
+        """Read the stored entries and open a new segment. Damaged records are skipped."""
         for number, name, data in self._segments.read(remove_empty=True):
             for payload in decode_records(data, name):
                 try:
@@ -82,7 +85,7 @@
             case ClockRecord(boot, offset):
                 self.clock = boot, offset
             case TermsRecord(number, text):
-                self._terms.learn(number, text)
+                self._terms.add(number, text)
             case RemovalRecord(ref):
                 self._index.remove(ref)
             case EntryRecord(entry, terms):
@@ -94,20 +97,20 @@
                     known.unknown_outcomes = record.unknown_outcomes
 
     def has_capacity(self, size: int) -> bool:
-        """Whether a new message with a body of that many bytes fits, with space for its outcomes."""
+        """Return whether a new message with a body of `size` bytes fits, including its later records."""
         return self._index.live_bytes + size + STATE_BYTES <= self._max_live_bytes
 
     def add(self, entry: Entry) -> None:
-        """Record a message that is accepted."""
+        """Record an accepted message."""
         self._append(self._encode(entry), entry.terms)
         self._index.put(entry, self._segments.current)
 
     def update(self, entry: Entry) -> None:
-        """Record the present state of a message: an attempt about to be sent, its outcome, an end."""
+        """Record the current state of a message: a new attempt, an outcome or the completion."""
         self._append(encode_update(entry))
 
     def remove(self, entry: Entry) -> None:
-        """Record that nothing more is owed of a message; one that is not open is passed over."""
+        """Record that a message is finished; do nothing if the journal has no entry for it."""
         if self._index.remove(entry.ref):
             self._append(encode_removal(entry.ref))
 
@@ -124,7 +127,7 @@
         self._segments.close()
 
     def reopen(self) -> None:
-        """Go on after `close`, if nobody else has written to the folder since."""
+        """Continue after `close`; allowed only if no other process has written to the folder since."""
         self._roll()
 
     def _append(self, record: bytes, terms: str = "") -> None:
@@ -141,7 +144,7 @@
     def _write(self, record: bytes, terms: str = "") -> None:
         if self._segments.is_full:
             self._roll()
-        # The clock and the terms go into each segment, for any of them may be the only one left.
+        # Each segment contains the clock and the terms, since compaction may remove all other segments.
         if self._segments.is_empty and self.clock is not None:
             self._segments.append(encode_clock(*self.clock))
         if (number := self._terms.number(terms)) is not None and not self._terms.is_written(number):
@@ -160,9 +163,10 @@
         return encode_entry(entry, self._terms.number(entry.terms))
 
     def _compact(self) -> None:
-        """Copy the live entries of the oldest segment to the newest, and remove it.
+        """Copy the live entries of the oldest segment to the newest one, and remove the oldest.
 
-        Only ever the oldest: the record of a message's end must not be removed before the body that it ends.
+        Segments are removed in order only: a message's removal record must not disappear before the record
+        with its body, or the message would be restored.
         """
         oldest = self._segments.oldest
         if oldest == self._segments.current:
@@ -170,6 +174,8 @@
         for entry in self._index.in_segment(oldest):
             self._write(self._encode(entry), entry.terms)
             self._index.move(entry, self._segments.current)
-        if self._segments.durable:  # the copies must be safe first; on the event loop, once for each segment
+        if (
+            self._segments.durable
+        ):  # the copies must be durable first; this blocks the event loop once per segment
             self._segments.prepare_sync()()
         self._segments.remove_oldest()
--- a/emberlatch/store/journal_records.py
+++ b/emberlatch/store/journal_records.py
@@ -1,14 +1,14 @@
-"""The payloads of the journal's records: a line of JSON, and behind it the message's body where there is one.
+"""The payloads of the journal's records: a line of JSON, followed by the message's body if there is one.
 
 | record | keys |
 | --- | --- |
-| a message was accepted, or is copied by a compaction | all of `_ENTRY_KEYS`; `terms` is a number |
-| its state changed | `ref`, `attempts`, `doubts`, `notice` |
-| nothing more is owed | `ref`, `over` |
-| the clock | `clock`: name of the run of the machine, and offset in seconds |
-| terms | `terms`: their number, `is`: their text |
+| message accepted, or copied by a compaction | all of `_ENTRY_KEYS`; `terms` is a number |
+| message state changed | `ref`, `attempts`, `doubts`, `notice` |
+| message finished | `ref`, `over` |
+| clock | `clock`: boot id of the machine, and offset in seconds |
+| terms | `terms`: number of the terms, `is`: their text |
 
-A key stays when a field is renamed, for journals of earlier versions are read.
+The keys must not change when a field is renamed, since journals of earlier versions must be readable.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from emberlatch.store.records import encode_record
 
 JsonObject = dict[str, Any]
-"""An object as it stands in JSON; not validated."""
+"""A decoded JSON object that is not validated."""
 
 _UPDATE_KEYS = {"ref", "attempts", "doubts", "notice"}
 _FIXED_KEYS = {"id", "key", "category", "tenant", "destination", "deadline"}
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryRecord:
-    """The full state of a message. The entry's terms are not filled in; `terms` is their number."""
+    """The full state of a message. `terms` is the number of its terms; `entry.terms` is not set yet."""
 
     entry: Entry
     terms: int | None
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateRecord:
-    """What has changed of a message."""
+    """The current values of the fields of a message that can change."""
 
     ref: int
     attempts: int
@@ -50,14 +50,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RemovalRecord:
-    """Nothing more is owed of a message."""
+    """A message is finished and removed from the journal."""
 
     ref: int
 
 
 @dataclass(frozen=True, slots=True)
 class ClockRecord:
-    """The offset in seconds of the journal's clock to that of the loop, in one run of the machine."""
+    """The seconds by which the journal's clock is ahead of the event loop's clock, in one boot."""
 
     boot: str
     offset: float
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TermsRecord:
-    """The number by which records refer to some terms."""
+    """The number and the text of terms; entry records contain only the number."""
 
     number: int
     text: str
@@ -75,8 +75,8 @@
 
 
 def encode_entry(entry: Entry, terms: int | None) -> bytes:
-    """The record of an entry's full state."""
-    state = _changing(entry) | {
+    """Return the record of an entry's full state."""
+    state = _changing_fields(entry) | {
         "id": entry.id,
         "key": entry.key,
         "category": entry.category,
@@ -90,27 +90,27 @@
 
 
 def encode_update(entry: Entry) -> bytes:
-    """The record of what may change of an entry."""
-    return _encode(_changing(entry))
+    """Return the record of the fields of an entry that can change."""
+    return _encode(_changing_fields(entry))
 
 
 def encode_removal(ref: int) -> bytes:
-    """The record that nothing more is owed of a message."""
+    """Return the record that a message is finished."""
     return _encode({"ref": ref, "over": True})
 
 
 def encode_clock(boot: str, offset: float) -> bytes:
-    """The record of the clock's offset in seconds."""
+    """Return the record of the clock's offset in seconds."""
     return _encode({"clock": [boot, offset]})
 
 
 def encode_terms(number: int, text: str) -> bytes:
-    """The record of a number's terms."""
+    """Return the record of a number and the text of its terms."""
     return _encode({"terms": number, "is": text})
 
 
 def decode_payload(payload: bytes) -> JournalRecord:
-    """The record with that payload. Raises RecordDecodeError if it is none."""
+    """Return the record in a payload. Raises RecordDecodeError if the payload is not a valid record."""
     line, _, body = payload.partition(b"\n")
     try:
         return _decode(json.loads(line), body)
@@ -127,11 +127,11 @@
     ref = int(state["ref"])
     if state.get("over"):
         return RemovalRecord(ref)
-    outcomes = [_outcome(each) for each in state["doubts"]]
+    outcomes = [_decode_outcome(each) for each in state["doubts"]]
     if "id" not in state:
         return UpdateRecord(ref, state["attempts"], outcomes, state["notice"])
     if unknown := state.keys() - _ENTRY_KEYS:
-        raise ValueError(f"unknown keys {sorted(unknown)}")
+        raise ValueError(f"entry of message {ref} has unknown keys {sorted(unknown)}")
     entry = Entry(
         ref=ref,
         id=state["id"],
@@ -148,15 +148,15 @@
     return EntryRecord(entry, state.get("terms"))
 
 
-def _outcome(state: JsonObject) -> UnknownOutcome:
+def _decode_outcome(state: JsonObject) -> UnknownOutcome:
     if state.keys() != _OUTCOME_KEYS:
-        raise ValueError(f"an attempt with the keys {sorted(state)}")
+        raise ValueError(f"attempt has the keys {sorted(state)}, expected {sorted(_OUTCOME_KEYS)}")
     return UnknownOutcome(
         attempt=state["attempt"], target=state["target"], zone=state["zone"], sent=state["sent"]
     )
 
 
-def _changing(entry: Entry) -> JsonObject:
+def _changing_fields(entry: Entry) -> JsonObject:
     return {
         "ref": entry.ref,
         "attempts": entry.attempts,
--- a/emberlatch/store/records.py
+++ b/emberlatch/store/records.py
@@ -1,6 +1,7 @@
-"""How records are framed in a file: a mark, a length, a checksum (CRC-32), a payload.
+"""The framing of records in a file: a magic number, a length, a CRC-32 checksum and a payload.
 
-A record that is damaged or cut short costs itself alone, for reading goes on at the next mark.
+A damaged or truncated record does not affect other records, since the reader searches for the next magic
+number after it.
 """
 
 from __future__ import annotations
@@ -11,19 +12,19 @@
 
 log = logging.getLogger(__name__)
 
-_MARK = b"\xe5EL1"
+_MAGIC = b"\xe5EL1"
 _HEADER = struct.Struct("<4sII")
 
 
 def encode_record(payload: bytes) -> bytes:
-    """A record with that payload."""
-    return _HEADER.pack(_MARK, len(payload), zlib.crc32(payload)) + payload
+    """Return a framed record with the given payload."""
+    return _HEADER.pack(_MAGIC, len(payload), zlib.crc32(payload)) + payload
 
 
 def decode_records(data: bytes, name: str) -> list[bytes]:
-    """The payloads of the intact records in the content of a file with that name."""
+    """Return the payloads of the intact records in the content of a file; `name` is for log lines."""
     payloads, position = [], 0
-    while (start := data.find(_MARK, position)) >= 0 and start + _HEADER.size <= len(data):
+    while (start := data.find(_MAGIC, position)) >= 0 and start + _HEADER.size <= len(data):
         _, length, checksum = _HEADER.unpack_from(data, start)
         payload = data[start + _HEADER.size : start + _HEADER.size + length]
         if len(payload) == length and zlib.crc32(payload) == checksum:
--- a/emberlatch/store/segments.py
+++ b/emberlatch/store/segments.py
@@ -1,4 +1,4 @@
-"""The numbered files of a log, `00000007.log`: appended to the newest, removed from the oldest on."""
+"""The numbered files of a log, such as `00000007.log`: appended at the newest, removed from the oldest."""
 
 from __future__ import annotations
 
@@ -10,40 +10,41 @@
 
 
 class SegmentFiles:
-    """The segments of one log in one folder. Everything raises OSError where the system does.
+    """The segments of one log in one folder. Every method raises OSError if a system call fails.
 
     Attributes:
-        sizes: bytes by number of segment, the oldest first. Changed here alone.
-        current: number of the segment that is written.
-        durable: whether what is written is synced, by `prepare_sync` or in `close`.
+        sizes: size in bytes by segment number, the oldest first. Changed by this class only.
+        current: number of the segment that is written to.
+        handle: handle of that segment, or NO_HANDLE if none is open.
+        durable: whether writes are synced, by `prepare_sync` or in `close`.
     """
 
     def __init__(self, files: Files, suffix: str, segment_bytes: int, durable: bool = False) -> None:
-        """`segment_bytes` is the size from which on a segment counts as full."""
+        """`segment_bytes` is the size at which a segment counts as full."""
         self._files, self._suffix, self._segment_bytes = files, suffix, segment_bytes
         self.durable = durable
         self.sizes: dict[int, int] = {}
         self.current = 0
         self.handle = NO_HANDLE
-        self._dirty: dict[int, None] = {}  # handles with something that is not synced yet
-        self._retired: list[int] = []  # handles of segments that are full, closed once they are synced
+        self._dirty: dict[int, None] = {}  # handles with writes that are not synced yet, as an ordered set
+        self._retired: list[int] = []  # handles of full segments, which are closed once they are synced
         self._names_changed = False
 
     def read(self, remove_empty: bool = False) -> Iterator[tuple[int, str, bytes]]:
-        """Number, file name and content of each segment that is there, the oldest first."""
+        """Yield the number, file name and content of each existing segment, the oldest first."""
         for name in sorted(self._files.names()):
             stem, _, suffix = name.rpartition(".")
             if suffix != self._suffix or not stem.isdigit():
                 continue
             number, data = int(stem), self._files.read(name)
-            if remove_empty and not data:  # of a start that wrote nothing
+            if remove_empty and not data:  # left by a process that wrote nothing
                 self._files.remove(name)
                 continue
             self.sizes[number] = len(data)
             yield number, name, data
 
     def open(self) -> None:
-        """Open a new segment behind those that were read."""
+        """Open a new segment with the number after those that were read."""
         self.current = max(self.sizes, default=0)
         self.roll()
 
@@ -54,18 +55,18 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the current segment has its size."""
+        """Whether the current segment has reached its maximum size."""
         return self.sizes[self.current] >= self._segment_bytes
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is in the current segment yet."""
+        """Whether the current segment contains no record yet."""
         return not self.sizes[self.current]
 
     def append(self, record: bytes) -> None:
         """Write a record to the current segment.
 
-        A write cut short leaves a torn record, which is skipped when the segment is read.
+        An interrupted write leaves a torn record, which is skipped when the segment is read.
         """
         rest = memoryview(record)
         while rest:
@@ -76,11 +77,11 @@
             rest = rest[written:]
 
     def roll(self) -> None:
-        """Go on in a new segment."""
+        """Open a new segment and make it the current one."""
         number = self.current + 1
         handle = self._files.append_to(self._name(number))
         if self.handle != NO_HANDLE:
-            if self.durable:  # it may be in the middle of a sync
+            if self.durable:  # a sync of the handle may be running
                 self._retired.append(self.handle)
             else:
                 self._files.close(self.handle)
@@ -95,7 +96,7 @@
         del self.sizes[oldest]
 
     def sync_existing(self) -> None:
-        """Sync all that an earlier process wrote, which it may not have synced."""
+        """Sync all segments of earlier processes, which may have ended before a sync."""
         for number in self.sizes:
             handle = self._files.append_to(self._name(number))
             self._files.sync(handle)
@@ -122,7 +123,7 @@
             self._retired.remove(handle)
 
     def close(self) -> None:
-        """Close the current segment, synced if the log is durable. `roll` opens another."""
+        """Close the current segment, after a sync if the log is durable. `roll` opens a new one."""
         if self.handle == NO_HANDLE:
             return
         if self.durable:
--- a/emberlatch/store/state_log.py
+++ b/emberlatch/store/state_log.py
@@ -1,9 +1,10 @@
-"""A map of small states that outlasts the process and never exceeds its disk space.
+"""A persistent map from keys to small states that never exceeds its disk space limit.
 
-Numbered segment files hold framed records, each the full state of one key, so that a later one supersedes an
-earlier one; space is made by copying the live records of the oldest segment, and where that does not suffice
-the oldest keys are evicted. It suits state that may be lost at last: which clients were heard, what was
-reported. What is owed to clients is in the journal.
+The log consists of numbered segment files with framed records. Each record holds the full state of one key,
+so that a later record supersedes an earlier one. To free space, the live records of the oldest segment are
+copied; if that is not enough, the oldest keys are evicted. The log is therefore only suitable for state that
+may be lost eventually, such as which clients have been seen and what has been reported. Accepted messages and
+unconfirmed notices are stored in the journal.
 """
 
 from __future__ import annotations
@@ -20,38 +21,39 @@
 log = logging.getLogger(__name__)
 
 State = dict[str, Any]
-"""What is stored of one key; it can be encoded as JSON."""
+"""The state of one key; it must be serializable as JSON."""
 
-SEGMENTS = 16  # that the limit is divided into
+SEGMENTS = 16  # a segment's size is the limit divided by this number
 MIN_LIMIT_BYTES = 256 * 1024
-LIVE_SHARE = 3  # live records take up to 1/3 of the limit: with more, space would be made by endless copying
+LIVE_DIVISOR = 3
+"""Live records take at most 1/3 of the limit; with more, compaction would copy records endlessly."""
 
 
 class StateLog:
-    """The states by key. Writing raises OSError where it fails.
+    """The states by key. A failed write raises OSError.
 
     Attributes:
-        states: state by key, the one that has not been changed for longest first. To be read only.
+        states: state by key, the least recently changed first. Callers must not modify it.
     """
 
     def __init__(self, files: Files, limit: int) -> None:
-        """`limit` is in bytes, over all files. Raises LimitTooSmallError."""
+        """`limit` is the maximum size of all files in bytes. Raises LimitTooSmallError."""
         if limit < MIN_LIMIT_BYTES:
-            raise LimitTooSmallError(f"must be at least {MIN_LIMIT_BYTES} bytes")
+            raise LimitTooSmallError(f"must be at least {MIN_LIMIT_BYTES} bytes, is {limit}")
         self._max_bytes, self._segment_bytes = limit, limit // SEGMENTS
         self._segments = SegmentFiles(files, "book", self._segment_bytes)
         self.states: dict[str, State] = {}
-        self._home: dict[str, int] = {}  # key -> segment with its newest record
-        self._record_bytes: dict[str, int] = {}  # key -> size of that record
+        self._segment_by_key: dict[str, int] = {}  # number of the segment with the newest record
+        self._record_bytes: dict[str, int] = {}  # size of the newest record, by key
         self._live_bytes = 0
 
     def load(self) -> None:
-        """Read what is there and open a new segment."""
+        """Read the stored states and open a new segment."""
         self.load_read_only()
         self._segments.open()
 
     def load_read_only(self) -> None:
-        """Read what is there and write nothing, for a process that does not own it. Raises OSError."""
+        """Read the stored states without writing, for a process that does not own the log. Raises OSError."""
         for number, name, data in self._segments.read():
             for payload in decode_records(data, name):
                 try:
@@ -59,40 +61,40 @@
                 except RecordDecodeError as error:
                     log.warning("%s: skipped a record that cannot be decoded: %s", name, error)
                     continue
-                self._forget(key)
+                self._drop_record(key)
                 if state is not None:
-                    self._remember(key, state, number, len(payload))
+                    self._add_record(key, state, number, len(payload))
 
     def put(self, key: str, state: State) -> dict[str, State]:
-        """Record the state of a key; returns the states that had to be evicted for it."""
+        """Record the state of a key; return the states that were evicted to make space for it."""
         record = _encode(key, state)
         self._append(record)
-        self._forget(key)
-        self._remember(key, state, self._segments.current, len(record))
+        self._drop_record(key)
+        self._add_record(key, state, self._segments.current, len(record))
         evicted: dict[str, State] = {}
-        while self._live_bytes > self._max_bytes // LIVE_SHARE and len(self.states) > 1:
+        while self._live_bytes > self._max_bytes // LIVE_DIVISOR and len(self.states) > 1:
             oldest = next(iter(self.states))
             evicted[oldest] = self.states[oldest]
             self.remove(oldest)
         return evicted
 
     def remove(self, key: str) -> None:
-        """Remove a key, if it is there."""
+        """Remove a key; do nothing if it has no state."""
         if key in self.states:
             self._append(_encode(key, None))
-            self._forget(key)
+            self._drop_record(key)
 
     def close(self) -> None:
-        """Write no more."""
+        """Close the current segment; nothing can be written after that."""
         self._segments.close()
 
-    def _remember(self, key: str, state: State, segment: int, size: int) -> None:
-        self.states[key], self._home[key], self._record_bytes[key] = state, segment, size
+    def _add_record(self, key: str, state: State, segment: int, size: int) -> None:
+        self.states[key], self._segment_by_key[key], self._record_bytes[key] = state, segment, size
         self._live_bytes += size
 
-    def _forget(self, key: str) -> None:
+    def _drop_record(self, key: str) -> None:
         if self.states.pop(key, None) is not None:
-            del self._home[key]
+            del self._segment_by_key[key]
             self._live_bytes -= self._record_bytes.pop(key)
 
     def _append(self, record: bytes) -> None:
@@ -108,16 +110,17 @@
         self._segments.append(record)
 
     def _compact(self) -> None:
-        """Copy the live records of the oldest segment to the newest, and remove it.
+        """Copy the live records of the oldest segment to the newest one, and remove the oldest.
 
-        Only ever the oldest: the record that removes a key must not go before the one that it overrules.
+        Segments are removed in order only: the record that removes a key must not disappear before the record
+        that it supersedes, or the key would be restored.
         """
         oldest = self._segments.oldest
         if oldest == self._segments.current:
             self._segments.roll()
-        for key in [key for key, home in self._home.items() if home == oldest]:
+        for key in [key for key, segment in self._segment_by_key.items() if segment == oldest]:
             self._write(_encode(key, self.states[key]))
-            self._home[key] = self._segments.current
+            self._segment_by_key[key] = self._segments.current
         self._segments.remove_oldest()
 
 
--- a/emberlatch/store/terms_table.py
+++ b/emberlatch/store/terms_table.py
@@ -1,4 +1,4 @@
-"""The numbers by which the journal's records refer to terms, whose text stands once in each segment."""
+"""The numbers by which the journal's records refer to terms; each segment contains their text once."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 
 class TermsTable:
-    """Numbers of terms. No number is given twice in a folder."""
+    """Assigns numbers to terms. A number is never reused in the same folder."""
 
     def __init__(self) -> None:
-        self._numbers: dict[str, int] = {}  # by text
+        self._numbers: dict[str, int] = {}  # number by text
         self._last = 0
-        self._in_segment: set[int] = set()  # numbers whose text stands in the current segment
+        self._in_segment: set[int] = set()  # numbers whose text is in the current segment
 
-    def learn(self, number: int, text: str) -> None:
-        """Take a number that was read."""
+    def add(self, number: int, text: str) -> None:
+        """Add a number that was read from the journal."""
         self._numbers[text] = number
         self._last = max(self._last, number)
 
     def text(self, number: int | None) -> str:
-        """The terms with that number; empty if they are not known."""
+        """Return the text of the terms with this number, or an empty text if the number is unknown."""
         return next((text for text, known in self._numbers.items() if known == number), "")
 
     def number(self, text: str) -> int | None:
-        """The number of these terms, given now if they have none; None for empty terms."""
+        """Return the number of these terms, and assign one if they have none; None for empty terms."""
         if not text:
             return None
         if text not in self._numbers:
@@ -32,14 +32,14 @@
         return self._numbers[text]
 
     def is_written(self, number: int) -> bool:
-        """Whether the text is in the current segment."""
+        """Return whether the text with this number is in the current segment."""
         return number in self._in_segment
 
     def mark_written(self, number: int) -> None:
-        """Note that the text is in the current segment from now on."""
+        """Record that the text with this number was written to the current segment."""
         self._in_segment.add(number)
 
     def start_segment(self, used: Collection[str]) -> None:
-        """A new segment has no text in it; numbers of terms that no entry has are dropped."""
+        """Start a segment, which contains no text yet; drop the numbers of terms not in `used`."""
         self._in_segment.clear()
         self._numbers = {text: number for text, number in self._numbers.items() if text in used}
--- a/tests/store/test_group_sync.py
+++ b/tests/store/test_group_sync.py
@@ -54,7 +54,11 @@
         second.set_result(None)
         while group.pending:
             await asyncio.sleep(0)
-        assert called == list(range(50)) and (group.syncs, group.served, group.largest) == (2, 50, 47)
+        assert called == list(range(50)) and (group.syncs, group.served, group.largest) == (
+            2,
+            50,
+            47,
+        )
 
     run(test)
 
@@ -71,7 +75,7 @@
             await asyncio.sleep(0)
         group.when_durable(lambda: called.append("c"))
         await asyncio.sleep(0)
-        assert called == [] and group.broken and not group.pending and disk.begun.empty()
+        assert called == [] and group.failed and not group.pending and disk.begun.empty()
 
     run(test)
 
