--- a/emberlatch/takeover/__init__.py
+++ b/emberlatch/takeover/__init__.py
@@ -1,8 +1,8 @@
-"""One process replaces another under load: who owns, what is handed over, who waits for calls in flight.
+"""Replaces a running process by a new one under load: hands over ownership, state and connections.
 
-The lock in the state folder decides (`FolderLock`); what the processes tell each other over a Unix socket
-(`UnixConnection`) only informs. `HandoverServer` is in the process that serves and may be asked to hand over,
-`acquire_ownership` in the one that takes over.
+Only the lock in the state folder (`FolderLock`) determines which process is the owner; the messages that the
+processes exchange over a Unix socket (`UnixConnection`) are informative. `HandoverServer` runs in the serving
+process (the predecessor), `acquire_ownership` in the process that takes over (the successor).
 """
 
 from __future__ import annotations
--- a/emberlatch/takeover/connection.py
+++ b/emberlatch/takeover/connection.py
@@ -1,4 +1,4 @@
-"""The connection between two processes on one machine: frames over a Unix socket."""
+"""The connection between predecessor and successor: frames over a Unix socket."""
 
 from __future__ import annotations
 
@@ -10,32 +10,35 @@
 from emberlatch.takeover.errors import HandoverConnectionError
 from emberlatch.takeover.frames import HEADER, MAX_DESCRIPTORS, Fields, Frame, FrameDecoder, encode_frame
 
-READ_BYTES = 64 * 1024
+READ_BYTES = 64 * 1024  # maximum size of one read from the socket
 
 
 class HandoverConnection(Protocol):
-    """A connection between the two processes.
+    """A connection between predecessor and successor.
 
-    Its methods raise HandoverConnectionError where the other process is gone.
+    Its methods raise HandoverConnectionError if the other process has closed the connection or has ended.
     """
 
     closed: bool
 
     def post(self, kind: str, **body: object) -> None:
-        """Send a short frame at once."""
+        """Send a short frame without waiting."""
 
     async def send(self, kind: str, body: Fields, descriptors: Sequence[int] = ()) -> None:
         """Send a frame."""
 
     async def receive(self) -> Frame | None:
-        """The next frame; None at the end."""
+        """Return the next frame, or None once the other process has closed the connection."""
 
     def close(self) -> None:
-        """Close it."""
+        """Close the connection."""
 
 
 class UnixConnection:
-    """A connection over a Unix socket. See `HandoverConnection`; one send and one receipt at a time."""
+    """A connection over a Unix socket; implements `HandoverConnection`.
+
+    At most one `send` and one `receive` may run at a time.
+    """
 
     def __init__(self, connection: socket.socket) -> None:
         connection.setblocking(False)
@@ -44,17 +47,19 @@
         self.closed = False
 
     def post(self, kind: str, **body: object) -> None:
-        """Send a short frame at once. Raises HandoverConnectionError if that can't be."""
+        """Send a short frame without waiting. Raises HandoverConnectionError if that is not possible."""
         data = encode_frame(kind, body, 0)
         try:
             written = self._socket.send(data)
         except OSError as error:
             raise HandoverConnectionError(str(error)) from error
         if written < len(data):
-            raise HandoverConnectionError("the other process does not read")
+            raise HandoverConnectionError(
+                f"the other process does not read: sent {written} of {len(data)} bytes of a {kind!r} frame"
+            )
 
     async def send(self, kind: str, body: Fields, descriptors: Sequence[int] = ()) -> None:
-        """Send a frame. Raises HandoverConnectionError if the other process is gone."""
+        """Send a frame. Raises HandoverConnectionError if the connection is broken."""
         loop, data = asyncio.get_running_loop(), encode_frame(kind, body, len(descriptors))
         try:
             sent = 0
@@ -68,9 +73,9 @@
             raise HandoverConnectionError(str(error)) from error
 
     async def receive(self) -> Frame | None:
-        """The next frame; None once the other process has closed.
+        """Return the next frame, or None once the other process has closed the connection.
 
-        Raises HandoverConnectionError if the connection breaks, or what arrives is no frame.
+        Raises HandoverConnectionError if the connection breaks or the received data is not a valid frame.
         """
         while (frame := self._decoder.next()) is None:
             if not await self._read():
@@ -95,7 +100,7 @@
         register: Callable[[socket.socket, Callable[[], None]], None],
         unregister: Callable[[socket.socket], bool],
     ) -> None:
-        """Wait until the socket can be read, or written."""
+        """Wait until the socket is readable or writable, depending on `register`."""
         ready = asyncio.Event()
         register(self._socket, ready.set)
         try:
@@ -104,7 +109,7 @@
             unregister(self._socket)
 
     def close(self) -> None:
-        """Close it."""
+        """Close the connection and the file descriptors of incomplete frames."""
         if not self.closed:
             self.closed = True
             self._socket.close()
--- a/emberlatch/takeover/errors.py
+++ b/emberlatch/takeover/errors.py
@@ -1,19 +1,19 @@
-"""Errors of a takeover, one tree."""
+"""The exception hierarchy of the takeover."""
 
 from __future__ import annotations
 
 
 class TakeoverError(Exception):
-    """One process cannot take over from another."""
+    """Base class: a process cannot take over from another."""
 
 
 class HandoverConnectionError(TakeoverError):
-    """The other process is gone, or what it sends is no frame."""
+    """The connection to the other process is broken, or the received data is not a valid frame."""
 
 
 class InvalidMessageError(TakeoverError, ValueError):
-    """A frame does not hold the message that its kind promises; what it was to hand over cannot be used."""
+    """The content of a frame does not match its kind, so it must not be used."""
 
 
 class InvalidDescriptorError(TakeoverError, ValueError):
-    """A descriptor's number does not name a listening TCP socket."""
+    """A file descriptor number does not refer to a listening TCP socket."""
--- a/emberlatch/takeover/folder_lock.py
+++ b/emberlatch/takeover/folder_lock.py
@@ -1,6 +1,6 @@
-"""Who owns a state folder: the process that holds an exclusive lock on a file in it (flock(2)).
+"""The ownership lock of a state folder: the owner holds an exclusive flock(2) lock on a file in the folder.
 
-The system releases it when the process dies, however it dies.
+The kernel releases the lock when the process ends, for any reason.
 """
 
 from __future__ import annotations
@@ -9,19 +9,19 @@
 import os
 from pathlib import Path
 
-LOCK_FILE = "lock"  # it stays empty, and takes no space on the disk
+LOCK_FILE = "lock"  # name of the locked file, which stays empty and needs no disk space
 
 
 class FolderLock:
-    """The lock of one folder. See `ports.OwnershipLock`."""
+    """The lock of one folder; implements `ports.OwnershipLock`."""
 
     def __init__(self, folder: Path) -> None:
-        """Open the lock's file. Raises OSError where it cannot be created."""
+        """Open the lock file. Raises OSError if it cannot be created."""
         self._descriptor = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         self.acquired = False
 
     def acquire(self) -> bool:
-        """Acquire the lock if nobody has it; whether this process has it now."""
+        """Try to acquire the lock without waiting; return whether this process holds it now."""
         if not self.acquired:
             try:
                 fcntl.flock(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -31,11 +31,11 @@
         return True
 
     def release(self) -> None:
-        """Release it."""
+        """Release the lock."""
         fcntl.flock(self._descriptor, fcntl.LOCK_UN)
         self.acquired = False
 
     def close(self) -> None:
-        """Release it for good."""
+        """Release the lock and close the lock file."""
         os.close(self._descriptor)
         self.acquired = False
--- a/emberlatch/takeover/messages.py
+++ b/emberlatch/takeover/messages.py
@@ -1,7 +1,7 @@
-"""What two processes tell each other in a takeover: typed messages, and their form in a frame.
+"""The messages of a takeover: typed classes, and their encoding in frames.
 
-A key of a frame stays when a field is renamed, for a process may hand over to one of another version. What
-was handed over is validated before anything of it is used.
+The keys of a frame must not change when a field is renamed, since the two processes may be of different
+versions. A received message is validated before any part of it is used.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from emberlatch.takeover.errors import InvalidMessageError
 from emberlatch.takeover.frames import Fields, Frame
 
-VERSION = 1  # of the format; a state of another version is refused
+VERSION = 1  # version of the state format; a state of another version is rejected
 
 BlockedUntil = tuple[str | int, float]
-"""An endpoint, by its target, or a destination, by its number, and the time at which its Retry-After ends."""
+"""A target (an endpoint) or a destination number, and the time at which its Retry-After ends."""
 
 
 class MessageKind(StrEnum):
-    """The kinds of frames, by their text on the socket."""
+    """The kinds of frames; the values are the texts on the socket."""
 
-    TAKE = "take"
+    TAKEOVER_REQUEST = "take"
     STATE = "state"
-    HAVE = "have"
+    OWNERSHIP_TAKEN = "have"
     BUSY = "busy"
     CANNOT = "cannot"
     CLIENTS = "clients"
@@ -36,40 +36,46 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeoverRequest:
-    """The successor asks the owner to hand over. `version` is not validated: another one is declined."""
+    """The successor asks the owner to hand over.
 
-    kind: ClassVar[MessageKind] = MessageKind.TAKE
+    `version` may be any value: the owner declines a version other than its own.
+    """
+
+    kind: ClassVar[MessageKind] = MessageKind.TAKEOVER_REQUEST
     version: object = VERSION
 
     def to_body(self) -> Fields:
-        """Its fields for the frame."""
+        """Return the fields of the frame."""
         return {"version": self.version}
 
     @classmethod
     def from_body(cls, body: Fields) -> TakeoverRequest:
-        """The request in a frame, of any version."""
+        """Return the request in a frame, of any version."""
         return cls(body.get("version"))
 
 
 @dataclass(frozen=True, slots=True)
 class RequestDeclined:
-    """The owner does not hand over: it is busy (ask again), or cannot at all (wait for the lock)."""
+    """The owner declines the request.
+
+    Kind BUSY means that the successor should ask again, CANNOT that it should wait for the lock.
+    """
 
     kind: MessageKind
 
     def to_body(self) -> Fields:
-        """Its fields for the frame."""
+        """Return the fields of the frame."""
         return {}
 
 
 @dataclass(frozen=True, slots=True)
 class StateSnapshot:
-    """What the owner knows beside the journal. Times are on the monotonic clock, in seconds.
+    """The state of the owner that is not in the journal. Times are in seconds on the monotonic clock.
 
     Attributes:
-        module: what the decision module has learnt (`Forwarder.handover_state`).
-        blocked_until: each endpoint and destination whose Retry-After has not ended, and when it does.
-        known: the endpoint list, as the directory sends it.
+        module: the state of the decision module (`Forwarder.handover_state`).
+        blocked_until: the endpoints and destinations with a running Retry-After, each with its end.
+        known: the endpoint list, in the form in which the directory sends it.
     """
 
     kind: ClassVar[MessageKind] = MessageKind.STATE
@@ -78,7 +84,7 @@
     known: Mapping[str, object]
 
     def to_body(self) -> Fields:
-        """Its fields for the frame."""
+        """Return the fields of the frame."""
         return {
             "version": VERSION,
             "module": self.module,
@@ -88,25 +94,25 @@
 
     @classmethod
     def from_body(cls, body: Fields) -> StateSnapshot:
-        """The state in a frame. Raises InvalidMessageError if any part that must be right is not.
+        """Return the state in a frame. Raises InvalidMessageError if a required part is invalid.
 
-        A call in flight that is not understood would let a second copy of its messages be sent, so one bad
-        call makes all of it invalid. What was learnt of send rates and health is validated by its reader,
-        value by value.
+        If a call in flight were ignored, a second copy of its messages could be sent. So one invalid call
+        makes the state invalid as a unit. Send rates and endpoint health are not validated here: the decision
+        module validates each of their values when it reads them.
         """
         if (version := body.get("version")) != VERSION:
-            raise InvalidMessageError(f"a state in the format {version!r}, not {VERSION}")
+            raise InvalidMessageError(f"state is in format {version!r}, expected {VERSION}")
         try:
             _validate_module(body["module"])
             blocked_until = [(_scope(scope), float(until)) for scope, until in body["waits"]]
             if not isinstance(body["known"]["members"], list):
-                raise InvalidMessageError("no list of targets")
+                raise InvalidMessageError("`members` of `known` is not a list of targets")
         except (KeyError, TypeError, ValueError) as error:
             raise InvalidMessageError(repr(error)) from error
         return cls(body["module"], blocked_until, body["known"])
 
     def relayed_attempts(self) -> list[tuple[int, int, bytes]]:
-        """Message, attempt and target of each attempt that is in flight."""
+        """Return the message reference, attempt number and target of each attempt in flight."""
         return [
             (ref, attempt, call["target"].encode())
             for call in self.module["calls"]
@@ -116,12 +122,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnershipTaken:
-    """The successor has the lock, and has read the journal."""
+    """The successor holds the lock and has read the journal."""
 
-    kind: ClassVar[MessageKind] = MessageKind.HAVE
+    kind: ClassVar[MessageKind] = MessageKind.OWNERSHIP_TAKEN
 
     def to_body(self) -> Fields:
-        """Its fields for the frame."""
+        """Return the fields of the frame."""
         return {}
 
 
@@ -130,8 +136,8 @@
     """A client's connection without a request in progress.
 
     Attributes:
-        data: what has been read of a request that is not complete.
-        proven: whether a well-formed request was answered on it before.
+        data: the bytes read so far of an incomplete request.
+        proven: whether a well-formed request was answered on the connection before.
     """
 
     data: bytes
@@ -140,13 +146,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientConnections:
-    """Connections of clients, one for each descriptor of the frame."""
+    """Client connections, one for each descriptor of the frame."""
 
     kind: ClassVar[MessageKind] = MessageKind.CLIENTS
     clients: tuple[ClientConnection, ...]
 
     def to_body(self) -> Fields:
-        """Its fields for the frame."""
+        """Return the fields of the frame."""
         return {
             "each": [
                 {"data": client.data.decode("latin-1"), "proven": client.proven} for client in self.clients
@@ -155,7 +161,7 @@
 
     @classmethod
     def from_body(cls, body: Fields) -> ClientConnections:
-        """The message in a frame. Raises InvalidMessageError."""
+        """Return the message in a frame. Raises InvalidMessageError if the frame is invalid."""
         try:
             return cls(
                 tuple(
@@ -164,56 +170,56 @@
                 )
             )
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise InvalidMessageError(f"connections of clients: {error!r}") from error
+            raise InvalidMessageError(f"invalid message about client connections: {error!r}") from error
 
 
 @dataclass(frozen=True, slots=True)
 class TargetConnections:
-    """Idle connections to these targets, one for each descriptor of the frame."""
+    """The targets of idle connections, one for each descriptor of the frame."""
 
     kind: ClassVar[MessageKind] = MessageKind.CONNECTIONS
     targets: tuple[bytes, ...]
 
     def to_body(self) -> Fields:
-        """Its fields for the frame."""
+        """Return the fields of the frame."""
         return {"each": [target.decode() for target in self.targets]}
 
     @classmethod
     def from_body(cls, body: Fields) -> TargetConnections:
-        """The message in a frame. Raises InvalidMessageError."""
+        """Return the message in a frame. Raises InvalidMessageError if the frame is invalid."""
         try:
             return cls(tuple(target.encode() for target in body.get("each", ())))
         except (KeyError, TypeError, AttributeError) as error:
-            raise InvalidMessageError(f"connections to targets: {error!r}") from error
+            raise InvalidMessageError(f"invalid message about target connections: {error!r}") from error
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedOutcomes:
-    """Outcomes of attempts that were in flight at the cut-over."""
+    """Outcomes of attempts that were in flight when ownership changed."""
 
     kind: ClassVar[MessageKind] = MessageKind.OUTCOMES
     outcomes: tuple[Outcome, ...]
 
     def to_body(self) -> Fields:
-        """Its fields for the frame."""
+        """Return the fields of the frame."""
         return {"each": [_encode_outcome(outcome) for outcome in self.outcomes]}
 
     @classmethod
     def from_body(cls, body: Fields) -> RelayedOutcomes:
-        """The message in a frame. Raises InvalidMessageError."""
+        """Return the message in a frame. Raises InvalidMessageError if the frame is invalid."""
         try:
             return cls(tuple(_decode_outcome(each) for each in body.get("each", ())))
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise InvalidMessageError(f"outcomes: {error!r}") from error
+            raise InvalidMessageError(f"invalid message about outcomes: {error!r}") from error
 
 
 RelayMessage = ClientConnections | TargetConnections | RelayedOutcomes
 
 
 def decode_relay_message(frame: Frame) -> RelayMessage | None:
-    """The message in a frame that follows the state; None if its kind is not known.
+    """Return the message in a frame that follows the state, or None if its kind is unknown.
 
-    Raises InvalidMessageError.
+    Raises InvalidMessageError if the frame is invalid.
     """
     match frame.kind:
         case MessageKind.CLIENTS:
@@ -244,13 +250,13 @@
 
 def _validate_integer(value: object) -> None:
     if isinstance(value, bool) or not isinstance(value, int):
-        raise InvalidMessageError(f"no number: {value!r}")
+        raise InvalidMessageError(f"{value!r} is not an integer")
 
 
 def _scope(value: object) -> str | int:
-    """The endpoint or the destination that a Retry-After applies to."""
+    """Return the endpoint or the destination to which a Retry-After applies."""
     if not isinstance(value, str | int):
-        raise InvalidMessageError(f"a wait for {value!r}")
+        raise InvalidMessageError(f"Retry-After for {value!r}, expected a target or a destination number")
     return value
 
 
--- a/emberlatch/takeover/ports.py
+++ b/emberlatch/takeover/ports.py
@@ -1,4 +1,4 @@
-"""What a takeover needs of the two processes."""
+"""The interfaces that a takeover requires of the lock, the predecessor and the successor."""
 
 from __future__ import annotations
 
@@ -11,69 +11,72 @@
 
 
 class OwnershipLock(Protocol):
-    """The lock that decides who owns the state folder."""
+    """The lock that determines which process owns the state folder."""
 
     @property
     def acquired(self) -> bool:
-        """Whether this process has it."""
+        """Whether this process holds the lock."""
 
     def acquire(self) -> bool:
-        """Acquire the lock if nobody has it; whether this process has it now."""
+        """Try to acquire the lock without waiting; return whether this process holds it now."""
 
     def release(self) -> None:
-        """Release it."""
+        """Release the lock."""
 
 
 class Predecessor(Protocol):
     """The process that hands over."""
 
     async def pause_ingress(self) -> None:
-        """Accept no connection and read no request: what clients send waits in the sockets."""
+        """Stop accepting connections and reading requests; data from clients stays in the socket buffers."""
 
     def freeze(self, report: Callable[[Outcome], None]) -> StateSnapshot:
-        """Make the last decisions and write no more; returns the state.
+        """Make the last decisions, stop writing to the journal, and return the state.
 
-        Outcomes of calls in flight go to `report` from now on.
+        Outcomes of calls in flight are passed to `report` from now on.
         """
 
     def thaw(self) -> None:
-        """Decide and write again as before `freeze`: no process has taken over."""
+        """Resume decisions and writes after `freeze`, because no other process took over."""
 
     def on_relayed_outcome(self, outcome: Outcome) -> None:
         """Apply an outcome that arrived between `freeze` and `thaw`."""
 
     def client_connections(self) -> Iterator[tuple[int, ClientConnection]]:
-        """Descriptor and state of each connection that can be handed over.
+        """Yield the descriptor and the state of each client connection that can be handed over.
 
-        The process closes one when the next is asked for.
+        Each connection is closed when the next one is requested.
         """
 
     def target_connections(self) -> Iterator[tuple[int, bytes]]:
-        """Descriptor and target of each idle connection, likewise."""
+        """Yield the descriptor and the target of each idle connection.
+
+        Each connection is closed when the next one is requested.
+        """
 
     def begin_drain(self) -> None:
-        """Another process owns the folder: reject the clients that are left, wait for calls in flight."""
+        """Reject remaining clients and wait for calls in flight: another process owns the folder."""
 
     @property
     def in_flight(self) -> int:
-        """Calls in flight, and attempts whose outcomes this process's own predecessor relays."""
+        """The number of calls in flight, plus that of attempts whose outcomes its own predecessor relays."""
 
     @property
     def has_clients(self) -> bool:
-        """Whether any client is left."""
+        """Whether any client is still connected."""
 
 
 class Successor(Protocol):
     """The process that takes over."""
 
     def adopt_client(self, connection: socket.socket, data: bytes, proven: bool) -> None:
-        """Take a client's connection; see `ClientConnection`."""
+        """Take over a client connection; see `ClientConnection`."""
 
     async def adopt_target_connection(self, target: bytes, connection: socket.socket) -> None:
-        """Take an idle connection to a target."""
+        """Take over an idle connection to a target."""
 
     def on_relayed_outcome(self, outcome: Outcome) -> None:
-        """An attempt that was in flight in the predecessor has an outcome."""
+        """Apply the outcome of an attempt that was in flight in the predecessor."""
 
     def on_relay_closed(self) -> None:
-        """The predecessor relays no more."""
+        """Handle the end of the relay: no more outcomes follow from the predecessor."""
--- a/emberlatch/takeover/predecessor.py
+++ b/emberlatch/takeover/predecessor.py
@@ -1,4 +1,4 @@
-"""The process that owns the state folder, from a successor's request until it has handed over."""
+"""The predecessor's side of a takeover: the owner of the state folder hands it over to a successor."""
 
 from __future__ import annotations
 
@@ -28,35 +28,36 @@
 
 log = logging.getLogger(__name__)
 
-REQUEST_TIMEOUT_S = 1.0  # from the connection to its request
-OWNERSHIP_TIMEOUT_S = 2.0  # from the state to the successor's ownership
-LOCK_RETRY_S = 0.02
-LOCK_LOST_AFTER_S = 1.0  # after a broken connection: who has not got the lock by then has lost it
-PEER_CREDENTIALS = struct.Struct("3i")  # process, user and group, see SO_PEERCRED in unix(7)
+REQUEST_TIMEOUT_S = 1.0  # maximum time from accepting a connection to receiving its request
+OWNERSHIP_TIMEOUT_S = 2.0  # maximum time from sending the state to the successor's confirmation
+LOCK_RETRY_S = 0.02  # interval between attempts to acquire the lock again
+LOCK_LOST_AFTER_S = 1.0
+"""Time after a broken connection at which a lock that cannot be acquired counts as lost to the successor."""
+PEER_CREDENTIALS = struct.Struct("3i")  # ids of process, user and group; see SO_PEERCRED in unix(7)
 DECLINED = {
     HandoverReply.BUSY: RequestDeclined(MessageKind.BUSY),
     HandoverReply.CANNOT: RequestDeclined(MessageKind.CANNOT),
 }
 
 
-class Answer(Enum):
-    """What became of the state that was sent."""
+class SuccessorAnswer(Enum):
+    """The successor's answer to the state that was sent to it."""
 
     OWNERSHIP_TAKEN = auto()
-    NONE = auto()  # in time
-    BROKEN = auto()  # the connection, or what came on it
+    TIMED_OUT = auto()  # no answer within OWNERSHIP_TIMEOUT_S
+    BROKEN = auto()  # the connection broke or closed, or an unexpected frame was received
 
 
 class HandoverServer:
     """Listens for a successor, and hands over to it.
 
     Attributes:
-        state_machine: to be read only.
-        ended: set once this process has nothing left to do: another owns the folder, nothing is in flight.
+        state_machine: must not be changed by callers.
+        ended: set once this process may exit: another process owns the folder, and the relay has ended.
     """
 
     def __init__(self, lock: OwnershipLock, process: Predecessor, tasks: Tasks) -> None:
-        """`lock` is acquired already. Connections are served in `tasks`."""
+        """`lock` must be acquired already. Connections are served in `tasks`."""
         self._lock, self._process, self._tasks = lock, process, tasks
         self.state_machine = HandoverStateMachine(VERSION)
         self.ended = asyncio.Event()
@@ -66,19 +67,19 @@
         self._decided.set()
 
     def start(self, path: Path) -> None:
-        """Listen there. Raises OSError."""
+        """Listen on a Unix socket at `path`. Raises OSError if that fails."""
         self._listener = listen(path)
         asyncio.get_running_loop().add_reader(self._listener, self._accept)
 
     def close(self) -> None:
-        """Listen no more. The path stays: by now it may be the successor's."""
+        """Stop listening. The socket file is not removed, since it may already belong to the successor."""
         if self._listener is not None:
             asyncio.get_running_loop().remove_reader(self._listener)
             self._listener.close()
             self._listener = None
 
     async def decided(self) -> None:
-        """Wait until it is known who owns the folder."""
+        """Wait until no hand-over is in progress whose result, the owner of the folder, is unknown."""
         await self._decided.wait()
 
     def _accept(self) -> None:
@@ -86,7 +87,7 @@
         try:
             connection, _ = self._listener.accept()
         except OSError as error:
-            log.info("takeover: %s", error)
+            log.info("takeover: cannot accept a connection: %s", error)
             return
         credentials = connection.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
         _, user, _ = PEER_CREDENTIALS.unpack(credentials)
@@ -96,7 +97,7 @@
         self._tasks.spawn(self.serve(UnixConnection(connection)))
 
     async def serve(self, connection: HandoverConnection) -> None:
-        """Answer the request of a process that has connected, and hand over if that can be."""
+        """Answer the request of a connected process, and hand over if the state allows it."""
         try:
             async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 frame = await connection.receive()
@@ -108,13 +109,13 @@
                 return
             await self._hand_over(connection)
         except (HandoverConnectionError, TimeoutError) as error:
-            log.info("takeover: %r", error)
+            log.info("takeover: request of another process failed: %r", error)
         finally:
             connection.close()
 
     def _reply(self, frame: Frame) -> HandoverReply:
         frame.close()
-        if frame.kind != MessageKind.TAKE:
+        if frame.kind != MessageKind.TAKEOVER_REQUEST:
             return HandoverReply.CANNOT
         return self.state_machine.on_request(TakeoverRequest.from_body(frame.body).version)
 
@@ -131,40 +132,46 @@
 
     async def _cut_over(self, connection: HandoverConnection) -> None:
         loop = asyncio.get_running_loop()
-        log.info("takeover: another process asks; clients are paused")
+        log.info("takeover: another process requests ownership; no client requests are read meanwhile")
         began = loop.time()
         await self._process.pause_ingress()
         answer = await self._send_state(connection, self._process.freeze(self._outcomes.put))
-        if answer is Answer.OWNERSHIP_TAKEN:
+        if answer is SuccessorAnswer.OWNERSHIP_TAKEN:
             self.state_machine.on_ownership_taken()
         else:
             self.state_machine.on_no_answer()
-            await self._reclaim(connection, answer is Answer.BROKEN)
+            await self._reclaim(connection, answer is SuccessorAnswer.BROKEN)
         if self.state_machine.state is HandoverState.SERVING:
-            log.error("takeover: no process has taken over; going on")
+            log.error("takeover: no process took over; this process continues as the owner")
             self._process.thaw()
             for outcome in self._outcomes.take_all():
                 self._process.on_relayed_outcome(outcome)
         else:
             elapsed = loop.time() - began
-            log.info("takeover: another process owns, %.0f ms after it asked", elapsed * 1000)
+            log.info(
+                "takeover: another process owns the state folder, %.0f ms after its request", elapsed * 1000
+            )
             self.close()
 
-    async def _send_state(self, connection: HandoverConnection, snapshot: StateSnapshot) -> Answer:
+    async def _send_state(self, connection: HandoverConnection, snapshot: StateSnapshot) -> SuccessorAnswer:
         """Send the state, release the lock and wait for the successor to own the folder."""
         try:
             async with asyncio.timeout(OWNERSHIP_TIMEOUT_S):
                 await connection.send(snapshot.kind, snapshot.to_body())
                 self._lock.release()
-                return _answer(await connection.receive())
+                return _classify_answer(await connection.receive())
         except (HandoverConnectionError, TimeoutError) as error:
-            log.error("takeover: no answer: %r", error)
-            return Answer.BROKEN if isinstance(error, HandoverConnectionError) else Answer.NONE
+            log.error("takeover: the successor did not confirm its ownership: %r", error)
+            return (
+                SuccessorAnswer.BROKEN
+                if isinstance(error, HandoverConnectionError)
+                else SuccessorAnswer.TIMED_OUT
+            )
 
     async def _reclaim(self, connection: HandoverConnection, broken: bool) -> None:
-        """Try to get the lock back, until it is known which process has it.
+        """Try to acquire the lock again until it is known which process holds it.
 
-        The system does not notify of a lock's release, so it is tried again and again.
+        flock(2) has no notification of a release, so the lock is polled.
         """
         loop = asyncio.get_running_loop()
         lost_at = loop.time() + LOCK_LOST_AFTER_S if broken else None
@@ -177,7 +184,7 @@
                 await asyncio.wait({receipt}, timeout=LOCK_RETRY_S)
                 if lost_at is None and receipt.done():
                     frame = None if receipt.exception() is not None else receipt.result()
-                    if _answer(frame) is Answer.OWNERSHIP_TAKEN:
+                    if _classify_answer(frame) is SuccessorAnswer.OWNERSHIP_TAKEN:
                         self.state_machine.on_ownership_taken()
                         break
                     lost_at = loop.time() + LOCK_LOST_AFTER_S
@@ -194,12 +201,12 @@
         try:
             await Relay(connection, self._process, self._outcomes).run()
         except HandoverConnectionError as error:
-            log.error("takeover: nobody is left to notify: %s", error)
+            log.error("takeover: outcomes cannot be relayed to the successor: %s", error)
             self.state_machine.on_no_answer()
         else:
             self.state_machine.on_relay_finished()
 
 
-def _answer(frame: Frame | None) -> Answer:
-    is_taken = frame is not None and frame.kind == MessageKind.HAVE
-    return Answer.OWNERSHIP_TAKEN if is_taken else Answer.BROKEN
+def _classify_answer(frame: Frame | None) -> SuccessorAnswer:
+    is_taken = frame is not None and frame.kind == MessageKind.OWNERSHIP_TAKEN
+    return SuccessorAnswer.OWNERSHIP_TAKEN if is_taken else SuccessorAnswer.BROKEN
--- a/emberlatch/takeover/relay.py
+++ b/emberlatch/takeover/relay.py
@@ -1,4 +1,4 @@
-"""The predecessor's part after the cut-over: it hands over connections and relays outcomes."""
+"""The predecessor's tasks after the successor has taken ownership: hand over connections, relay outcomes."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 log = logging.getLogger(__name__)
 
-IN_FLIGHT_POLL_S = 0.1  # a call may end without an outcome, which nobody notifies of
-CLIENT_LINGER_S = 2.5  # for those clients that could not be handed over
-CLIENT_POLL_S = 0.02
+IN_FLIGHT_POLL_S = 0.1  # poll interval, needed since a call that ends without an outcome is not notified
+CLIENT_LINGER_S = 2.5  # time for which clients are served whose connections could not be handed over
+CLIENT_POLL_S = 0.02  # interval between checks for connected clients
 
 Item = TypeVar("Item")
 
 
 class OutcomeQueue:
-    """Outcomes that arrive from the cut-over on."""
+    """Outcomes that arrive after `Predecessor.freeze`."""
 
     def __init__(self) -> None:
         self._outcomes: list[Outcome] = []
@@ -36,17 +36,17 @@
         return len(self._outcomes)
 
     def put(self, outcome: Outcome) -> None:
-        """An attempt that was in flight at the cut-over has an outcome."""
+        """Add the outcome of an attempt that was in flight at `Predecessor.freeze`."""
         self._outcomes.append(outcome)
         self._arrived.set()
 
     def take_all(self) -> list[Outcome]:
-        """Those that are there; they are removed."""
+        """Remove and return all queued outcomes."""
         outcomes, self._outcomes = self._outcomes, []
         return outcomes
 
     async def wait(self, timeout: float) -> None:
-        """Wait for the next one, for at most so many seconds."""
+        """Wait for the next outcome, for at most `timeout` seconds."""
         self._arrived.clear()
         with suppress(TimeoutError):
             async with asyncio.timeout(timeout):
@@ -54,36 +54,38 @@
 
 
 class Relay:
-    """Serves one successor, once it owns the folder."""
+    """Hands over connections and relays outcomes to a successor that owns the folder."""
 
     def __init__(self, connection: HandoverConnection, process: Predecessor, outcomes: OutcomeQueue) -> None:
         self._connection, self._process, self._outcomes = connection, process, outcomes
 
     async def run(self) -> None:
-        """Hand over connections, then relay outcomes until nothing is in flight and the clients are gone.
+        """Hand over connections, relay outcomes until nothing is in flight, and wait for remaining clients.
 
-        What the process before this one relays is in flight too, and is passed on. Raises
-        HandoverConnectionError if the successor is gone before.
+        Attempts whose outcomes this process's own predecessor relays count as in flight, and their outcomes
+        are passed on. Raises HandoverConnectionError if the successor closes the connection before that.
         """
-        successor_gone = asyncio.ensure_future(self._connection.receive())
+        connection_end = asyncio.ensure_future(self._connection.receive())
         try:
             await self._hand_over_connections()
             self._process.begin_drain()
             deadline = asyncio.get_running_loop().time() + CLIENT_LINGER_S
-            await self._relay_outcomes(successor_gone)
-            log.info("takeover: nothing is in flight any more")
-            self._connection.close()  # which says to the successor that no outcome follows
+            await self._relay_outcomes(connection_end)
+            log.info("takeover: no call is in flight any more; all outcomes are relayed")
+            self._connection.close()  # tells the successor that no more outcomes follow
             await self._wait_for_clients(deadline)
         finally:
-            successor_gone.cancel()
-            await asyncio.wait({successor_gone})
-            if not successor_gone.cancelled():
-                successor_gone.exception()
+            connection_end.cancel()
+            await asyncio.wait({connection_end})
+            if not connection_end.cancelled():
+                connection_end.exception()
 
-    async def _relay_outcomes(self, successor_gone: asyncio.Task[Frame | None]) -> None:
+    async def _relay_outcomes(self, connection_end: asyncio.Task[Frame | None]) -> None:
         while self._process.in_flight or self._outcomes:
-            if successor_gone.done():
-                raise HandoverConnectionError("the successor is gone")
+            if connection_end.done():
+                raise HandoverConnectionError(
+                    f"connection to the successor ended with {self._process.in_flight} attempts in flight"
+                )
             if outcomes := self._outcomes.take_all():
                 message = RelayedOutcomes(tuple(outcomes))
                 await self._connection.send(message.kind, message.to_body())
@@ -92,7 +94,8 @@
 
     async def _wait_for_clients(self, deadline: float) -> None:
         loop = asyncio.get_running_loop()
-        # Clients leave one by one, in the transport's callbacks; this runs once in a process's life.
+        # Clients disconnect in the transport's callbacks, without an event to wait for. This loop runs once
+        # in the lifetime of a process, so polling is acceptable.
         while self._process.has_clients and loop.time() < deadline:  # noqa: ASYNC110
             await asyncio.sleep(CLIENT_POLL_S)
 
@@ -100,18 +103,18 @@
         count = await self._send_batches(
             self._process.client_connections(), lambda clients: ClientConnections(tuple(clients))
         )
-        log.info("takeover: %d connections of clients handed over", count)
+        log.info("takeover: %d client connections handed over", count)
         count = await self._send_batches(
             self._process.target_connections(), lambda targets: TargetConnections(tuple(targets))
         )
-        log.info("takeover: %d connections to targets handed over", count)
+        log.info("takeover: %d target connections handed over", count)
 
     async def _send_batches(
         self,
         connections: Iterator[tuple[int, Item]],
         message_of: Callable[[list[Item]], ClientConnections | TargetConnections],
     ) -> int:
-        """Send connections, as many in a frame as it may have; returns how many they were."""
+        """Send connections, up to MAX_DESCRIPTORS per frame, and return their number."""
         count = 0
         while batch := self._next_batch(connections):
             count += len(batch)
@@ -125,7 +128,10 @@
         return count
 
     def _next_batch(self, connections: Iterator[tuple[int, Item]]) -> list[tuple[int, Item]]:
-        """Connections for one frame, with descriptors of their own: the process closes its when asked on."""
+        """Return the connections for one frame.
+
+        The descriptors are duplicated, because the iterator closes each one when the next is requested.
+        """
         batch: list[tuple[int, Item]] = []
         for descriptor, item in connections:
             batch.append((os.dup(descriptor), item))
--- a/emberlatch/takeover/state_machine.py
+++ b/emberlatch/takeover/state_machine.py
@@ -1,21 +1,21 @@
-"""The states of the process that hands over, without I/O and without a clock.
+"""The state machine of the process that hands over, without I/O and clock.
 
 | state | event | next state | what the process does |
 | --- | --- | --- | --- |
-| serving | request, same version | handing over | pause clients, end the turn, send state, release the lock |
+| serving | request, same version | handing over | pause clients, freeze, send state, release the lock |
 | serving | request, other version | serving | answer `cannot` |
 | handing over, reclaiming | request | the same | answer `busy` |
 | relaying, shutting down, ended | request | the same | answer `cannot` |
 | handing over | ownership taken | relaying | hand over connections, relay outcomes |
 | handing over | no answer in time, or the connection broke | reclaiming | try to acquire the lock |
-| reclaiming | lock acquired | serving | go on as if nothing had been |
-| reclaiming | ownership taken | relaying | as above |
-| reclaiming | the connection broke, and another process has the lock | ended | end: somebody else owns |
-| relaying | nothing is in flight | ended | end |
-| relaying | the connection broke | ended | end: nobody is left to notify |
-| serving | SIGTERM | shutting down | stop as usual |
-| handing over, reclaiming | SIGTERM | the same | stop once it is known who owns |
-| relaying | SIGTERM | relaying | go on, for as long as a stop may take |
+| reclaiming | lock acquired | serving | resume normal operation |
+| reclaiming | ownership taken | relaying | hand over connections, relay outcomes |
+| reclaiming | the connection broke, and another process holds the lock | ended | exit: another process owns |
+| relaying | nothing is in flight | ended | exit |
+| relaying | the connection broke | ended | exit: outcomes cannot be relayed |
+| serving | SIGTERM | shutting down | shut down gracefully |
+| handing over, reclaiming | SIGTERM | the same | shut down once the owner is known |
+| relaying | SIGTERM | relaying | continue within the time limit of a graceful shutdown |
 """
 
 from __future__ import annotations
@@ -35,25 +35,25 @@
 
 
 class HandoverReply(Enum):
-    """What the owner does about a request."""
+    """The owner's decision on a takeover request."""
 
     HAND_OVER = auto()
-    BUSY = auto()  # the successor is to ask again
-    CANNOT = auto()  # the successor is to wait for the lock
+    BUSY = auto()  # the successor should ask again
+    CANNOT = auto()  # the successor should wait for the lock
 
 
 UNDECIDED = (HandoverState.HANDING_OVER, HandoverState.RECLAIMING)
 
 
 class HandoverStateMachine:
-    """See the module.
+    """Implements the transitions in the table of this module.
 
     Attributes:
-        state: changed by the methods here alone.
+        state: the current state; changed by the methods of this class only.
     """
 
     def __init__(self, version: int) -> None:
-        """`version` is the format of the state that this process hands over."""
+        """`version` is the version of the state format that this process hands over."""
         self.state, self._version = HandoverState.SERVING, version
 
     @property
@@ -63,11 +63,11 @@
 
     @property
     def owns(self) -> bool:
-        """Whether this process owns it."""
+        """Whether this process owns the state folder."""
         return self.state in (HandoverState.SERVING, HandoverState.SHUTTING_DOWN)
 
     def on_request(self, version: object) -> HandoverReply:
-        """Another process wants to take over, and can read that version."""
+        """Handle a takeover request of a process that can read the given version of the state format."""
         if self.state in UNDECIDED:
             return HandoverReply.BUSY
         if self.state is not HandoverState.SERVING or version != self._version:
@@ -76,34 +76,34 @@
         return HandoverReply.HAND_OVER
 
     def on_ownership_taken(self) -> None:
-        """The successor says that it owns the folder."""
+        """Handle the successor's confirmation that it owns the folder."""
         if self.state in UNDECIDED:
             self.state = HandoverState.RELAYING
 
     def on_no_answer(self) -> None:
-        """No answer came in time, or the connection broke."""
+        """Handle a missing answer within the time limit, or a broken connection."""
         if self.state is HandoverState.HANDING_OVER:
             self.state = HandoverState.RECLAIMING
         elif self.state is HandoverState.RELAYING:
             self.state = HandoverState.ENDED
 
     def on_lock_reacquired(self) -> None:
-        """This process has the lock again."""
+        """Handle the renewed acquisition of the lock by this process."""
         if self.state is HandoverState.RECLAIMING:
             self.state = HandoverState.SERVING
 
     def on_lock_lost(self) -> None:
-        """Another process has the lock, and cannot say so."""
+        """Handle the loss of the lock to a process that cannot confirm it over the broken connection."""
         if self.state is HandoverState.RECLAIMING:
             self.state = HandoverState.ENDED
 
     def on_relay_finished(self) -> None:
-        """Nothing is in flight any more."""
+        """Handle the end of the relay: nothing is in flight any more."""
         if self.state is HandoverState.RELAYING:
             self.state = HandoverState.ENDED
 
     def on_stop(self) -> bool:
-        """SIGTERM; whether this process owns the folder, and stops as an owner does."""
+        """Handle SIGTERM; return whether this process must shut down gracefully as the owner."""
         if self.state is HandoverState.SERVING:
             self.state = HandoverState.SHUTTING_DOWN
         return self.state is HandoverState.SHUTTING_DOWN
--- a/emberlatch/takeover/successor.py
+++ b/emberlatch/takeover/successor.py
@@ -1,4 +1,4 @@
-"""The process that takes over: it acquires the lock, by the owner's leave if it can ask, and goes on."""
+"""The successor's side of a takeover: it asks the owner to hand over, and acquires the lock."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
 log = logging.getLogger(__name__)
 
-LOCK_RETRY_S = 0.05
-RELEASED_LOCK_RETRY_S = 0.002  # once the owner has sent its state, and releases the lock
-HANDOVER_TIMEOUT_S = 3.0  # for the owner to send its state, and to release the lock
+LOCK_RETRY_S = 0.05  # interval between attempts to acquire the lock
+RELEASED_LOCK_RETRY_S = 0.002  # the same, after the owner has sent its state and is about to release the lock
+HANDOVER_TIMEOUT_S = 3.0  # maximum time for the owner to send its state and release the lock
 
 
 class ReceivedHandover:
-    """What the owner has handed over; see `engine.ReceivedHandover`.
+    """The state that the predecessor handed over; implements `engine.ReceivedHandover`.
 
     Attributes:
-        module: what the decision module had learnt.
-        relayed: message, attempt and target of each attempt in flight, whose outcome the predecessor relays.
+        module: the state of the decision module.
+        relayed: message reference, attempt number and target of each attempt whose outcome is relayed.
         blocked_until, known: see `StateSnapshot`.
     """
 
@@ -47,15 +47,19 @@
         self._connection = connection
 
     def confirm_ownership(self) -> None:
-        """Notify the predecessor; if it is gone, what it had in flight may have been executed."""
+        """Notify the predecessor that this process owns the folder.
+
+        If the predecessor cannot be reached, the connection is closed: `follow` then reports the end of the
+        relay, and the attempts in flight count as possibly executed.
+        """
         try:
             self._connection.post(OwnershipTaken.kind)
         except HandoverConnectionError as error:
-            log.info("takeover: the predecessor is gone: %s", error)
+            log.info("takeover: the predecessor cannot be notified: %s", error)
             self._connection.close()
 
     async def follow(self, successor: Successor) -> None:
-        """Take what the predecessor still hands over and relays, until it ends."""
+        """Receive connections and outcomes from the predecessor until it closes the connection."""
         try:
             while not self._connection.closed and (frame := await self._connection.receive()) is not None:
                 try:
@@ -63,8 +67,9 @@
                 finally:
                     frame.close()
         except (HandoverConnectionError, InvalidMessageError, OSError) as error:
-            log.error("takeover: the connection broke: %s", error)
-        except asyncio.CancelledError:  # this process ends: the outcomes of what is in flight stay unknown
+            log.error("takeover: the connection to the predecessor broke: %s", error)
+        except asyncio.CancelledError:
+            # This process is stopping: outcomes of attempts in flight stay unknown.
             self._connection.close()
             raise
         self._connection.close()
@@ -82,30 +87,32 @@
                 for outcome in outcomes:
                     successor.on_relayed_outcome(outcome)
             case None:
-                log.info("takeover: a frame of kind %r is skipped", frame.kind)
+                log.info("takeover: skipped a frame of unknown kind %r", frame.kind)
 
 
 def _next_socket(frame: Frame) -> socket.socket:
     if not frame.descriptors:
-        raise InvalidMessageError("fewer descriptors than connections")
+        raise InvalidMessageError(f"{frame.kind!r} frame has fewer descriptors than connections")
     return socket.socket(fileno=frame.descriptors.pop(0))
 
 
 async def acquire_ownership(
     lock: OwnershipLock, connect: Callable[[], HandoverConnection] | None
 ) -> ReceivedHandover | None:
-    """Wait until this process has the lock; returns what the owner handed over.
+    """Wait until this process holds the lock, and return the state that the owner handed over.
 
-    `connect` connects to the owner, or raises OSError; without it the owner cannot be asked. Returns None
-    where nothing was handed over and only the journal tells. The system does not notify of a lock's release,
-    so it is tried again and again.
+    `connect` connects to the owner or raises OSError; if it is None, the owner is not asked. Returns None if
+    no state was handed over, so that only the journal is available. flock(2) has no notification of a
+    release, so the lock is polled.
     """
     while not lock.acquire():
         if connect is not None:
             try:
                 handover = await _request(lock, connect)
             except InvalidMessageError as error:
-                log.error("takeover: %s; waiting for the owner to end", error)
+                log.error(
+                    "takeover: cannot use the answer of the owner: %s; waiting for the owner to exit", error
+                )
                 connect = None
                 continue
             except (HandoverConnectionError, TimeoutError) as error:
@@ -118,10 +125,10 @@
 
 
 async def _request(lock: OwnershipLock, connect: Callable[[], HandoverConnection]) -> ReceivedHandover | None:
-    """Ask the owner to hand over; None if it is to be asked again."""
+    """Ask the owner to hand over; return None if it should be asked again."""
     try:
         connection = connect()
-    except OSError:  # no process listens yet, or any more
+    except OSError:  # no process is listening, or its backlog is full
         return None
     try:
         async with asyncio.timeout(HANDOVER_TIMEOUT_S):
@@ -132,7 +139,9 @@
                 connection.close()
                 return None
             if frame.kind != MessageKind.STATE:
-                raise InvalidMessageError(f"the owner cannot hand over: it answers {frame.kind!r}")
+                raise InvalidMessageError(
+                    f"no hand-over: got a {frame.kind!r} frame, expected {MessageKind.STATE.value!r}"
+                )
             snapshot = StateSnapshot.from_body(frame.body)
             while not lock.acquire():  # noqa: ASYNC110 - see acquire_ownership
                 await asyncio.sleep(RELEASED_LOCK_RETRY_S)
--- a/emberlatch/takeover/unix_socket.py
+++ b/emberlatch/takeover/unix_socket.py
@@ -1,4 +1,7 @@
-"""Where the owner of a state folder listens for its successor: a Unix socket that only its user may open."""
+"""The Unix socket on which the owner of a state folder listens for its successor.
+
+Only the user of the owner may connect to it.
+"""
 
 from __future__ import annotations
 
@@ -9,22 +12,25 @@
 
 from emberlatch.takeover.connection import UnixConnection
 
-MAX_ADDRESS_BYTES = 107  # of a Unix socket's address
-MAX_NAME_LENGTH = 40  # of a forwarder's name in a file's name
-BACKLOG = 8
+MAX_ADDRESS_BYTES = 107  # maximum length of a Unix socket's address
+MAX_NAME_LENGTH = 40  # maximum length of a forwarder's name within the file name, in characters
+BACKLOG = 8  # maximum number of connections that wait to be accepted
 
 
 def handover_socket_path(name: str) -> Path:
-    """Where the owner of that name listens: in the folder for temporary files, which both processes share."""
+    """Return the socket path of the forwarder `name`, in the folder for temporary files.
+
+    Predecessor and successor share that folder.
+    """
     plain = "".join(c if c.isalnum() or c in "-_" else "_" for c in name)[:MAX_NAME_LENGTH]
     return Path(os.environ.get("TMPDIR") or "/tmp") / f"emberlatch-{plain}.sock"
 
 
 def listen(path: Path) -> socket.socket:
-    """Listen at a path, in place of what a dead process left there. Raises OSError."""
+    """Listen on a Unix socket at `path`; replace the socket file of an earlier process. Raises OSError."""
     path.unlink(missing_ok=True)
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
-    before = os.umask(0o177)  # so that there is no moment in which other users may connect
+    before = os.umask(0o177)  # created with mode 0600, so other users can never connect
     try:
         _with_address(path, listener.bind)
     except OSError:
@@ -38,9 +44,9 @@
 
 
 def connect(path: Path) -> socket.socket:
-    """Connect to the process that listens there. Raises OSError if none does."""
+    """Connect to the process that listens at `path`. Raises OSError if there is none."""
     connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
-    connection.setblocking(False)  # it is connected at once, or the backlog is full
+    connection.setblocking(False)  # connecting succeeds at once, or fails because the backlog is full
     try:
         _with_address(path, connection.connect)
     except OSError:
@@ -50,12 +56,12 @@
 
 
 def open_connection(path: Path) -> UnixConnection:
-    """A connection to the process that listens there. Raises OSError if none does."""
+    """Return a connection to the process that listens at `path`. Raises OSError if there is none."""
     return UnixConnection(connect(path))
 
 
 def _with_address(path: Path, use: Callable[[str], None]) -> None:
-    """Use a path as an address; one that is too long for that is named through its folder."""
+    """Call `use` with a path as socket address; shorten a path that is too long through /proc/self/fd."""
     if len(os.fsencode(path)) <= MAX_ADDRESS_BYTES:
         use(str(path))
         return
