--- a/tests/engine/test_active_settings.py
+++ b/tests/engine/test_active_settings.py
@@ -24,7 +24,7 @@
     return Entry(1, "m1", "", category, "", 7, 100.0, terms=terms)
 
 
-def test_a_valid_submission_gets_the_number_of_its_class() -> None:
+def test_validate_returns_the_class_number_of_a_valid_submission() -> None:
     active = make_active()
     for number, category in enumerate(active.current.categories):
         assert active.validate(replace(VALID, category=category.name)) == number
@@ -53,12 +53,12 @@
         active.validate(VALID)
 
 
-def test_the_module_gets_the_deadline_margin_and_no_probes() -> None:
+def test_settings_for_the_decision_module_have_the_deadline_margin_and_no_probes() -> None:
     active = ActiveSettings(make_settings(probes=True))
     assert not active.current.probes and active.current.end_margin == DEADLINE_MARGIN_S
 
 
-def test_a_message_keeps_its_terms_when_the_class_changes() -> None:
+def test_a_message_keeps_its_terms_when_its_class_changes() -> None:
     active = make_active()
     accepted = entry(active.encoded_terms(0))
     changed = replace(CATEGORY, deadline=CATEGORY.deadline + 5.0)
@@ -69,12 +69,14 @@
     assert active.terms_of(entry("", "removed-class")) is None
 
 
-def test_terms_that_cannot_be_decoded_are_logged_and_replaced(caplog: pytest.LogCaptureFixture) -> None:
+def test_terms_that_cannot_be_decoded_are_logged_and_replaced_by_the_current_ones(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     active = make_active()
     terms = active.terms_of(entry('{"no": "terms"}'))
     assert terms is not None and terms.category == CATEGORY and "cannot be read" in caplog.text
 
 
-def test_the_latency_deadline_follows_from_the_terms() -> None:
+def test_the_latency_deadline_is_computed_from_the_terms() -> None:
     expected = 100.0 - CATEGORY.deadline + CATEGORY.latency_target
     assert make_active().latency_deadline(entry("")) == pytest.approx(expected)
--- a/tests/engine/test_carrier_router.py
+++ b/tests/engine/test_carrier_router.py
@@ -1,4 +1,4 @@
-"""Endpoints go to the carrier of their protocol, also when that changes."""
+"""The carrier router assigns each endpoint to the carrier of its protocol, also when the protocol changes."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     router.update(entries, {entry.target: ("x", 1) for entry in entries}, is_complete)
 
 
-def test_each_endpoint_goes_to_its_carrier() -> None:
+def test_each_endpoint_is_served_by_the_carrier_of_its_protocol() -> None:
     router, http, as2, _ = make_router()
     update(router, Entry(b"a", 1), Entry(b"b", 2), is_complete=True)
     router.call(b"a", [])
@@ -60,7 +60,7 @@
     assert router.in_flight == 5
 
 
-def test_a_full_list_reaches_a_carrier_without_endpoints() -> None:
+def test_a_complete_list_is_passed_to_a_carrier_without_endpoints_too() -> None:
     router, _http, as2, _ = make_router()
     update(router, Entry(b"a", 1), Entry(b"b", 2), is_complete=True)
     update(router, Entry(b"a", 1), is_complete=True)
@@ -70,7 +70,7 @@
 def test_a_removed_endpoint_is_removed_from_its_last_carrier() -> None:
     router, _http, as2, protocols = make_router()
     update(router, Entry(b"b", 2))
-    del protocols[b"b"]  # it is removed from the inventory
+    del protocols[b"b"]  # the inventory has no protocol for a removed endpoint
     update(router, Entry(b"b", 2, Phase.GONE))
     assert not as2.listed and not router._carrier_by_target
 
--- a/tests/engine/test_counters.py
+++ b/tests/engine/test_counters.py
@@ -1,4 +1,4 @@
-"""The log's line of sums, and the sums over a fleet's logs."""
+"""The `sums` line in the log, and adding up these lines over the logs of a fleet."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from emberlatch.operations.metrics import render_metrics
 
 
-def test_a_line_contains_the_counts_since_the_last_one_only() -> None:
+def test_a_line_contains_only_the_counts_since_the_last_line() -> None:
     counters = Counters()
     assert counters.interval_line(50.0) is None  # nothing was counted
     counters.count("accepted", by=2)
@@ -26,17 +26,17 @@
     assert line == {"for": 1.1, "all": {"accepted": 1}, "targets": {}}
 
 
-def test_log_metrics_and_status_are_views_of_the_same_counters() -> None:
+def test_log_line_metrics_and_totals_agree() -> None:
     counters = Counters()
     for category in ("payout", "payout", "order"):
         counters.count("delivered", category)
     assert json.loads(counters.interval_line(9.0) or "")["all"] == counters.totals() == {"delivered": 3}
     line = render_metrics(counters, ["payout", "note"], 0, 0, 0)
     assert "app.success.payout=2\n" in line and "app.success.note=0\n" in line
-    assert "app.success.order=1\n" in line  # of a class that was removed
+    assert "app.success.order=1\n" in line  # a class that is not configured any more
 
 
-def test_a_line_is_bounded_however_many_targets_there_are() -> None:
+def test_a_line_with_many_targets_contains_only_those_with_the_highest_counts() -> None:
     counters = Counters()
     for number in range(3 * MAX_LINE_TARGETS):
         counters.count_target(f"t{number}".encode(), "ok", number)
@@ -44,7 +44,7 @@
     assert len(line) == MAX_LINE_TARGETS and f"t{3 * MAX_LINE_TARGETS - 1}" in line and "t1" not in line
 
 
-def test_the_logs_of_a_fleet_add_up(tmp_path: Path) -> None:
+def test_the_counts_in_the_logs_of_a_fleet_are_added_up(tmp_path: Path) -> None:
     start = "2026-01-01 00:00:00,000 INFO emberlatch.engine.engine:"
     for number in (1, 2):
         counters = Counters()
@@ -62,5 +62,5 @@
     assert len(rows) == 2 and rows[1].split()[:2] == ["1", "3"]
 
 
-def test_the_table_has_a_column_for_each_result_that_targets_are_counted_by() -> None:
-    assert {result.name.lower() for result in Result} - set(RESULTS) == {"cancelled"}  # as it always was
+def test_the_table_has_a_column_for_each_result_except_cancelled() -> None:
+    assert {result.name.lower() for result in Result} - set(RESULTS) == {"cancelled"}
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine's two steps, made and connected, with nothing done in between; and what waits for a sync."""
+"""The engine: creation and `connect`, use before `connect`, and actions that wait for a sync."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class FakePorts:
-    """All ports of an engine; each records what is asked of it."""
+    """All ports of an engine in one object, which records the calls."""
 
     notifies_deliveries = True
     in_flight = 0
@@ -39,23 +39,23 @@
     has_clients = False
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
+        self.port_calls: list[str] = []
         self.calls: list[CallItem] = []
         self.notices: list[CompletionNotice] = []
 
     def start(self) -> None:
-        self.asked.append("start")
+        self.port_calls.append("start")
 
     def stop(self) -> None:
-        self.asked.append("stop")
+        self.port_calls.append("stop")
 
     def close_listener(self) -> None:
-        self.asked.append("close_listener")
+        self.port_calls.append("close_listener")
 
     def update(
         self, entries: Sequence[api.Entry], addresses: Mapping[api.Target, Address], is_complete: bool
     ) -> None:
-        self.asked.append("update")
+        self.port_calls.append("update")
 
     def entry(self, target: api.Target) -> api.Entry | None:
         return api.Entry(target, DESTINATION)
@@ -64,16 +64,16 @@
         self.calls += items
 
     def cancel(self, ref: int, attempt: int) -> None:
-        self.asked.append("cancel")
+        self.port_calls.append("cancel")
 
     def close_idle(self, target: api.Target) -> None:
-        self.asked.append("close_idle")
+        self.port_calls.append("close_idle")
 
     def watch(self, active: bool) -> None:
-        self.asked.append("watch")
+        self.port_calls.append("watch")
 
     def look_up(self) -> None:
-        self.asked.append("look_up")
+        self.port_calls.append("look_up")
 
     def add(self, ref: int, notice: CompletionNotice) -> None:
         self.notices.append(notice)
@@ -131,7 +131,7 @@
     return api.Outcome(ref, attempt, TARGET, api.Result.OK, 0.1, closed=True)
 
 
-def test_an_engine_without_ports_does_not_start_and_says_what_is_missing(tmp_path: Path) -> None:
+def test_start_without_ports_raises_an_error_that_names_the_missing_ports(tmp_path: Path) -> None:
     async def test() -> None:
         engine = make_engine(tmp_path)
         with pytest.raises(
@@ -140,7 +140,7 @@
             await engine.start()
 
     asyncio.run(test())
-    assert list(tmp_path.iterdir()) == []  # no journal was begun
+    assert list(tmp_path.iterdir()) == []  # no journal file was created
 
 
 @pytest.mark.parametrize(
@@ -151,7 +151,7 @@
         lambda engine: engine.confirmed([1]),
     ],
 )
-def test_an_adapter_that_reports_to_an_engine_without_ports_is_told(
+def test_a_report_to_an_engine_without_ports_raises_an_error(
     tmp_path: Path, report: Callable[[Engine], None]
 ) -> None:
     async def test() -> None:
@@ -161,7 +161,7 @@
     asyncio.run(test())
 
 
-def test_a_decision_without_ports_takes_no_event(tmp_path: Path) -> None:
+def test_a_decision_without_ports_fails_and_keeps_its_event(tmp_path: Path) -> None:
     async def test() -> None:
         engine = make_engine(tmp_path)
         errors: list[BaseException | None] = []
@@ -175,7 +175,7 @@
     asyncio.run(test())
 
 
-def test_ports_are_given_once(tmp_path: Path) -> None:
+def test_a_second_connect_raises_an_error_and_leaves_the_first_ports(tmp_path: Path) -> None:
     async def test() -> None:
         engine, (ports, recorded), (other, other_recorded) = (
             make_engine(tmp_path),
@@ -186,12 +186,12 @@
         with pytest.raises(EnginePortsError, match="already"):
             engine.connect(other)
         await engine.start()
-        assert recorded.asked[0] == "start" and other_recorded.asked == []
+        assert recorded.port_calls[0] == "start" and other_recorded.port_calls == []
 
     asyncio.run(test())
 
 
-def test_a_connected_engine_starts_its_ingresses_in_order_and_delivers(tmp_path: Path) -> None:
+def test_a_connected_engine_starts_its_ingresses_in_order_and_delivers_a_message(tmp_path: Path) -> None:
     async def test() -> None:
         engine, started = make_engine(tmp_path), list[str]()
         ports, recorded = make_ports([FakeIngress("first", started), FakeIngress("second", started)])
@@ -211,8 +211,8 @@
     asyncio.run(test())
 
 
-class HeldSync:
-    """A disk whose syncs end when the test says so; the next one fails with `failure` if that is set."""
+class BlockingDisk:
+    """A disk whose syncs block until `may_end` is set, and then fail with `failure` if that is set."""
 
     def __init__(self) -> None:
         self.may_end = asyncio.Event()
@@ -225,7 +225,9 @@
         job()
 
 
-async def start_durable(folder: Path, disk: HeldSync, failures: list[OSError]) -> tuple[Engine, FakePorts]:
+async def start_durable(
+    folder: Path, disk: BlockingDisk, failures: list[OSError]
+) -> tuple[Engine, FakePorts]:
     classes = DurableClasses(frozenset({"order"}), failures.append)
     journal = Journal(Folder(folder), JOURNAL_BYTES, durable=classes.exist)
     engine = Engine(SETTINGS, 1, journal, Tasks(), replace(REAL_MACHINE, offload=disk.run), classes)
@@ -243,7 +245,7 @@
 
 def test_a_message_of_a_durable_class_is_accepted_and_sent_after_a_sync(tmp_path: Path) -> None:
     async def test() -> None:
-        disk = HeldSync()
+        disk = BlockingDisk()
         engine, recorded = await start_durable(tmp_path, disk, [])
         responder = submit(engine)
         await run_ready_callbacks()
@@ -259,7 +261,7 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        disk = HeldSync()
+        disk = BlockingDisk()
         engine, recorded = await start_durable(tmp_path, disk, [])
         submit(engine)
         await run_ready_callbacks()
@@ -268,15 +270,17 @@
         engine._execute(api.Cancel(entry.ref, 0), {})
         disk.may_end.set()
         await run_ready_callbacks()
-        assert entry.unknown_outcomes == [] and recorded.calls == [] and "cancel" not in recorded.asked
-        assert [notice["result"] for notice in recorded.notices] == ["bounced"]  # so it may be sent again
+        assert entry.unknown_outcomes == [] and recorded.calls == [] and "cancel" not in recorded.port_calls
+        assert [notice["result"] for notice in recorded.notices] == [
+            "bounced"
+        ]  # the client may submit the message again
 
     asyncio.run(test())
 
 
-def test_a_failed_sync_is_reported_and_accepts_nothing(tmp_path: Path) -> None:
+def test_after_a_failed_sync_no_message_is_accepted_and_the_failure_is_reported(tmp_path: Path) -> None:
     async def test() -> None:
-        disk, failures = HeldSync(), list[OSError]()
+        disk, failures = BlockingDisk(), list[OSError]()
         engine, recorded = await start_durable(tmp_path, disk, failures)
         responder = submit(engine)
         disk.failure = OSError("disk failed")
@@ -287,7 +291,7 @@
     asyncio.run(test())
 
 
-def test_the_status_has_the_keys_that_operators_see(tmp_path: Path) -> None:
+def test_the_status_has_the_documented_keys_and_counts(tmp_path: Path) -> None:
     async def test() -> None:
         engine, (ports, _) = make_engine(tmp_path), make_ports()
         engine.connect(ports)
--- a/tests/engine/test_event_queue.py
+++ b/tests/engine/test_event_queue.py
@@ -1,4 +1,4 @@
-"""The event queue: one decision for the events of a loop iteration, none while it is suspended."""
+"""The event queue: one decision for all events of a loop iteration, and none while suspended."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
             self.events.post(api.ClientGone(ref))
 
 
-def test_events_of_one_loop_iteration_are_decided_on_together() -> None:
+def test_events_of_one_loop_iteration_are_handled_by_one_decision() -> None:
     async def test() -> None:
         decisions = Decisions()
         decisions.post(1, 2)
@@ -34,11 +34,11 @@
     asyncio.run(test())
 
 
-def test_events_are_kept_while_the_queue_is_suspended() -> None:
+def test_a_suspended_queue_keeps_events_and_makes_no_decision() -> None:
     async def test() -> None:
         decisions = Decisions()
         decisions.post(1)
-        decisions.events.suspended = True  # after the decision was scheduled
+        decisions.events.suspended = True  # suspended after the decision was scheduled
         await asyncio.sleep(0)
         decisions.post(2)
         await asyncio.sleep(0)
--- a/tests/engine/test_message_table.py
+++ b/tests/engine/test_message_table.py
@@ -1,4 +1,4 @@
-"""The message table: what is open or completed, and what a failing journal prevents."""
+"""The message table: open and completed messages, and failed writes to the journal."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     return MessageTable(journal), journal
 
 
-def test_a_message_is_open_until_it_is_completed_and_stored_until_it_is_confirmed(tmp_path: Path) -> None:
+def test_a_message_is_open_until_completed_and_stored_until_confirmed(tmp_path: Path) -> None:
     table, journal = make_table(tmp_path)
     message = entry(1)
     assert table.accept(message) and table.is_open("m1") and table.open == {1: message}
@@ -40,7 +40,7 @@
     assert not table.completed and Journal(Folder(tmp_path), JOURNAL_BYTES).load() == []
 
 
-def test_a_message_that_is_not_written_is_not_open(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_message_whose_write_fails_is_not_open(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     table, journal = make_table(tmp_path)
 
     def fail(_: Entry) -> None:
@@ -54,14 +54,16 @@
     assert not table.record(table.open[2]) and table.is_open("m2")
 
 
-def test_a_message_over_the_capacity_is_not_written(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_message_that_exceeds_the_capacity_is_not_accepted(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     table, journal = make_table(tmp_path)
     monkeypatch.setattr(journal, "has_capacity", lambda size: size < 100)
     assert not table.accept(entry(1, b"x" * 100)) and table.accept(entry(2, b"x" * 99))
     assert list(table.open) == [2]
 
 
-def test_removed_messages_leave_no_id(tmp_path: Path) -> None:
+def test_ids_of_removed_messages_are_not_kept(tmp_path: Path) -> None:
     table, _ = make_table(tmp_path)
     for ref in range(10):
         table.accept(entry(ref))
--- a/tests/store/test_group_sync.py
+++ b/tests/store/test_group_sync.py
@@ -1,4 +1,4 @@
-"""Group commit, and outcomes that are confirmed once they are durable."""
+"""Group commit, and actions that wait for it: confirmed outcomes and durable journals."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class Disk:
-    """Syncs when the test says so."""
+    """A disk whose syncs block until the test completes the future in `started`."""
 
     def __init__(self) -> None:
-        self.begun: asyncio.Queue[asyncio.Future[None]] = asyncio.Queue()
+        self.started: asyncio.Queue[asyncio.Future[None]] = asyncio.Queue()
         self.finished = 0
 
     def prepare_sync(self) -> Callable[[], None]:
@@ -33,23 +33,23 @@
 
     async def offload(self, job: Callable[[], None]) -> None:
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        await self.begun.put(done)
+        await self.started.put(done)
         await done
         job()
 
 
-def test_callbacks_that_arrive_during_a_sync_share_the_next() -> None:
+def test_callbacks_that_are_registered_during_a_sync_share_the_next_one() -> None:
     async def test() -> None:
         disk, called = Disk(), list[int]()
         group = GroupSync(disk, disk.offload, lambda error: None)
         for number in range(3):
             group.when_durable(lambda number=number: called.append(number))  # type: ignore[misc]
-        first = await disk.begun.get()
+        first = await disk.started.get()
         for number in range(3, 50):
             group.when_durable(lambda number=number: called.append(number))  # type: ignore[misc]
         assert called == [] and group.pending
         first.set_result(None)
-        second = await disk.begun.get()
+        second = await disk.started.get()
         assert called == [0, 1, 2]
         second.set_result(None)
         while group.pending:
@@ -63,29 +63,29 @@
     run(test)
 
 
-def test_a_failed_sync_is_final_and_no_callback_is_run() -> None:
+def test_after_a_failed_sync_no_callback_is_run_and_no_sync_is_started() -> None:
     async def test() -> None:
         disk, called, errors = Disk(), list[str](), list[OSError]()
         group = GroupSync(disk, disk.offload, errors.append)
         group.when_durable(lambda: called.append("a"))
-        first = await disk.begun.get()
+        first = await disk.started.get()
         group.when_durable(lambda: called.append("b"))
         first.set_exception(OSError(5, "input/output error"))
         while not errors:
             await asyncio.sleep(0)
         group.when_durable(lambda: called.append("c"))
         await asyncio.sleep(0)
-        assert called == [] and group.failed and not group.pending and disk.begun.empty()
+        assert called == [] and group.failed and not group.pending and disk.started.empty()
 
     run(test)
 
 
-def test_an_outcome_is_known_and_confirmed_once_its_line_is_durable(tmp_path: Path) -> None:
+def test_an_outcome_is_found_and_confirmed_only_after_its_line_is_durable(tmp_path: Path) -> None:
     async def test() -> None:
         disk, confirmed = Disk(), list[int]()
         outcomes = OutcomeLog(tmp_path, 1 << 20, 10, confirmed.extend, disk.offload)
         outcomes.add(7, {"ref": "m", "result": "delivered"})
-        done = await disk.begun.get()
+        done = await disk.started.get()
         assert (tmp_path / CURRENT_FILE).read_bytes().count(b"\n") == 1
         assert outcomes.find("m") is None and confirmed == [] and outcomes.pending
         done.set_result(None)
@@ -100,7 +100,7 @@
     return Entry(ref, f"m{ref}", "", "order", "", 1, 1e9, b"x" * 3000)
 
 
-def test_a_durable_journal_reads_what_one_that_is_not_wrote_and_the_other_way(tmp_path: Path) -> None:
+def test_durable_and_other_journals_read_the_files_of_each_other(tmp_path: Path) -> None:
     for before, after in ((False, True), (True, False)):
         folder = tmp_path / f"{before}"
         folder.mkdir()
@@ -118,7 +118,7 @@
         again.close()
 
 
-def test_durability_is_a_term_of_a_class() -> None:
+def test_the_durability_of_a_class_is_configured_and_validated() -> None:
     text = '[inventory]\npaths = ["x"]\n[classes.order]\neffect = "unsafe"\ndurable = "{}"\n'
     assert parse(text.format("machine").encode(), "g").classes["order"].durable == "machine"
     with pytest.raises(ConfigError, match="comes with replication"):
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal of accepted messages, without an engine."""
+"""The journal of accepted messages, tested without an engine."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     return entries
 
 
-def test_open_entries_are_read_again_in_full(tmp_path: Path) -> None:
+def test_open_entries_are_restored_with_their_current_state(tmp_path: Path) -> None:
     journal = Journal(Folder(tmp_path), 3_000_000)
     journal.load()
     one, two, three = entry(1), entry(2), entry(3)
@@ -39,10 +39,10 @@
     journal.update(one)
     journal.update(two)
     journal.remove(three)
-    assert reread(tmp_path) == {1: one, 2: two}  # no close, no sync: as after SIGKILL
+    assert reread(tmp_path) == {1: one, 2: two}  # neither closed nor synced, as after SIGKILL
 
 
-def test_a_torn_tail_and_a_damaged_record_are_skipped_alone(tmp_path: Path) -> None:
+def test_a_torn_tail_and_a_damaged_record_are_skipped_and_others_are_read(tmp_path: Path) -> None:
     journal = Journal(Folder(tmp_path), 3_000_000)
     journal.load()
     for ref in (1, 2, 3):
@@ -50,11 +50,11 @@
     (path,) = tmp_path.iterdir()
     data = bytearray(path.read_bytes())
     data[len(data) // 2] ^= 0xFF  # in the second record
-    path.write_bytes(bytes(data[:-5]))  # and the third is torn
+    path.write_bytes(bytes(data[:-5]))  # the third record is torn
     assert list(reread(tmp_path)) == [1]
 
 
-def test_a_damaged_length_does_not_hide_what_follows(tmp_path: Path) -> None:
+def test_a_record_after_one_with_a_damaged_length_is_read(tmp_path: Path) -> None:
     journal = Journal(Folder(tmp_path), 3_000_000)
     journal.load()
     journal.add(entry(1))
@@ -66,7 +66,9 @@
     assert list(reread(tmp_path)) == [2]
 
 
-def test_the_limit_is_kept_also_while_it_compacts(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_disk_limit_is_kept_during_compaction_too(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     limit, worst = 1_000_000, 0
     journal = Journal(Folder(tmp_path), limit)
     journal.load()
@@ -75,7 +77,7 @@
 
     def measure(path: Path, **options: bool) -> None:
         nonlocal worst
-        worst = max(worst, size(tmp_path))  # compaction holds most just before it removes a segment
+        worst = max(worst, size(tmp_path))  # compaction uses the most space just before it removes a segment
         unlink(path, **options)
 
     with monkeypatch.context() as patch:
@@ -99,8 +101,8 @@
     return sum(-(-path.stat().st_size // 512) * 512 for path in folder.iterdir())
 
 
-def test_many_restarts_leave_no_files_behind_and_keep_the_limit(tmp_path: Path) -> None:
-    """Each start opens a segment, and a file of one byte counts as 512."""
+def test_many_restarts_keep_the_limit_and_at_most_one_empty_file(tmp_path: Path) -> None:
+    """Each start opens a new segment file, which takes at least 512 bytes once it has content."""
     limit = 600_000
     for ref in range(300):
         journal = Journal(Folder(tmp_path), limit)
@@ -114,7 +116,7 @@
     assert sum(1 for path in tmp_path.iterdir() if not path.stat().st_size) <= 1
 
 
-def test_the_clock_is_in_each_segment_and_outlasts_compaction_and_the_process(tmp_path: Path) -> None:
+def test_the_clock_is_restored_after_its_first_segment_was_compacted(tmp_path: Path) -> None:
     journal = Journal(Folder(tmp_path), 1_000_000)
     journal.load()
     journal.clock = "run", 17.5
@@ -123,7 +125,7 @@
         journal.add(added)
         journal.remove(added)
     journal.close()
-    assert not (tmp_path / "00000001.log").exists()  # the first segment has been compacted away
+    assert not (tmp_path / "00000001.log").exists()  # compaction has removed the first segment
     again = Journal(Folder(tmp_path), 1_000_000)
     assert again.load() == [] and again.clock == ("run", 17.5)
     again.close()
@@ -148,6 +150,6 @@
         b'{"ref": 1, "id": "a", "attempts": 1, "doubts": [], "notice": null}',
     ],
 )
-def test_a_payload_that_is_no_record_is_a_typed_error(payload: bytes) -> None:
+def test_an_invalid_payload_raises_record_decode_error(payload: bytes) -> None:
     with pytest.raises(RecordDecodeError):
         decode_payload(payload)
--- a/tests/store/test_state_log.py
+++ b/tests/store/test_state_log.py
@@ -1,4 +1,4 @@
-"""The log of small states: torn records, a full disk, and a limit that is kept."""
+"""The log of small states: torn records, a full disk, compaction and the disk limit."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return log
 
 
-def test_states_that_were_put_are_read_again_and_removed_ones_are_not(tmp_path: Path) -> None:
+def test_stored_states_are_restored_and_removed_ones_are_not(tmp_path: Path) -> None:
     log = opened(tmp_path)
     log.put("a", {"n": 1})
     log.put("b", {"n": 2})
@@ -32,7 +32,7 @@
     assert opened(tmp_path).states == {"a": {"n": 3}}
 
 
-def test_a_file_truncated_at_any_byte_gives_the_states_before_or_after(tmp_path: Path) -> None:
+def test_a_file_truncated_at_any_byte_of_its_last_record_gives_the_previous_state(tmp_path: Path) -> None:
     log = opened(tmp_path)
     log.put("a", {"n": 1})
     path = next(tmp_path.glob("*.book"))
@@ -46,18 +46,18 @@
         (again / path.name).write_bytes(data[:cut])
         found = opened(again)
         assert found.states == {"a": {"n": 2 if cut == len(data) else 1}}
-        found.put("a", {"n": 3})  # it goes on behind a torn record
+        found.put("a", {"n": 3})  # writes continue after a torn record
         found.close()
         assert opened(again).states == {"a": {"n": 3}}
 
 
 def test_the_limit_is_kept_and_the_oldest_keys_are_evicted_first(tmp_path: Path) -> None:
-    log, drawn = opened(tmp_path), random.Random(4)
+    log, rng = opened(tmp_path), random.Random(4)
     evicted: list[str] = []
     for number in range(4000):
-        evicted += list(log.put(f"k{number}", {"text": "x" * drawn.randrange(400)}))
+        evicted += list(log.put(f"k{number}", {"text": "x" * rng.randrange(400)}))
         if number % 3 == 0:
-            log.remove(f"k{drawn.randrange(number + 1)}")
+            log.remove(f"k{rng.randrange(number + 1)}")
         assert size(tmp_path) <= MIN_LIMIT_BYTES
     assert evicted and evicted == sorted(evicted, key=lambda key: int(key[1:]))
     states = dict(log.states)
@@ -65,16 +65,16 @@
     assert opened(tmp_path).states == states
 
 
-def test_a_kill_anywhere_in_a_compaction_loses_and_revives_nothing(tmp_path: Path) -> None:
+def test_a_kill_at_any_step_of_a_compaction_loses_no_state_and_restores_no_old_one(tmp_path: Path) -> None:
     class KilledError(Exception):
         pass
 
-    class Dying(Folder):
-        left = 10**9
+    class KillableFolder(Folder):
+        steps_until_kill = 10**9
 
         def _step(self) -> None:
-            Dying.left -= 1
-            if Dying.left < 0:
+            KillableFolder.steps_until_kill -= 1
+            if KillableFolder.steps_until_kill < 0:
                 raise KilledError
 
         def write(self, handle: int, data: memoryview) -> int:
@@ -91,12 +91,12 @@
 
     expected: dict[str, int] = {}
     for steps in range(0, 120, 3):
-        Dying.left = 10**9
-        folder = Dying(tmp_path)
+        KillableFolder.steps_until_kill = 10**9
+        folder = KillableFolder(tmp_path)
         log = StateLog(folder, MIN_LIMIT_BYTES)
         log.load()
         assert {name: state["n"] for name, state in log.states.items()} == expected
-        Dying.left = 900 + steps
+        KillableFolder.steps_until_kill = 900 + steps
         key = ""
         try:
             for number in range(2000):
@@ -106,36 +106,36 @@
         except KilledError:
             pass
         log.close()
-        Dying.left = 10**9
+        KillableFolder.steps_until_kill = 10**9
         found = StateLog(Folder(tmp_path), MIN_LIMIT_BYTES)
         found.load()
         found.close()
-        # What was being written may be there or not; everything else is as it was.
+        # The state being written at the kill may be stored or not; all others are unchanged.
         assert {name: state["n"] for name, state in found.states.items() if name != key} == {
             name: n for name, n in expected.items() if name != key
         }
         expected = {name: state["n"] for name, state in found.states.items()}
 
 
-def test_a_full_disk_is_reported_and_loses_no_state(tmp_path: Path) -> None:
-    class Full(Folder):
+def test_a_write_to_a_full_disk_raises_oserror_and_loses_no_state(tmp_path: Path) -> None:
+    class LimitedFolder(Folder):
         full = False
 
         def write(self, handle: int, data: memoryview) -> int:
-            if Full.full:
+            if LimitedFolder.full:
                 if len(data) > 10:
                     return super().write(handle, data[:10])
                 raise OSError(errno.ENOSPC, "no room")
             return super().write(handle, data)
 
-    log = StateLog(Full(tmp_path), MIN_LIMIT_BYTES)
+    log = StateLog(LimitedFolder(tmp_path), MIN_LIMIT_BYTES)
     log.load()
     log.put("a", {"n": 1})
-    Full.full = True
+    LimitedFolder.full = True
     with pytest.raises(OSError, match="no room"):
         log.put("a", {"n": 2})
     assert log.states == {"a": {"n": 1}}
-    Full.full = False
+    LimitedFolder.full = False
     log.put("b", {"n": 5})
     log.close()
     assert opened(tmp_path).states == {"a": {"n": 1}, "b": {"n": 5}}
--- a/tests/takeover/test_connection.py
+++ b/tests/takeover/test_connection.py
@@ -1,4 +1,4 @@
-"""The connection between two processes: frames and descriptors over a Unix socket."""
+"""The connection between predecessor and successor: frames and file descriptors over a Unix socket."""
 
 from __future__ import annotations
 
@@ -48,9 +48,8 @@
 
     async def send(connection: UnixConnection, pipes: list[tuple[int, int]]) -> None:
         connection.post("a", n=1)
-        await connection.send(
-            "b", {"text": "x" * 3_000_000}, [pipes[0][0], pipes[1][0]]
-        )  # more than a buffer holds
+        # Larger than the socket buffer.
+        await connection.send("b", {"text": "x" * 3_000_000}, [pipes[0][0], pipes[1][0]])
         await connection.send("c", {}, [pipes[2][0]])
 
     run(test)
@@ -67,7 +66,7 @@
         struct.pack(">IH", 4, 0) + b"[[[[",
     ],
 )
-def test_what_is_no_frame_is_a_typed_error(data: bytes) -> None:
+def test_invalid_frame_data_raises_handover_connection_error(data: bytes) -> None:
     async def test(one: UnixConnection, two: UnixConnection) -> None:
         one._socket.send(data)
         with pytest.raises(HandoverConnectionError):
@@ -76,7 +75,7 @@
     run(test)
 
 
-def test_the_end_is_received_and_a_send_to_a_closed_peer_fails() -> None:
+def test_after_the_peer_closed_receive_returns_none_and_a_send_fails() -> None:
     async def test(one: UnixConnection, two: UnixConnection) -> None:
         one.close()
         assert await two.receive() is None
@@ -89,11 +88,13 @@
 
 
 @pytest.mark.parametrize("depth", [0, 12])
-def test_a_socket_path_may_be_stale_and_longer_than_an_address(tmp_path: Path, depth: int) -> None:
+def test_a_stale_socket_file_is_replaced_and_a_path_may_exceed_the_address_length(
+    tmp_path: Path, depth: int
+) -> None:
     folder = tmp_path.joinpath(*(["a-long-name-of-a-folder"] * depth))
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / "handover.sock"
-    listen(path).close()  # what a dead process left: nobody listens
+    listen(path).close()  # a socket file as an ended process leaves it
     with pytest.raises(ConnectionRefusedError):
         connect(path)
     listener = listen(path)
--- a/tests/takeover/test_folder_lock.py
+++ b/tests/takeover/test_folder_lock.py
@@ -1,4 +1,4 @@
-"""The lock that decides who owns a state folder."""
+"""The lock that determines which process owns a state folder."""
 
 from __future__ import annotations
 
@@ -8,18 +8,20 @@
 from emberlatch.takeover import FolderLock
 
 
-def test_one_process_has_the_lock_at_any_instant(tmp_path: Path) -> None:
+def test_the_lock_is_held_by_one_holder_at_a_time_and_can_be_acquired_after_release_or_close(
+    tmp_path: Path,
+) -> None:
     one, two = FolderLock(tmp_path), FolderLock(tmp_path)
     assert one.acquire() and one.acquire() and not two.acquire()
     one.release()
     assert two.acquire() and not one.acquire()
-    two.close()  # as when the process dies
+    two.close()  # has the same effect as the end of the process
     assert one.acquire()
     assert (tmp_path / "lock").stat().st_size == 0
     one.close()
 
 
-def test_one_of_many_threads_acquires_the_lock(tmp_path: Path) -> None:
+def test_only_one_of_many_threads_acquires_the_lock(tmp_path: Path) -> None:
     locks = [FolderLock(tmp_path) for _ in range(16)]
     acquired: list[FolderLock] = []
 
--- a/tests/takeover/test_inherited_listener.py
+++ b/tests/takeover/test_inherited_listener.py
@@ -1,4 +1,4 @@
-"""The listening socket that the platform holds."""
+"""The listening socket that is inherited from the platform."""
 
 from __future__ import annotations
 
@@ -17,12 +17,21 @@
     assert found.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN) and not found.get_inheritable()
     found.close()
     file = os.open(tmp_path / "file", os.O_CREAT | os.O_RDWR)
-    silent = socket.socket()
+    not_listening = socket.socket()
     datagram = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    for bad in (str(file), str(silent.fileno()), str(datagram.fileno()), "999999", "x", "-1", "", "3 "):
+    for bad in (
+        str(file),
+        str(not_listening.fileno()),
+        str(datagram.fileno()),
+        "999999",
+        "x",
+        "-1",
+        "",
+        "3 ",
+    ):
         with pytest.raises(InvalidDescriptorError, match="descriptor"):
             inherited_listener(bad)
-    assert silent.fileno() >= 0  # and is left as it was
+    assert not_listening.fileno() >= 0  # a rejected socket stays open
     os.close(file)
-    silent.close()
+    not_listening.close()
     datagram.close()
--- a/tests/takeover/test_messages.py
+++ b/tests/takeover/test_messages.py
@@ -1,4 +1,4 @@
-"""What two processes tell each other in a takeover, without sockets."""
+"""The messages of a takeover, tested without sockets."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 }
 
 
-def test_a_state_is_validated() -> None:
+def test_a_valid_state_is_decoded() -> None:
     snapshot = StateSnapshot.from_body(json.loads(json.dumps(GOOD)))
     assert snapshot.relayed_attempts() == [(4, 0, b"s-1"), (5, 2, b"s-1")]
     assert snapshot.blocked_until == [("s-1", 2.5), (7, 3.0)]
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("change", [None, {"result": 7}, {"target": 3}, {"report": 1}])
-def test_an_invalid_outcome_is_a_typed_error(change: dict[str, Any] | None) -> None:
+def test_an_invalid_outcome_raises_invalid_message_error(change: dict[str, Any] | None) -> None:
     (fields,) = RelayedOutcomes((OUTCOME,)).to_body()["each"]
     with pytest.raises(InvalidMessageError, match="outcomes"):
         RelayedOutcomes.from_body({"each": [{} if change is None else fields | change]})
@@ -113,10 +113,10 @@
 
 @pytest.mark.parametrize("kind", [MessageKind.CLIENTS, MessageKind.CONNECTIONS, MessageKind.OUTCOMES])
 @pytest.mark.parametrize("each", [3, [3], [None], [{}]])
-def test_invalid_relay_messages_are_typed_errors(kind: MessageKind, each: object) -> None:
+def test_an_invalid_relay_message_raises_invalid_message_error(kind: MessageKind, each: object) -> None:
     with pytest.raises(InvalidMessageError):
         decode_relay_message(Frame(kind, {"each": each}, []))
 
 
-def test_a_message_of_an_unknown_kind_is_none() -> None:
+def test_a_message_of_an_unknown_kind_is_decoded_as_none() -> None:
     assert decode_relay_message(Frame("later", {"each": 3}, [])) is None
--- a/tests/takeover/test_processes.py
+++ b/tests/takeover/test_processes.py
@@ -1,4 +1,4 @@
-"""The real program, one process taking over from another on loopback sockets."""
+"""Takeovers between real processes of the program, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
 
 @dataclass
 class Running:
-    """A process and its port for operators."""
+    """A process of the program, and the port of its operators' interface."""
 
     process: asyncio.subprocess.Process
     operators: int
 
     async def ready(self) -> None:
-        """Wait until it is ready."""
+        """Wait until the process reports that it is ready."""
         async with asyncio.timeout(20):
             while not await self.is_ready():
                 await asyncio.sleep(0.01)
@@ -63,7 +63,7 @@
 
 
 class Machine:
-    """The platform's side: it holds the listening socket, and starts processes on one folder."""
+    """The platform: holds the listening socket, and starts processes on one state folder."""
 
     def __init__(self, folder: Path, service: Peer, known: dict[str, Any]) -> None:
         self.folder, self.service, self.known = folder, service, known
@@ -112,7 +112,7 @@
     async def request_handover(
         self, kind: str = "take", body: dict[str, Any] | None = None
     ) -> tuple[UnixConnection, Frame | None]:
-        """Ask the owner as a successor does; the connection and the first answer on it."""
+        """Request a takeover as a successor does; return the connection and the first answer."""
         connection = UnixConnection(connect(self.handover_path()))
         await connection.send(kind, {"version": VERSION} if body is None else body)
         return connection, await connection.receive()
@@ -133,7 +133,7 @@
 
 @dataclass
 class Client:
-    """A client's kept connection."""
+    """A persistent connection of a client."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -153,7 +153,7 @@
 async def machine(
     folder: Path, handler: Handler = accept
 ) -> AsyncIterator[tuple[Machine, Peer, PlatformService]]:
-    """A machine without a process yet, its one target, and the platform."""
+    """Yield a machine on which no process runs yet, its only target, and the platform service."""
     async with listed_target(handler) as (target, platform, service):
         machine_under_test = Machine(folder, service, platform.document())
         try:
@@ -163,7 +163,7 @@
 
 
 class Calls:
-    """The calls at a target, which a test takes and answers one by one."""
+    """Queues the calls that a target receives, so that a test can answer them one by one."""
 
     def __init__(self) -> None:
         self._waiting: asyncio.Queue[Exchange] = asyncio.Queue()
@@ -177,11 +177,11 @@
 
 @dataclass
 class CallInFlight:
-    """A process whose call for the message `m1` is at the target, which has not answered it."""
+    """A process whose call for the message `m1` has reached the target and is not answered yet."""
 
     platform: Machine
     target: Peer
-    ends: PlatformService
+    service: PlatformService
     calls: Calls
     owner: Running
     client: Client
@@ -190,16 +190,16 @@
 
 @asynccontextmanager
 async def call_in_flight(folder: Path, **headers: str) -> AsyncIterator[CallInFlight]:
-    """A machine with a process that has accepted a message, and whose call is under way."""
+    """Start a process, submit a message to it, and yield once its call has reached the target."""
     calls = Calls()
-    async with machine(folder, calls) as (platform, target, ends):
+    async with machine(folder, calls) as (platform, target, service):
         owner = await platform.ready()
         client = await platform.client()
         assert await client.submit("m1", **headers) == 202
-        yield CallInFlight(platform, target, ends, calls, owner, client, await calls.next())
+        yield CallInFlight(platform, target, service, calls, owner, client, await calls.next())
 
 
-def test_clients_keep_their_connections_and_the_predecessor_ends(tmp_path: Path) -> None:
+def test_client_and_target_connections_are_kept_and_the_predecessor_exits(tmp_path: Path) -> None:
     async def test() -> None:
         async with machine(tmp_path) as (platform, target, _):
             old = await platform.ready()
@@ -207,16 +207,16 @@
             for number, client in enumerate((idle, half)):
                 assert await client.submit(f"before{number}") == 202
             request = message_bytes("half", b"0123456789")
-            half.writer.write(request[:-4])  # its head and a part of its body
-            partial.writer.write(request.replace(b"half", b"head")[:40])  # not even its head
-            assert await idle.submit("last") == 202  # what came before it has been read by now
+            half.writer.write(request[:-4])  # the headers and a part of the body
+            partial.writer.write(request.replace(b"half", b"head")[:40])  # only a part of the headers
+            assert await idle.submit("last") == 202  # all earlier data has been read by now
             await until(old.operators, {"success.status-update": 3})
             connections = target.connections
             new = await platform.ready()
             assert await old.ended() == 0
             assert await idle.submit("after") == 202
             await until(new.operators, {"success.status-update": 1})
-            assert target.connections == connections  # an idle connection to a target goes over too
+            assert target.connections == connections  # the idle connection to the target is handed over too
             half.writer.write(request[-4:])
             partial.writer.write(request.replace(b"half", b"head")[40:])
             assert [await half.status(), await partial.status()] == [202, 202]
@@ -234,92 +234,97 @@
 
 
 @pytest.mark.parametrize("headers", [{}, PAYOUT, ORDER])
-def test_a_call_in_flight_at_the_cut_over_is_answered_after_it(
+def test_the_outcome_of_a_call_in_flight_is_relayed_and_its_message_is_not_sent_twice(
     tmp_path: Path, headers: dict[str, Any]
 ) -> None:
-    """The predecessor relays its outcome, the successor counts it; no second copy is sent."""
+    """The predecessor relays the outcome, and the successor counts it."""
 
     async def test() -> None:
-        async with call_in_flight(tmp_path, **headers) as begun:
-            new = await begun.platform.ready()
-            assert not await begun.owner.is_ready()
-            before, after = await read_metrics(begun.owner.operators), await read_metrics(new.operators)
+        async with call_in_flight(tmp_path, **headers) as setup:
+            new = await setup.platform.ready()
+            assert not await setup.owner.is_ready()
+            before, after = await read_metrics(setup.owner.operators), await read_metrics(new.operators)
             assert after["concurrent"] == 1 and before["concurrent"] == 0
-            assert begun.owner.process.returncode is None  # it waits for the call
-            begun.owner.process.send_signal(signal.SIGHUP)  # and has no settings to load
-            await begun.call.answer(200)
+            assert setup.owner.process.returncode is None  # the predecessor waits for the call
+            # Ignored: it does not reload its settings any more.
+            setup.owner.process.send_signal(signal.SIGHUP)
+            await setup.call.answer(200)
             category = headers.get("X_Priority_Class", "status-update")
             reported = await until(new.operators, {"concurrent": 0})
             assert reported[f"success.{category}"] == 1 and reported["dispatches"] == 0
-            assert await begun.owner.ended() == 0
-            assert begun.target.exchanges.qsize() == 1 and begun.ends.notices.empty()
+            assert await setup.owner.ended() == 0
+            assert setup.target.exchanges.qsize() == 1 and setup.service.notices.empty()
 
     run(test)
 
 
-def test_a_call_in_flight_over_two_cut_overs_is_relayed_twice(tmp_path: Path) -> None:
-    """Found by seed 1103: the process in the middle ended, and the first one's calls counted as reset."""
+def test_the_outcome_of_a_call_in_flight_is_relayed_over_two_takeovers(tmp_path: Path) -> None:
+    """Guards against a fault found by seed 1103.
+
+    The second process exited too early, so the calls of the first one counted as reset.
+    """
 
     async def test() -> None:
-        async with call_in_flight(tmp_path, **ORDER) as begun:
-            second = await begun.platform.ready()
-            third = await begun.platform.ready()
+        async with call_in_flight(tmp_path, **ORDER) as setup:
+            second = await setup.platform.ready()
+            third = await setup.platform.ready()
             assert (await read_metrics(third.operators))["concurrent"] == 1
-            assert begun.owner.process.returncode is None and second.process.returncode is None
-            await begun.call.answer(200)
+            assert setup.owner.process.returncode is None and second.process.returncode is None
+            await setup.call.answer(200)
             reported = await until(third.operators, {"concurrent": 0})
-            assert reported["success.order"] == 1 and begun.ends.notices.empty()
-            assert [await begun.owner.ended(), await second.ended()] == [0, 0]
-            assert begun.target.exchanges.qsize() == 1
+            assert reported["success.order"] == 1 and setup.service.notices.empty()
+            assert [await setup.owner.ended(), await second.ended()] == [0, 0]
+            assert setup.target.exchanges.qsize() == 1
 
     run(test)
 
 
-def test_the_first_of_three_processes_ends_its_calls_when_the_second_is_killed(tmp_path: Path) -> None:
-    """Nobody is left to notify: they must not run on beside those that the third sends."""
+def test_the_first_of_three_processes_aborts_its_calls_when_the_second_is_killed(tmp_path: Path) -> None:
+    """Outcomes can't be relayed any more, and the third process sends again: the old calls must not go on."""
 
     async def test() -> None:
-        async with call_in_flight(tmp_path) as begun:
-            second = await begun.platform.ready()
-            third = await begun.platform.ready()
+        async with call_in_flight(tmp_path) as setup:
+            second = await setup.platform.ready()
+            third = await setup.platform.ready()
             second.process.kill()
-            while not begun.call.writer.transport.is_closing():  # its connection is ended
+            # Wait until the process closes the connection of its call.
+            while not setup.call.writer.transport.is_closing():
                 await asyncio.sleep(0.01)
-            assert await begun.owner.ended() == 0
-            await (await begun.calls.next()).answer(200)  # a safe message goes out again
+            assert await setup.owner.ended() == 0
+            await (await setup.calls.next()).answer(200)  # a safe message is sent again
             await until(third.operators, {"success.status-update": 1})
 
     run(test)
 
 
-def test_a_relayed_retry_after_is_kept_to(tmp_path: Path) -> None:
+def test_a_relayed_retry_after_delays_the_next_call(tmp_path: Path) -> None:
     async def test() -> None:
-        async with call_in_flight(tmp_path) as begun:
-            new = await begun.platform.ready()
+        async with call_in_flight(tmp_path) as setup:
+            new = await setup.platform.ready()
             loop = asyncio.get_running_loop()
-            await begun.call.answer(429, Retry_After="1.5")
-            until_then = loop.time() + 1.4
+            await setup.call.answer(429, Retry_After="1.5")
+            retry_at = loop.time() + 1.4
             await until(new.operators, {"targets_disabled": 1})
-            assert await begun.client.submit("m2") == 202
-            again = await begun.calls.next()
-            assert loop.time() >= until_then
+            assert await setup.client.submit("m2") == 202
+            again = await setup.calls.next()
+            assert loop.time() >= retry_at
             await again.answer(200)
 
     run(test)
 
 
 @pytest.mark.parametrize("headers", [{}, PAYOUT, ORDER])
-def test_a_predecessor_killed_with_calls_in_flight_leaves_their_outcomes_unknown(
+def test_calls_in_flight_of_a_killed_predecessor_have_unknown_outcomes(
     tmp_path: Path, headers: dict[str, Any]
 ) -> None:
     async def test() -> None:
-        async with call_in_flight(tmp_path, **headers) as begun:
-            new = await begun.platform.ready()
-            begun.target.handler = accept
-            begun.owner.process.kill()
-            if headers is ORDER:  # it may have run, and may not run twice
-                assert await begun.ends.notice() == {"ref": "m1", "result": "dead"}
-                assert begun.target.exchanges.qsize() == 1
+        async with call_in_flight(tmp_path, **headers) as setup:
+            new = await setup.platform.ready()
+            setup.target.handler = accept
+            setup.owner.process.kill()
+            if headers is ORDER:  # it may have been executed, and must not be executed twice
+                assert await setup.service.notice() == {"ref": "m1", "result": "dead"}
+                assert setup.target.exchanges.qsize() == 1
             else:
                 await until(new.operators, {"concurrent": 0, "dispatches": 1})
 
@@ -327,7 +332,7 @@
 
 
 @pytest.mark.parametrize("when", ["before its request", "with the state", "after it owns"])
-def test_a_successor_that_dies_leaves_an_owner(tmp_path: Path, when: str) -> None:
+def test_after_the_end_of_a_successor_another_process_owns_the_folder(tmp_path: Path, when: str) -> None:
     async def test() -> None:
         async with machine(tmp_path) as (platform, _, _):
             old = await platform.ready()
@@ -337,7 +342,8 @@
                 new = await platform.ready()
                 new.process.kill()
                 await new.ended()
-                assert await old.ended() == 0  # it has handed everything over: the platform starts another
+                # It has handed over everything; the platform starts another process.
+                assert await old.ended() == 0
                 third = await platform.ready()
                 assert await (await platform.client()).submit("m2") == 202
                 await until(third.operators, {"success.status-update": 1})
@@ -348,11 +354,11 @@
             else:
                 connection = UnixConnection(connect(platform.handover_path()))
             connection.close()
-            assert await client.submit("m2") == 202  # on the connection that it had
+            assert await client.submit("m2") == 202  # on its existing connection
             await old.ready()
             assert await (await platform.client()).submit("m3") == 202
             await until(old.operators, {"success.status-update": 3, "concurrent": 0})
-            await platform.ready()  # and another may take over
+            await platform.ready()  # another successor can take over
             assert await client.submit("m4") == 202
 
     run(test)
@@ -360,16 +366,16 @@
 
 def test_a_successor_that_does_not_answer_pauses_the_owner_for_two_seconds(tmp_path: Path) -> None:
     async def test() -> None:
-        async with call_in_flight(tmp_path) as begun:
-            connection, frame = await begun.platform.request_handover()
+        async with call_in_flight(tmp_path) as setup:
+            connection, frame = await setup.platform.request_handover()
             assert frame is not None and frame.body["module"]["calls"]
-            await begun.call.answer(200)  # arrives while it is not known who owns
-            begun.client.send("m2")
-            second, reply = await begun.platform.request_handover()
+            await setup.call.answer(200)  # arrives while the owner is unknown
+            setup.client.send("m2")
+            second, reply = await setup.platform.request_handover()
             assert reply is not None and reply.kind == "busy"
-            assert await begun.client.status() == 202  # two seconds later
-            (await begun.calls.next()).writer.close()
-            metrics = await until(begun.owner.operators, {"success.status-update": 1})
+            assert await setup.client.status() == 202  # after OWNERSHIP_TIMEOUT_S, two seconds
+            (await setup.calls.next()).writer.close()
+            metrics = await until(setup.owner.operators, {"success.status-update": 1})
             assert metrics["dispatches"] >= 1
             connection.close()
             second.close()
@@ -380,9 +386,7 @@
 @pytest.mark.parametrize(
     ("body", "kind"), [({"version": VERSION + 1}, "take"), ({}, "take"), ({"version": VERSION}, "give")]
 )
-def test_a_request_that_the_owner_declines_changes_nothing(
-    tmp_path: Path, body: dict[str, Any], kind: str
-) -> None:
+def test_a_declined_request_leaves_the_owner_serving(tmp_path: Path, body: dict[str, Any], kind: str) -> None:
     async def test() -> None:
         async with machine(tmp_path) as (platform, _, _):
             old = await platform.ready()
@@ -396,8 +400,8 @@
     run(test)
 
 
-def test_an_owner_that_hands_over_an_invalid_state_is_waited_for(tmp_path: Path) -> None:
-    """The journal alone is used, once the lock is released."""
+def test_after_an_invalid_state_the_successor_waits_until_the_owner_exits(tmp_path: Path) -> None:
+    """Once the lock is released, the successor starts from the journal alone."""
 
     async def test() -> None:
         async with machine(tmp_path) as (platform, _, _):
@@ -405,14 +409,15 @@
             client = await platform.client()
             assert await client.submit("m1") == 202
             await until(old.operators, {"success.status-update": 1})
-            listener = listen(platform.handover_path())  # in the owner's place
+            listener = listen(platform.handover_path())  # the test answers instead of the owner
             new = await platform.start()
             loop = asyncio.get_running_loop()
             accepted, _ = await loop.sock_accept(listener)
             connection = UnixConnection(accepted)
             assert await connection.receive() is not None
             await connection.send("state", {"version": VERSION, "module": {"calls": [{}]}})
-            assert await connection.receive() is None  # it does not get the lock by that
+            # The successor closes the connection, and the owner keeps the lock.
+            assert await connection.receive() is None
             assert not await new.is_ready() and await old.is_ready()
             old.process.send_signal(signal.SIGTERM)
             await new.ready()
@@ -423,7 +428,7 @@
     run(test)
 
 
-def test_an_owner_that_hangs_is_replaced_once_it_is_killed(tmp_path: Path) -> None:
+def test_a_hung_owner_is_replaced_once_it_is_killed(tmp_path: Path) -> None:
     async def test() -> None:
         async with machine(tmp_path, never_respond) as (platform, target, _):
             old = await platform.ready()
@@ -443,7 +448,7 @@
     run(test)
 
 
-def test_two_successors_at_once_and_one_owner_at_any_time(tmp_path: Path) -> None:
+def test_with_two_simultaneous_successors_each_message_is_sent_once(tmp_path: Path) -> None:
     async def test() -> None:
         async with machine(tmp_path) as (platform, target, _):
             first = await platform.ready()
@@ -453,36 +458,37 @@
             while first.process.returncode is None or two.process.returncode == three.process.returncode:
                 names.append(f"m{len(names)}")
                 assert await client.submit(names[-1]) == 202
-                # The first hands over to one, and that one to the other, which has asked again.
-            left = two if two.process.returncode is None else three
-            await left.ready()
-            await until(left.operators, {"concurrent": 0})
+                # The first process hands over to one successor, which hands over to the other one later.
+            remaining = two if two.process.returncode is None else three
+            await remaining.ready()
+            await until(remaining.operators, {"concurrent": 0})
             seen = [
                 target.exchanges.get_nowait().headers["x-request-id"] for _ in range(target.exchanges.qsize())
             ]
-            assert sorted(seen) == sorted(names)  # each once
+            assert sorted(seen) == sorted(names)  # each message once
 
     run(test)
 
 
 def test_sigterm_while_relaying_does_not_end_the_relay(tmp_path: Path) -> None:
     async def test() -> None:
-        async with call_in_flight(tmp_path, **ORDER) as begun:
-            new = await begun.platform.ready()
-            begun.owner.process.send_signal(signal.SIGTERM)
-            assert await begun.client.submit("m2", X_Timeout_Ms="300") == 202  # the new one serves meanwhile
-            await begun.call.answer(200)
+        async with call_in_flight(tmp_path, **ORDER) as setup:
+            new = await setup.platform.ready()
+            setup.owner.process.send_signal(signal.SIGTERM)
+            # The successor serves meanwhile.
+            assert await setup.client.submit("m2", X_Timeout_Ms="300") == 202
+            await setup.call.answer(200)
             await until(new.operators, {"success.order": 1})
-            assert await begun.owner.ended() == 0
+            assert await setup.owner.ended() == 0
 
     run(test)
 
 
-def test_sigterm_before_the_lock_is_acquired_ends_at_once_and_changes_nothing(tmp_path: Path) -> None:
+def test_sigterm_while_waiting_for_the_lock_ends_the_successor_only(tmp_path: Path) -> None:
     async def test() -> None:
         async with machine(tmp_path) as (platform, _, _):
             old = await platform.ready()
-            listener = listen(platform.handover_path())  # nobody answers there
+            listener = listen(platform.handover_path())  # requests of the successor are not answered
             new = await platform.start()
             while not (await figures_or_none(new)):
                 await asyncio.sleep(0.01)
@@ -503,38 +509,38 @@
         return None
 
 
-def test_a_notice_owed_at_the_cut_over_is_sent(tmp_path: Path) -> None:
+def test_an_unconfirmed_notice_is_sent_again_after_a_takeover(tmp_path: Path) -> None:
     async def test() -> None:
-        async with machine(tmp_path, never_respond) as (platform, _, ends):
-            ends.notice_status = 503
+        async with machine(tmp_path, never_respond) as (platform, _, service):
+            service.notice_status = 503
             await platform.ready()
             client = await platform.client()
             assert await client.submit("m1", X_Timeout_Ms="400") == 202
-            first = await ends.notice()
+            first = await service.notice()
             await platform.ready()
-            ends.notice_status = 204
-            while (await ends.notice()) != first:
+            service.notice_status = 204
+            while (await service.notice()) != first:
                 pass
 
     run(test)
 
 
-def test_a_torn_record_at_the_cut_over_is_skipped_alone(tmp_path: Path) -> None:
+def test_a_torn_record_at_a_takeover_is_skipped_and_other_records_are_read(tmp_path: Path) -> None:
     async def test() -> None:
-        async with call_in_flight(tmp_path) as begun:
+        async with call_in_flight(tmp_path) as setup:
             (segment,) = (tmp_path / "state").glob("*.log")
             with segment.open("ab") as file:
                 file.write(b"\xe5EL1\x00\x00\x01\x00torn")
-            new = await begun.platform.ready()
+            new = await setup.platform.ready()
             assert (await read_metrics(new.operators))["concurrent"] == 1
-            await begun.call.answer(200)
+            await setup.call.answer(200)
             await until(new.operators, {"concurrent": 0, "success.status-update": 1})
 
     run(test)
 
 
-def test_a_drain_is_over_with_the_process_that_was_drained(tmp_path: Path) -> None:
-    """The next process starts as any does: whoever drains it has to say so to it."""
+def test_a_drain_ends_with_the_drained_process(tmp_path: Path) -> None:
+    """The successor accepts messages until an operator starts a drain of it as well."""
 
     async def test() -> None:
         async with machine(tmp_path) as (platform, _, _):
@@ -546,7 +552,9 @@
     run(test)
 
 
-def test_settings_that_changed_between_its_start_and_the_cut_over_are_used(tmp_path: Path) -> None:
+def test_settings_that_change_between_the_start_of_a_successor_and_its_takeover_are_used(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         async with machine(tmp_path) as (platform, _, _):
             old = await platform.ready()
@@ -555,7 +563,7 @@
             document["settings"]["categories"].append(extra)
             old.process.send_signal(signal.SIGSTOP)
             new = await platform.start()
-            while not (await figures_or_none(new)):  # it has read the file, and waits for the lock
+            while not (await figures_or_none(new)):  # it has not read its settings file yet
                 await asyncio.sleep(0.01)
             (tmp_path / "new.json").write_text(json.dumps(document))
             (tmp_path / "new.json").replace(tmp_path / "config.json")
@@ -568,7 +576,9 @@
 
 
 @pytest.mark.parametrize("descriptor", ["0", "999", "x"])
-def test_a_descriptor_that_does_not_listen_is_one_line_and_exit_2(tmp_path: Path, descriptor: str) -> None:
+def test_an_invalid_listener_descriptor_gives_one_error_line_and_exit_status_2(
+    tmp_path: Path, descriptor: str
+) -> None:
     async def test() -> None:
         async with machine(tmp_path) as (platform, _, _):
             running = await platform.start(EDGE_FD=descriptor)
@@ -578,7 +588,7 @@
     run(test)
 
 
-def test_a_second_forwarder_on_a_folder_in_use_is_one_line_and_exit_2(tmp_path: Path) -> None:
+def test_a_second_forwarder_on_a_folder_in_use_gives_one_error_line_and_exit_status_2(tmp_path: Path) -> None:
     async def test() -> None:
         async with machine(tmp_path) as (platform, _, _):
             old = await platform.ready()
--- a/tests/takeover/test_state_machine.py
+++ b/tests/takeover/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The states of the process that hands over, without sockets."""
+"""The state machine of the process that hands over, tested without sockets."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     return state_machine
 
 
-def test_a_takeover_without_faults() -> None:
+def test_a_takeover_without_faults_passes_through_relaying_to_ended() -> None:
     state_machine = handing_over()
     assert not state_machine.decided and not state_machine.owns
     state_machine.on_ownership_taken()
@@ -38,32 +38,33 @@
     assert state_machine.on_request(VERSION) is HandoverReply.CANNOT
 
 
-def test_without_an_answer_the_lock_decides() -> None:
+def test_without_an_answer_the_process_that_reacquires_the_lock_serves_again() -> None:
     state_machine = handing_over()
     state_machine.on_no_answer()
     assert state_machine.state is HandoverState.RECLAIMING and not state_machine.owns
     state_machine.on_lock_reacquired()
     assert state_machine.state.name == "SERVING" and state_machine.owns
-    assert state_machine.on_request(VERSION) is HandoverReply.HAND_OVER  # and another may try
+    # Another successor may request a takeover.
+    assert state_machine.on_request(VERSION) is HandoverReply.HAND_OVER
 
 
-def test_a_late_answer_counts_while_the_lock_is_not_reacquired() -> None:
+def test_a_late_answer_is_accepted_until_the_lock_is_reacquired() -> None:
     state_machine = handing_over()
     state_machine.on_no_answer()
     state_machine.on_ownership_taken()
     assert state_machine.state is HandoverState.RELAYING
-    state_machine.on_lock_reacquired()  # no more
+    state_machine.on_lock_reacquired()  # too late: ignored
     assert state_machine.state is HandoverState.RELAYING
 
 
-def test_a_lock_that_another_process_has_ends_this_one() -> None:
+def test_a_lock_lost_to_another_process_ends_this_process() -> None:
     state_machine = handing_over()
     state_machine.on_no_answer()
     state_machine.on_lock_lost()
     assert state_machine.state is HandoverState.ENDED
 
 
-def test_sigterm_in_each_state() -> None:
+def test_sigterm_starts_a_shutdown_only_in_the_serving_state() -> None:
     serving = HandoverStateMachine(VERSION)
     assert serving.on_stop() and serving.state is HandoverState.SHUTTING_DOWN
     assert serving.on_request(VERSION) is HandoverReply.CANNOT
