--- a/emberlatch/engine/active_settings.py
+++ b/emberlatch/engine/active_settings.py
@@ -35,9 +35,8 @@
         self.category_numbers = {category.name: n for n, category in enumerate(settings.categories)}
         self._tenant_numbers = {tenant.name: n for n, tenant in enumerate(settings.tenants)}
         terms = [api.Terms(category, settings.max_attempts) for category in settings.categories]
-        self._terms = [
-            (each, encode_terms(each)) for each in terms
-        ]  # terms and their stored text, by class number
+        # Terms and their stored text, by class number.
+        self._terms = [(each, encode_terms(each)) for each in terms]
 
     def tenant_number(self, tenant: str) -> int:
         """Return the number of a tenant, or 0 if the tenant is unknown."""
@@ -75,10 +74,8 @@
         """
         if message.remaining <= 0:
             raise BadMessageError("no time is left")
-        for value in (
-            message.id,
-            message.key,
-        ):  # a batch request writes both on one line, separated by spaces
+        # A batch request writes both on one line, separated by spaces.
+        for value in (message.id, message.key):
             if len(value) > MAX_NAME_LENGTH or not value.isprintable() or " " in value:
                 raise BadMessageError("an id or a key cannot be passed on")
         if not message.id or message.category not in self.category_numbers:
--- a/emberlatch/engine/engine.py
+++ b/emberlatch/engine/engine.py
@@ -108,9 +108,8 @@
             self._settings, self._message_journal, self.counters, self._events.post
         )
         self._timer: asyncio.TimerHandle | None = None
-        self._deferred: list[
-            Callable[[], None]
-        ] = []  # reports received while another process may own the journal
+        # Reports received while another process may own the journal.
+        self._deferred: list[Callable[[], None]] = []
         self._connected_parts: _ConnectedParts | None = None
 
     def connect(self, ports: EnginePorts) -> None:
@@ -296,9 +295,8 @@
     # Decisions.
 
     def _decide(self) -> None:
-        deliveries = (
-            self._connected.deliveries
-        )  # without ports this raises before any event is taken from the queue
+        # Without ports this raises before any event is taken from the queue.
+        deliveries = self._connected.deliveries
         pending, events = self._submissions.take(self._events.take())
         unread = iter(events)
         try:
@@ -333,9 +331,8 @@
         for event in unread:
             self._events.post(event)
         retry_at = self._loop.time() + FAILED_DECISION_RETRY_S
-        self._events.post_at(
-            retry_at, api.TimerFired(0)
-        )  # the failed decision may not have set the decision module's timer
+        # The failed decision may not have set the decision module's timer.
+        self._events.post_at(retry_at, api.TimerFired(0))
         return actions
 
     def _execute(self, action: api.Action, calls: CallsByTarget) -> None:
