--- a/emberlatch/fleet/__init__.py
+++ b/emberlatch/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Gateways that know each other: who is alive, who has failed, and what an isolated member does."""
+"""Fleets of gateways: failure detection among members, and what a member does while it is isolated."""
 
 from emberlatch.fleet.environment import ProcessEnvironment
 from emberlatch.fleet.membership import ProtocolParameters
--- a/emberlatch/fleet/environment.py
+++ b/emberlatch/fleet/environment.py
@@ -1,4 +1,4 @@
-"""What a process of a member runs in: its machine, its clock, its log and the source of its random draws."""
+"""The environment of a member's process: its machine, clock, log and random seed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from emberlatch.engine import Machine, Tasks
 from emberlatch.fleet.log_events import EventLog
 
-LOGGER_NAME = "emberlatch.fleet.service"  # in each line of the log, which operators' searches may name
+LOGGER_NAME = "emberlatch.fleet.service"  # part of each log line; operators' log searches may match it
 SEED_BITS = 64
 
 
@@ -21,7 +21,7 @@
 
 
 def _process_log() -> EventLog:
-    """Return the process's log as it is configured now."""
+    """Return the process's event log, with the logging configuration that is in force now."""
     log: structlog.stdlib.BoundLogger = structlog.stdlib.get_logger(LOGGER_NAME)
     return log.info
 
@@ -32,16 +32,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessEnvironment:
-    """The environment of one process of a member. It is created on the event loop of that process.
+    """The environment of one process of a member.
 
-    The defaults are those of a real process; simulations give a clock, a log and a seed of their own.
+    It must be created on the event loop of that process. The defaults are those of a real process;
+    simulations pass a clock, a log and a seed of their own.
 
     Attributes:
-        tasks: keeps its background tasks.
-        machine: the facilities of the machine that it runs on.
-        clock: the monotonic clock of all times, in seconds; by default the event loop's.
-        log_event: where its events go; by default the process's log.
-        seed: of all its random draws, 64 bits.
+        tasks: the background tasks of the process.
+        machine: the facilities of the machine that the process runs on.
+        clock: the monotonic clock for all times, in seconds; by default the event loop's.
+        log_event: logs an event; by default to the process's log.
+        seed: the seed of all random draws, 64 bits; by default drawn at random.
     """
 
     tasks: Tasks
@@ -52,5 +53,5 @@
 
     @property
     def run_id(self) -> str:
-        """The random id of this process, which distinguishes it from others of its generation."""
+        """The random id of this process, which distinguishes it from others of the same generation."""
         return f"{self.seed & 0xFFFFFFFF:08x}{(self.seed >> 32) & 0xFFFFFFFF:08x}"
--- a/emberlatch/fleet/errors.py
+++ b/emberlatch/fleet/errors.py
@@ -1,15 +1,15 @@
-"""What may go wrong between two members. Each error costs its sender the connection, and nothing else."""
+"""Errors on the link between two members. An error closes that link and has no other effect."""
 
 from __future__ import annotations
 
 
 class FleetError(Exception):
-    """The base of this package's errors; its text is the reason that the log gives."""
+    """The base of this package's errors. Its text is logged as the reason why the link was closed."""
 
 
 class FrameError(FleetError, ValueError):
-    """What has arrived can't be decoded as a frame, or is beyond the limits of one."""
+    """Received bytes can't be decoded as a frame, or exceed the limits of a frame."""
 
 
 class HandshakeError(FleetError):
-    """The other side is not a member that this process keeps a link with."""
+    """The other side has not identified itself as a member that this process accepts on this link."""
--- a/emberlatch/fleet/link_manager.py
+++ b/emberlatch/fleet/link_manager.py
@@ -1,9 +1,11 @@
-"""The links of one member: one for each other member, dialled by the one whose name comes first.
+"""Keeps one link between this member and each other member.
 
-Whoever sends invalid frames, too many bytes, an older version or another fleet's name loses its connection,
-and nothing else is affected. A link on which nothing arrives stays open while another one is dialled beside
-it: after a network partition it works again by itself, and if the other side has vanished the new one takes
-its place.
+Of two members, the one whose name sorts first dials. A connection is closed if the other side sends an
+invalid or too large frame, an older protocol version or the name of another fleet; nothing else is affected.
+
+A link on which no data arrives stays open while a second connection is dialled. If the cause was a network
+partition, the link works again after it heals; if the other process no longer exists, the second connection
+replaces the link.
 """
 
 from __future__ import annotations
@@ -16,7 +18,14 @@
 from emberlatch.engine import Address
 from emberlatch.fleet.environment import ProcessEnvironment
 from emberlatch.fleet.errors import HandshakeError
-from emberlatch.fleet.frames import PROTOCOL_VERSION, AnyFrame, Frame, Handshake, MembershipTable
+from emberlatch.fleet.frames import (
+    MAX_NAME_CHARS,
+    PROTOCOL_VERSION,
+    AnyFrame,
+    Frame,
+    Handshake,
+    MembershipTable,
+)
 from emberlatch.fleet.link import Link
 from emberlatch.fleet.log_events import FleetEvent
 from emberlatch.fleet.membership import generation_of
@@ -24,35 +33,38 @@
 from emberlatch.net.acceptor import Acceptor
 
 CONNECT_TIMEOUT_S = 1.0
-IDLE_TIMEOUT_S = 1.5  # without data, after which another connection is dialled beside the present one
+IDLE_TIMEOUT_S = 1.5  # time without data after which a second connection is dialled
 IDLE_CHECK_S = IDLE_TIMEOUT_S / 3
-REDIAL_BACKOFF_S = 0.1  # doubled up to the longest; each is drawn from half to all of it
+REDIAL_BACKOFF_S = 0.1  # delay after the first failure; doubled after each later one, up to the maximum
 MAX_REDIAL_BACKOFF_S = 1.0
-REDIAL_JITTER = (0.5, 1.0)
-MAX_UNIDENTIFIED_LINKS = 32  # connections without a handshake
+REDIAL_JITTER = (0.5, 1.0)  # range of the random factor by which each delay is multiplied
+MAX_UNIDENTIFIED_LINKS = 32  # links whose other side is not identified
 
 
 class LinkObserver(Protocol):
-    """What the links report to."""
+    """Receives the frames and state changes of the links, and supplies what is sent first on each."""
 
     def handshake(self) -> Handshake:
         """Return the first frame on each link."""
 
     def membership_table(self) -> MembershipTable:
-        """Return all that is known of the members."""
+        """Return this member's view of all members."""
 
     def on_handshake(self, handshake: Handshake) -> None:
         """Handle a new link to a member, or a linked member's new incarnation."""
 
     def on_link_down(self, name: str) -> None:
-        """Handle the loss of a member's link, if no other has taken its place."""
+        """Handle the loss of the link to a member; not called if another link has replaced it."""
 
     def on_frame(self, name: str, incarnation: int, frame: AnyFrame) -> None:
-        """Handle a frame of a member, whose handshake gave that incarnation."""
+        """Handle a frame of a member; `incarnation` is the one in the handshake of its link."""
 
 
 class LinkManager:
-    """Dials, accepts and replaces links. `dropped_frames` counts the frames that could not be sent."""
+    """Dials, accepts and replaces links.
+
+    `dropped_frames` counts frames that were not sent, for lack of a link or of space in its send buffer.
+    """
 
     def __init__(
         self, settings: FleetSettings, observer: LinkObserver, environment: ProcessEnvironment
@@ -60,7 +72,7 @@
         self._settings, self._observer = settings, observer
         self._tasks, self._machine = environment.tasks, environment.machine
         self._log_event = environment.log_event
-        self._random = random.Random(environment.seed + 1)  # apart from the membership machine's draws
+        self._random = random.Random(environment.seed + 1)  # a seed other than the membership machine's
         self._addresses: dict[str, Address] = {}
         self._links: dict[str, Link] = {}
         self._unidentified: dict[Link, None] = {}  # oldest first
@@ -69,7 +81,7 @@
         self.dropped_frames = 0
 
     def start(self) -> None:
-        """Listen and dial; OSError if the address can't be listened on."""
+        """Listen and dial; raises OSError if the address can't be listened on."""
         listener = self._machine.listen(self._settings.listen_address)
         self._acceptor = Acceptor(listener, lambda: Link(self), self._tasks)
         self.configure(self._settings.peer_addresses)
@@ -81,29 +93,29 @@
             if (task := self._dialling.pop(name, None)) is not None:
                 task.cancel()
             if name not in addresses and (link := self._links.get(name)) is not None:
-                link.close("is no member any more")
+                link.close("no longer a configured member")
         self._addresses = dict(addresses)
         for name in addresses:
             if self._settings.member_name < name and name not in self._dialling:
                 self._dialling[name] = self._tasks.spawn(self._dial(name))
 
     def send(self, name: str, frame: Frame) -> None:
-        """Send a frame to a member; it is dropped without a link, or if too much is unsent there."""
+        """Send a frame to a member; drop it if there is no link, or too many bytes are unsent on the link."""
         link = self._links.get(name)
         self.dropped_frames += link is None or not link.send(frame)
 
     def announce_incarnation(self) -> None:
-        """Send the handshake, whose incarnation has changed, on every link."""
+        """Send the handshake again on every link, because this member's incarnation has changed."""
         for link in list(self._links.values()):
             link.send(self.handshake())
 
     @property
     def connected_names(self) -> list[str]:
-        """The members with which there is a link."""
+        """The names of the members to which there is a link, sorted."""
         return sorted(self._links)
 
     def close(self) -> None:
-        """Close all."""
+        """Stop listening and dialling, and close all links."""
         if self._acceptor is not None:
             self._acceptor.close()
         for task in self._dialling.values():
@@ -112,7 +124,7 @@
             link.close()
 
     async def _dial(self, name: str) -> None:
-        """Keep a link to a member: dial if there is none, or beside one on which nothing arrives."""
+        """Keep a link to a member: dial while there is no link, or none on which data arrives."""
         loop, backoff_s = asyncio.get_running_loop(), REDIAL_BACKOFF_S
         while True:
             link = self._links.get(name)
@@ -126,7 +138,7 @@
                 backoff_s = min(MAX_REDIAL_BACKOFF_S, 2 * backoff_s)
 
     async def _connect(self, name: str) -> bool:
-        """Dial a member once; whether it has identified itself."""
+        """Dial a member once; return whether it has identified itself."""
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -135,51 +147,64 @@
             return False
         return await link.ready
 
-    # What a link reports.
+    # The methods of LinkOwner.
 
     def handshake(self) -> Handshake:
         """Return the first frame on each link."""
         return self._observer.handshake()
 
     def on_connected(self, link: Link) -> None:
-        """Note a connection without a handshake; if there are too many, close the oldest."""
+        """Record a link whose other side is not identified; if there are too many, close the oldest."""
         self._unidentified[link] = None
         if len(self._unidentified) > MAX_UNIDENTIFIED_LINKS:
-            next(iter(self._unidentified)).close("too many strangers")
+            next(iter(self._unidentified)).close(
+                f"more than {MAX_UNIDENTIFIED_LINKS} unidentified connections; this is the oldest"
+            )
 
     def check_handshake(self, link: Link, handshake: Handshake) -> None:
-        """Reject who is not a member of this fleet, or is not the one that was dialled."""
+        """Reject a process that is not a member of this fleet, or not the member that was dialled."""
         if handshake.version < PROTOCOL_VERSION:
-            raise HandshakeError(f"speaks version {handshake.version}, older than {PROTOCOL_VERSION}")
+            raise HandshakeError(
+                f"expected protocol version {PROTOCOL_VERSION} or later, got version {handshake.version}"
+            )
         if handshake.fleet != self._settings.fleet_name:
-            raise HandshakeError("is of another fleet")
+            raise HandshakeError(
+                f"expected fleet {self._settings.fleet_name!r}, got {handshake.fleet[:MAX_NAME_CHARS]!r}"
+            )
         if handshake.name not in self._addresses or link.dialled_name not in ("", handshake.name):
-            known = "is another member" if link.dialled_name else f"{handshake.name!r} is no member here"
-            raise HandshakeError(known)
+            reason = (
+                f"dialled {link.dialled_name!r}, got {handshake.name[:MAX_NAME_CHARS]!r}"
+                if link.dialled_name
+                else f"{handshake.name[:MAX_NAME_CHARS]!r} is not a configured member"
+            )
+            raise HandshakeError(reason)
 
     def on_ready(self, link: Link, handshake: Handshake) -> None:
-        """Put a link into use: of two with a member the one of the later generation, then the newer."""
+        """Start using an identified link.
+
+        Of two links to a member, use the one to the later generation; if they are equal, the newer link.
+        """
         self._unidentified.pop(link, None)
         old = self._links.get(handshake.name)
         if old is not None and not old.is_closing and _has_later_generation(old, handshake):
-            link.send(self._observer.membership_table())  # so that its process chooses a later generation
+            link.send(self._observer.membership_table())  # so that its process takes a later generation
             self._unidentified[link] = None
             return
-        self._links[handshake.name] = link  # before the other is closed, whose loss is then not reported
+        self._links[handshake.name] = link  # before the old one is closed, so that its loss is not reported
         if old is not None and old is not link:
             old.close()
         self._observer.on_handshake(handshake)
 
     def on_frame(self, handshake: Handshake, frame: AnyFrame) -> None:
-        """Pass a frame on."""
+        """Pass a frame to the observer."""
         self._observer.on_frame(handshake.name, handshake.incarnation, frame)
 
     def on_refused(self, link: Link, reason: str) -> None:
-        """Log why a link is closed."""
+        """Log why this process closes a link."""
         self._log_event(FleetEvent.LINK_REFUSED, member=link.peer_name, why=reason)
 
     def on_lost(self, link: Link) -> None:
-        """Forget a link."""
+        """Remove a closed link; report the loss if it was the one in use for its member."""
         self._unidentified.pop(link, None)
         handshake = link.peer_handshake
         if handshake is not None and self._links.get(handshake.name) is link:
@@ -188,6 +213,6 @@
 
 
 def _has_later_generation(link: Link, handshake: Handshake) -> bool:
-    """Whether a link is to a later process of the member than that which has sent a handshake."""
+    """Return whether the process on a link is of a later generation than the one that sent a handshake."""
     known = link.peer_handshake
     return known is not None and generation_of(known.incarnation) > generation_of(handshake.incarnation)
--- a/emberlatch/fleet/log_events.py
+++ b/emberlatch/fleet/log_events.py
@@ -1,7 +1,7 @@
-"""The events that a member logs, by their stored names, and the port to its log.
+"""The events that a member logs, and the interface of its event log.
 
-The values are stored names: operators search logs by them, and kept histories of storms hold them. They stay
-as they are; docs/operators/fleet.md says to operators what each means.
+The enum values are the names that are logged. They must not change: operators search logs for them, and the
+stored histories of storm tests contain them. docs/operators/fleet.md explains each to operators.
 """
 
 from __future__ import annotations
@@ -11,42 +11,49 @@
 
 
 class FleetEvent(StrEnum):
-    """An event of a member. Each is followed by the fields that are logged with it."""
+    """An event of a member. The text below each event lists the fields that are logged with it."""
 
     INCARNATION_STARTED = "life"
-    """This process has begun: `life` (its generation), `fresh` (the state folder is new), `size`."""
+    """This process has started: `life` (its generation), `fresh` (whether the state folder is new), `size`
+    (of the fleet)."""
     LEAVING = "leaves"
-    """This member has announced that it leaves."""
+    """This member has announced that it leaves the fleet."""
     HALTED = "halted"
-    """A later process has this member's name, and this one stops: `why`."""
+    """A process of a later generation has this member's name, so this process stops: `why`."""
     GENERATION_ADVANCED = "new_life"
-    """Others know an earlier process that the state folder does not: `before` (its generation), `life`."""
+    """Other members know of a generation of this member that its state folder does not contain: `before`
+    (that generation), `life` (the generation after it, which this process takes)."""
     SUSPICION_REFUTED = "refuted"
-    """Others suspect this member or think it failed: `state`, `by` (who suspects it). It has refuted that."""
+    """This member has refuted a report that it is not alive: `state` (as reported), `by` (the member that
+    suspects it)."""
 
     STALL_DETECTED = "stalled"
-    """This process stood still: `seconds`."""
+    """This process did not run for a while: `seconds`."""
     PARTITIONED = "cut"
-    """This member is isolated: `why`, an `IsolationReason`; never that it joins, which is how it starts."""
+    """This member has become isolated: `why`, an `IsolationReason`. JOINING, with which a member starts,
+    is not logged."""
     MAJORITY_REACHED = "majority"
-    """It is in contact with a majority: `was`, an `IsolationReason`, and `seconds` of the isolation."""
+    """This member is in contact with a majority: `was` (the `IsolationReason` until now), `seconds` (how long
+    it was isolated)."""
     QUOTA_SHARE = "standing"
-    """Its quota share has changed: `size`, `part` (of each limit), `closed` (classes), `cut`."""
+    """This member's quota share has changed: `size` (of the fleet), `part` (the fraction of each rate limit),
+    `closed` (the classes that are rejected), `cut` (an `IsolationReason`)."""
 
     PEER_STATE = "member"
-    """Another member has changed its state or generation: `member`, `state`, `was`, `incarnation`, `life`."""
+    """Another member has changed its state or generation: `member`, `state`, `was` (the state before),
+    `incarnation`, `life` (its generation)."""
     PEER_REACHED = "reached"
-    """A `member` answers direct probes again."""
+    """Another member answers direct probes again: `member`."""
     PEER_UNREACHED = "unreached"
-    """A `member` answers indirect probes only."""
+    """Another member answers only indirect probes: `member`."""
     LINK_REFUSED = "link_refused"
-    """A connection was closed by this side: `member` (empty if it is unknown), `why`."""
+    """This process has closed a connection: `member` (empty if the other side is unknown), `why`."""
     ENDPOINT_REPORTED = "told_of"
-    """Another member's list gives an endpoint another phase: `target`, `phase`, `by` (that member)."""
+    """Another member has reported a changed phase of an endpoint: `target`, `phase`, `by` (that member)."""
 
 
 class EventLog(Protocol):
-    """Where events go, with their named values."""
+    """Logs events with their fields."""
 
     def __call__(self, event: FleetEvent, **fields: object) -> object:
         """Log one event."""
--- a/emberlatch/fleet/membership_change.py
+++ b/emberlatch/fleet/membership_change.py
@@ -1,5 +1,8 @@
-"""Changes of the configured members: one at a time, so that any two majorities, before and after, have a
-member in common."""
+"""Checks changes of the configured members.
+
+Only one member may change at a time, so that any majority before the change and any majority after it have
+a member in common.
+"""
 
 from __future__ import annotations
 
@@ -9,13 +12,13 @@
 
 
 def membership_change_error(old: Mapping[str, Address], new: Mapping[str, Address], own_name: str) -> str:
-    """Return why a changed list of members is rejected; empty if it is accepted.
+    """Return why a changed list of members is rejected, or an empty text if it is accepted.
 
-    A member with a new address counts as one change too.
+    A member with a new address counts as one changed member.
     """
     if own_name not in new:
-        return f"{own_name!r}, which this process is, is not in it"
+        return f"it does not contain {own_name!r}, which is this member"
     changed = {name for name in {*old, *new} if old.get(name) != new.get(name)}
     if len(changed) > 1:
-        return f"{len(changed)} members change at once ({', '.join(sorted(changed))}); one at a time"
+        return f"{len(changed)} members change at once ({', '.join(sorted(changed))}); change one at a time"
     return ""
--- a/emberlatch/fleet/settings.py
+++ b/emberlatch/fleet/settings.py
@@ -1,4 +1,4 @@
-"""What a member has to know of its fleet when it starts."""
+"""The settings of a fleet member, which it needs when it starts."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """The fleet's name, this member's, the addresses of all, and the parameters of the protocol."""
+    """The names of the fleet and of this member, the addresses, the policies and the protocol parameters."""
 
     fleet_name: str
     member_name: str
     listen_address: Address
-    peer_addresses: Mapping[str, Address]  # by name, without this member
-    policies: Mapping[str, PartitionPolicy]  # by the name of the class
+    peer_addresses: Mapping[str, Address]  # by member name; excludes this member
+    policies: Mapping[str, PartitionPolicy]  # by class name
     parameters: ProtocolParameters = field(default_factory=ProtocolParameters)
