--- a/emberlatch/fleet/endpoint_exchange.py
+++ b/emberlatch/fleet/endpoint_exchange.py
@@ -1,4 +1,4 @@
-"""What members pass on about endpoints: holds that an endpoint asked for, and changes of endpoint lists."""
+"""Exchanges endpoint state between members: holds that endpoints asked for, and changed phases."""
 
 from __future__ import annotations
 
@@ -10,32 +10,33 @@
 from emberlatch.fleet.frames import EndpointHold, EndpointReport, EndpointUpdates, Frame
 from emberlatch.fleet.log_events import EventLog, FleetEvent
 
-MIN_HOLD_S = 0.05  # what remains of a hold that is worth passing on, and what makes one longer than another
+MIN_HOLD_S = 0.05
+"""Holds not longer than this are not shared; a hold must end later than a known one by more than this."""
 
 
 class EndpointObserver(Protocol):
-    """What acts on the endpoint updates of other members."""
+    """Acts on the endpoint updates of other members."""
 
     def on_endpoint_hold(self, target: str, seconds: float) -> None:
-        """An endpoint asked another member to call again only after so many seconds."""
+        """Do not call an endpoint for `seconds`, as it requested of another member."""
 
     def on_endpoint_report(self, target: str, phase: Phase) -> None:
-        """Another member's list gives an endpoint this phase."""
+        """Apply the phase that another member's endpoint list gives an endpoint."""
 
 
 class FrameSender(Protocol):
-    """The links, as far as they are used here."""
+    """The part of `LinkManager` that is used here."""
 
     @property
     def connected_names(self) -> list[str]:
-        """The members with which there is a link."""
+        """The names of the members to which there is a link."""
 
     def send(self, name: str, frame: Frame) -> None:
-        """Send a frame to a member; it may be lost."""
+        """Send a frame to a member; the frame may be lost."""
 
 
 class EndpointExchange:
-    """Passes on what is new, once: holds that are longer than known ones, and reports that change a phase.
+    """Shares each update once, if it is new: a hold that ends later, or a report that changes a phase.
 
     Times are in seconds on `clock`, which is monotonic.
     """
@@ -50,21 +51,21 @@
         self._links, self._observer = links, observer
         self._clock, self._log_event = clock, log_event
         self._reports = EndpointReports()
-        self._hold_ends_at: dict[str, float] = {}  # by endpoint, whichever member was asked
+        self._hold_ends_at: dict[str, float] = {}  # by endpoint; includes holds that other members shared
 
     def share_hold(self, target: str, seconds: float) -> None:
-        """Pass on that an endpoint asked this member to call again only after so many seconds."""
+        """Share a hold that an endpoint asked this member for, if it lasts longer than the known one."""
         if seconds > MIN_HOLD_S and self._extend_hold(target, seconds):
             self._send_to_linked(EndpointUpdates((EndpointHold(target, seconds),)))
 
     def share_phases(self, phases: Mapping[str, Phase]) -> None:
-        """Pass on that this member's endpoint list gives these endpoints other phases than before."""
+        """Share the phases of this member's endpoint list that differ from the newest reports."""
         now = self._clock()
         changed = [target for target, phase in phases.items() if self._reports.record(target, phase, now)]
         self._forward(self._reports.of(now, changed))
 
     def send_all(self, name: str) -> None:
-        """Send all that is known to a member whose link is new."""
+        """Send all holds and reports to a newly linked member."""
         now = self._clock()
         hold_ends = self._hold_ends_at.items()
         holds = tuple(EndpointHold(target, until - now) for target, until in hold_ends if until > now)
@@ -73,7 +74,7 @@
             self._links.send(name, EndpointUpdates(holds, reports))
 
     def on_updates(self, sender: str, updates: EndpointUpdates) -> None:
-        """Act on what another member passes on, as far as it is new."""
+        """Apply the updates of another member that are new."""
         for hold in updates.holds:
             if hold.remaining_s > MIN_HOLD_S and self._extend_hold(hold.target, hold.remaining_s):
                 self._observer.on_endpoint_hold(hold.target, hold.remaining_s)
@@ -87,7 +88,7 @@
             phase = int(report.phase)
             self._log_event(FleetEvent.ENDPOINT_REPORTED, target=report.target, phase=phase, by=sender)
             self._observer.on_endpoint_report(report.target, report.phase)
-        self._forward(new, except_for=sender)  # there may be members that the sender has no link with
+        self._forward(new, except_for=sender)  # the sender may have no link to some members
 
     def _forward(self, reports: tuple[EndpointReport, ...], except_for: str = "") -> None:
         if reports:
@@ -99,7 +100,7 @@
                 self._links.send(name, updates)
 
     def _extend_hold(self, target: str, seconds: float) -> bool:
-        """Record a hold from now on; whether it is longer than what is known."""
+        """Record a hold that begins now, unless a known one lasts as long; return whether it was recorded."""
         now = self._clock()
         self._hold_ends_at = {name: until for name, until in self._hold_ends_at.items() if until > now}
         if now + seconds <= self._hold_ends_at.get(target, 0.0) + MIN_HOLD_S:
--- a/emberlatch/fleet/endpoint_reports.py
+++ b/emberlatch/fleet/endpoint_reports.py
@@ -1,7 +1,8 @@
-"""What the endpoint lists of the members say, by age: the newest report on an endpoint holds. Pure.
+"""Keeps the newest report on each endpoint from the endpoint lists of all members. No I/O.
 
-Each member has its own list, which changes at its own time. That an endpoint is draining or gone in one list
-is passed on to all; that it is ready again withdraws such a report, and never what a member's own list says.
+Each member has its own list, and the lists change at different times. If an endpoint is draining or gone in
+one list, all members are informed. A report that it is ready again revokes only such a report; it does not
+override what a member's own list says.
 """
 
 from __future__ import annotations
@@ -11,8 +12,8 @@
 from emberlatch.core.interface import Phase
 from emberlatch.fleet.frames import EndpointReport
 
-MAX_ENDPOINTS = 1000  # of which a report is kept, the newest
-SIMULTANEITY_S = 0.5  # of reports closer than this the order is unknown, and the more severe one holds
+MAX_ENDPOINTS = 1000  # endpoints whose report is kept; the oldest report is dropped first
+ORDER_TOLERANCE_S = 0.5  # the order of reports closer than this is unknown: the more severe one counts
 SEVERITY = {Phase.READY: 0, Phase.DRAINING: 1, Phase.GONE: 2}
 
 
@@ -20,15 +21,15 @@
     """The newest report of each endpoint. Times are in seconds on the caller's clock."""
 
     def __init__(self) -> None:
-        self._reports: dict[str, tuple[float, Phase]] = {}  # since when, and the phase
+        self._reports: dict[str, tuple[float, Phase]] = {}  # by endpoint: start of the phase, phase
 
     def record(self, target: str, phase: Phase, since: float) -> bool:
-        """Record that an endpoint is in a phase since then; whether that is a change."""
+        """Record an endpoint's phase and when it began; return whether the known phase changed."""
         known = self._reports.get(target)
         if known is not None and known[1] == phase:
             self._reports[target] = max(since, known[0]), phase
             return False
-        if known is not None and abs(since - known[0]) <= SIMULTANEITY_S:
+        if known is not None and abs(since - known[0]) <= ORDER_TOLERANCE_S:
             if SEVERITY[phase] <= SEVERITY[known[1]]:
                 return False
         elif known is not None and since < known[0]:
@@ -40,10 +41,10 @@
         return True
 
     def all(self, now: float) -> tuple[EndpointReport, ...]:
-        """Every report, for a member that has just connected."""
+        """Return every report, for a newly linked member."""
         return self.of(now, self._reports)
 
     def of(self, now: float, targets: Iterable[str]) -> tuple[EndpointReport, ...]:
-        """The reports on some endpoints."""
+        """Return the reports on some endpoints."""
         reports = ((target, *self._reports[target]) for target in targets)
         return tuple(EndpointReport(target, phase, max(0.0, now - since)) for target, since, phase in reports)
--- a/emberlatch/fleet/frames.py
+++ b/emberlatch/fleet/frames.py
@@ -1,8 +1,8 @@
-"""The frames that members exchange: MessagePack arrays behind a length of 4 bytes, big-endian.
+"""The frames that members exchange: MessagePack arrays, each after its length in 4 bytes, big-endian.
 
-The first item of an array is the frame's tag. Tags and the order of fields are the wire format, which members
-of different releases share; the names of fields are not sent. `decode` raises FrameError for what is too long
-or can't be decoded.
+The first item of an array is the frame's tag. The tags and the order of fields are the wire format and must
+not change, because members of different releases run side by side; field names are not sent. `decode` raises
+FrameError for data that exceeds a limit or can't be decoded.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 PROTOCOL_VERSION = 1
 LENGTH_BYTES = 4
-MAX_FRAME_BYTES = 256 * 1024  # a membership table of 4,000 members
+MAX_FRAME_BYTES = 256 * 1024  # enough for a membership table of 4,000 members
 MAX_NAME_CHARS = 64
-MAX_LIST_ITEMS = 5_000  # of one list in a frame
+MAX_LIST_ITEMS = 5_000  # in each list of a frame
 MAX_INCARNATION = 1 << 62
 MAX_HOLD_S = 1e6
 MAX_REPORT_AGE_S = 1e9
 
 
 class MemberState(IntEnum):
-    """The state of a member in another one's view; under one incarnation the later one supersedes."""
+    """The state of a member in another one's view; in one incarnation, higher values supersede lower ones."""
 
-    JOINING = 0  # configured, and nothing has been heard of it
+    JOINING = 0  # configured, but no update on it has been received
     ALIVE = 1
     SUSPECT = 2
     UNREACHABLE = 3
@@ -36,10 +36,10 @@
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """A statement about a member, which is passed on from member to member.
+    """A statement about a member that members pass on to each other.
 
-    `incarnation` grows with each process of that member and with each refutation; `run_id` is the random id
-    of the process, empty if it is not known; `suspected_by` is the member that suspects it.
+    `incarnation` increases with each process of the member and with each refutation. `run_id` is the random
+    id of the process, or empty if unknown. `suspected_by` is the member that suspects the named one.
     """
 
     name: str
@@ -50,14 +50,14 @@
 
 
 class EndpointHold(msgspec.Struct, array_like=True, frozen=True):
-    """An endpoint asked its callers to retry later (Retry-After): `remaining_s` from when this is sent."""
+    """An endpoint's request not to call it (Retry-After) for `remaining_s` from when the frame is sent."""
 
     target: str
     remaining_s: float
 
 
 class EndpointReport(msgspec.Struct, array_like=True, frozen=True):
-    """What a member's endpoint list says of an endpoint, for `age_s`."""
+    """The phase that a member's endpoint list has given an endpoint for the last `age_s` seconds."""
 
     target: str
     phase: Phase
@@ -69,25 +69,25 @@
 
 
 class Handshake(Frame, frozen=True, tag=1):
-    """The first frame each way, and again when the sender has given up its incarnation for a later one."""
+    """The first frame in each direction; sent again when the sender's incarnation changes."""
 
     fleet: str
     name: str
     incarnation: int
     run_id: str
     version: int = PROTOCOL_VERSION
-    member_count: int = 0  # members that are configured at the sender
+    member_count: int = 0  # members in the sender's configuration
 
 
 class Ping(Frame, frozen=True, tag=2):
-    """A probe, to be answered by an Ack of the same sequence number."""
+    """A probe; the receiver answers with an Ack of the same sequence number."""
 
     sequence: int
     updates: tuple[MemberUpdate, ...] = ()
 
 
 class Ack(Frame, frozen=True, tag=3):
-    """The answer to a Ping, or to a PingRequest: then `answered_by` is the member that was pinged."""
+    """The answer to a Ping or a PingRequest; for the latter, `answered_by` is the member that was pinged."""
 
     sequence: int
     answered_by: str = ""
@@ -103,33 +103,33 @@
 
 
 class Nack(Frame, frozen=True, tag=5):
-    """The target of a PingRequest did not answer; the sender of this, and its link, are well."""
+    """Says that the target of a PingRequest did not answer; shows that the relay and the link to it work."""
 
     sequence: int
 
 
 class Gossip(Frame, frozen=True, tag=6):
-    """Updates without a probe."""
+    """Updates that are sent without a probe."""
 
     updates: tuple[MemberUpdate, ...] = ()
 
 
 class Digest(Frame, frozen=True, tag=7):
-    """A hash of the sender's membership table; a receiver with another one asks for the table."""
+    """A hash of the sender's membership table; a receiver whose hash differs starts an exchange of tables."""
 
     value: str
 
 
 class MembershipTable(Frame, frozen=True, tag=8):
-    """All that the sender knows of the members; `reply_requested` asks for the receiver's table."""
+    """The sender's view of all members; `reply_requested` asks the receiver for its table."""
 
     updates: tuple[MemberUpdate, ...]
     reply_requested: bool = False
-    member_count: int = 0  # members that are configured at the sender
+    member_count: int = 0  # members in the sender's configuration
 
 
 class EndpointUpdates(Frame, frozen=True, tag=9):
-    """Holds that endpoints asked for, and endpoints that are draining, gone or ready again."""
+    """Holds that endpoints asked for, and reports of endpoints that are draining, gone or ready again."""
 
     holds: tuple[EndpointHold, ...] = ()
     reports: tuple[EndpointReport, ...] = ()
@@ -141,24 +141,24 @@
 
 
 def encode(frame: Frame) -> bytes:
-    """Return a frame as bytes, with its length before it."""
+    """Return a frame as bytes, preceded by its length."""
     body = _ENCODER.encode(frame)
     return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
 class FrameDecoder:
-    """Decodes frames from a stream; it buffers one incomplete frame at most."""
+    """Decodes frames from a stream of bytes, and buffers an incomplete frame."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[AnyFrame]:
-        """Yield the frames that `data` completes; raises FrameError."""
+        """Yield the frames that are complete with `data`; raises FrameError."""
         self._buffer += data
         while len(self._buffer) >= LENGTH_BYTES:
             size = int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
             if not 0 < size <= MAX_FRAME_BYTES:
-                raise FrameError(f"a frame of {size} bytes")
+                raise FrameError(f"frame length is {size} bytes, expected 1 to {MAX_FRAME_BYTES}")
             end = LENGTH_BYTES + size
             if len(self._buffer) < end:
                 return
@@ -168,11 +168,11 @@
 
 
 def decode(body: bytes) -> AnyFrame:
-    """Decode one frame without its length; raises FrameError."""
+    """Decode the bytes of one frame, without the length before it; raises FrameError."""
     try:
         frame = _DECODER.decode(body)
     except (msgspec.MsgspecError, RecursionError, ValueError) as error:
-        raise FrameError(f"no frame: {error}") from error
+        raise FrameError(f"cannot decode a frame of {len(body)} bytes: {error}") from error
     match frame:
         case Ping(updates=updates) | Ack(updates=updates) | PingRequest(updates=updates):
             _check_members(updates)
@@ -187,18 +187,23 @@
 
 def _check_members(updates: tuple[MemberUpdate, ...]) -> None:
     if len(updates) > MAX_LIST_ITEMS:
-        raise FrameError(f"{len(updates)} updates")
+        raise FrameError(f"frame has {len(updates)} member updates, expected at most {MAX_LIST_ITEMS}")
     for update in updates:
         if not update.name or len(update.name) > MAX_NAME_CHARS:
-            raise FrameError("an update of a member without a valid name")
+            raise FrameError(f"member name has {len(update.name)} characters, expected 1 to {MAX_NAME_CHARS}")
         if not 0 <= update.incarnation < MAX_INCARNATION:
-            raise FrameError(f"an incarnation of {update.incarnation}")
+            raise FrameError(
+                f"incarnation of {update.name!r} is {update.incarnation}, expected 0 to {MAX_INCARNATION - 1}"
+            )
 
 
 def _check_endpoints(frame: EndpointUpdates) -> None:
     if len(frame.holds) > MAX_LIST_ITEMS or len(frame.reports) > MAX_LIST_ITEMS:
-        raise FrameError(f"{len(frame.holds)} holds and {len(frame.reports)} reports")
+        raise FrameError(
+            f"frame has {len(frame.holds)} holds and {len(frame.reports)} reports,"
+            f" expected at most {MAX_LIST_ITEMS} of each"
+        )
     if not all(0 <= hold.remaining_s < MAX_HOLD_S for hold in frame.holds):
-        raise FrameError("a hold without a valid time")
+        raise FrameError(f"remaining time of a hold is not from 0 to {MAX_HOLD_S:g} s")
     if not all(0 <= report.age_s < MAX_REPORT_AGE_S for report in frame.reports):
-        raise FrameError("a report without a valid age")
+        raise FrameError(f"age of an endpoint report is not from 0 to {MAX_REPORT_AGE_S:g} s")
--- a/emberlatch/fleet/membership/__init__.py
+++ b/emberlatch/fleet/membership/__init__.py
@@ -1,6 +1,6 @@
-"""Which members are alive: SWIM (Das 2002) with Lifeguard's care for one's own slowness (Dadgar 2017).
+"""Failure detection: the SWIM protocol (Das 2002) with Lifeguard's local health awareness (Dadgar 2017).
 
-Pure: frames and the time go in, frames to send, log events and the next due time come out.
+This package does no I/O: its input is frames and the time, its output is actions and the next due time.
 """
 
 from emberlatch.fleet.membership.actions import Action, Halt, IncarnationChanged, LogEvent, SendFrame
--- a/emberlatch/fleet/membership/actions.py
+++ b/emberlatch/fleet/membership/actions.py
@@ -1,4 +1,4 @@
-"""What the membership machine wants done. The caller carries it out in the order given."""
+"""The actions that the membership machine requests. The caller carries them out in order."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendFrame:
-    """Send a frame to a member; it may be lost."""
+    """Send a frame to a member; the frame may be lost."""
 
     recipient: str
     frame: AnyFrame
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """Log an event with its named values."""
+    """Log an event with its fields."""
 
     event: FleetEvent
     fields: Mapping[str, object] = field(default_factory=dict)
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class IncarnationChanged:
-    """Store the member's own incarnation, and announce it on each link."""
+    """Store the generation of this member's new incarnation, and announce the incarnation on each link."""
 
     incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
 class Halt:
-    """End the process: another one has this member's name."""
+    """End this process, because another one has this member's name."""
 
     reason: str
 
@@ -43,7 +43,7 @@
 
 
 class Outbox:
-    """The actions that the parts of the machine have asked for, in order."""
+    """Collects the actions that the parts of the machine request, in order."""
 
     def __init__(self) -> None:
         self._actions: list[Action] = []
@@ -53,14 +53,14 @@
         self._actions.append(action)
 
     def send(self, recipient: str, frame: AnyFrame) -> None:
-        """Append a frame to a member."""
+        """Append an action that sends a frame to a member."""
         self._actions.append(SendFrame(recipient, frame))
 
     def log(self, event: FleetEvent, **fields: object) -> None:
-        """Append a log event."""
+        """Append an action that logs an event."""
         self._actions.append(LogEvent(event, fields))
 
     def take(self) -> list[Action]:
-        """Return the actions since the last call, and forget them."""
+        """Return and remove the collected actions."""
         actions, self._actions = self._actions, []
         return actions
--- a/emberlatch/fleet/membership/identity.py
+++ b/emberlatch/fleet/membership/identity.py
@@ -1,4 +1,4 @@
-"""This member's own incarnation: refuting what others say of it, and yielding its name to a later process."""
+"""This member's own incarnation: it refutes suspicions, and halts if a later process has its name."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessIdentity:
-    """Which process of which member this is, as it knows that when it starts.
+    """Identifies a process of a member when it starts.
 
-    `generation` is one more than the last that the state folder knows; `run_id` is a random id, by which two
-    processes of one generation differ.
+    `generation` is one more than the last one in the state folder. `run_id` is a random id, which
+    distinguishes two processes of the same generation.
     """
 
     name: str
@@ -29,8 +29,8 @@
 class OwnIdentity:
     """The member's name, its incarnation, and the random id of this process. Times are in seconds.
 
-    An incarnation consists of a generation, which counts the processes that a state folder has seen, and of a
-    count of refutations.
+    An incarnation combines a generation, which counts the processes of the member, with a count of
+    refutations.
     """
 
     def __init__(self, process: ProcessIdentity, instance: ProtocolInstance, health: LocalHealth) -> None:
@@ -38,7 +38,7 @@
         self.incarnation = first_incarnation(process.generation)
         self.is_leaving = False
         self.is_halted = False
-        self.joined_at = math.inf  # from then on a later generation of this name is another process
+        self.joined_at = math.inf  # from then on, an update of a later generation is of another process
         self._health, self._queue, self._outbox = health, instance.queue, instance.outbox
 
     @property
@@ -47,29 +47,32 @@
         return generation_of(self.incarnation)
 
     def handshake(self, fleet: str, configured_size: int) -> Handshake:
-        """Return the first frame on each link."""
+        """Return the handshake, the first frame on each link."""
         return Handshake(fleet, self.name, self.incarnation, self.run_id, member_count=configured_size)
 
     def as_update(self) -> MemberUpdate:
-        """Return what this member says of itself."""
+        """Return the update that states this member's own state."""
         state = MemberState.LEFT if self.is_leaving else MemberState.ALIVE
         return MemberUpdate(self.name, state, self.incarnation, self.run_id)
 
     def leave(self) -> MemberUpdate:
-        """Leave the fleet; return the update that says so."""
+        """Leave the fleet; return the update that announces it."""
         self.is_leaving = True
         update = self.as_update()
         self._queue.add(update)
         return update
 
     def end_join_window_at(self, at: float) -> None:
-        """End, at the earliest of these times, the window in which this incarnation yields to a later one."""
+        """Set when the join window ends, in which this process takes a later generation instead of halting.
+
+        The earliest of the times that are set counts.
+        """
         self.joined_at = min(self.joined_at, at)
 
     def on_update(self, now: float, update: MemberUpdate) -> None:
-        """Handle what another member says of this one."""
+        """Handle an update of another member on this one."""
         if update.incarnation < self.incarnation and update.state is not MemberState.ALIVE:
-            self._queue.add(self.as_update())  # the sender has missed a refutation, and gets it at once
+            self._queue.add(self.as_update())  # the sender missed a refutation: send it again
         if self._is_about_this_process(update):
             if update.incarnation >= self.incarnation and update.state is not MemberState.ALIVE:
                 self._refute(update)
@@ -85,25 +88,28 @@
         if self.is_leaving:
             return
         if update.state is MemberState.SUSPECT:
-            self._health.adjust(1)  # a member that others do not hear may not hear them either
+            self._health.adjust(1)  # a member whose frames get lost may also miss the others' frames
         self._advance_to(update.incarnation + 1)
         state = update.state.name.lower()
         self._outbox.log(FleetEvent.SUSPICION_REFUTED, state=state, by=update.suspected_by)
 
     def _resolve_conflict(self, now: float, update: MemberUpdate) -> None:
-        """Handle an update of another process of this name, with the same generation or a later one."""
+        """Handle an update on another process with this name, of the same generation or a later one."""
         other = generation_of(update.incarnation)
-        if now < self.joined_at:  # an earlier process, of which the state folder does not know
+        if now < self.joined_at:  # an earlier process that is not in the state folder
             self._outbox.log(FleetEvent.GENERATION_ADVANCED, before=other, life=other + 1)
             self._advance_to(first_incarnation(other + 1))
         elif other > self.generation:
             self.is_halted = True
             own = self.generation
-            reason = f"another process is {self.name} in its life {other}; this one, in life {own}, stops"
+            reason = (
+                f"another process is {self.name} in generation {other};"
+                f" this process, of generation {own}, stops"
+            )
             self._outbox.log(FleetEvent.HALTED, why=reason)
             self._outbox.add(Halt(reason))
         elif update.state is not MemberState.ALIVE or update.run_id < self.run_id:
-            self._advance_to(first_incarnation(other + 1))  # of two with one number, one process goes
+            self._advance_to(first_incarnation(other + 1))  # of two with one generation, one advances
 
     def _advance_to(self, incarnation: int) -> None:
         self.incarnation = incarnation
--- a/emberlatch/fleet/membership/machine.py
+++ b/emberlatch/fleet/membership/machine.py
@@ -1,6 +1,7 @@
-"""The membership machine: its parts put together, and the order in which they see frames and the time.
+"""The membership machine: composes its parts, and passes frames and the time to them in order.
 
-It decides nothing that may happen only once: a view of the fleet is an opinion, and says when to try.
+A view of the fleet may be wrong: it suggests when to try something, but decides nothing that may happen only
+once.
 """
 
 from __future__ import annotations
@@ -33,16 +34,16 @@
 from emberlatch.fleet.membership.protocol_instance import ProtocolInstance
 from emberlatch.fleet.membership.transitions import PeerTransitions
 
-MAX_CONFIRMATION_PINGS = 50  # at once, of a member that is isolated
+MAX_CONFIRMATION_PINGS = 50  # pings that an isolated member sends at once
 
 
 class MembershipMachine:
     """One member's view of its fleet.
 
     Attributes:
-        due: when `tick` is to be called next, in seconds on the monotonic clock of all `now`.
-        peers: the other configured members, to be read only.
-        identity, partition, health, prober: the machine's parts, to be read only.
+        due: when `tick` is to be called next. Times are in seconds on one monotonic clock.
+        peers: the other configured members; callers must not change them.
+        identity, partition, health, prober: the machine's parts; callers must not change them.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
         seed: int,
         parameters: ProtocolParameters | None = None,
     ) -> None:
-        """`member_names` are the configured members, this one among them or not; `seed` is of all draws."""
+        """`member_names` are the configured members, with or without this one; `seed` is for random draws."""
         self.parameters = parameters or ProtocolParameters()
         instance = ProtocolInstance.begin(self.parameters, seed)
         self._rng, self._queue, self._outbox = instance.rng, instance.queue, instance.outbox
@@ -70,15 +71,15 @@
     # Requests.
 
     def take_actions(self) -> list[Action]:
-        """Return what is to be done since the last call."""
+        """Return and remove the actions that were requested since the last call."""
         return self._outbox.take()
 
     def handshake(self, fleet: str) -> Handshake:
-        """Return the first frame on each link."""
+        """Return the handshake, the first frame on each link."""
         return self.identity.handshake(fleet, self.peers.configured_size)
 
     def membership_table(self) -> MembershipTable:
-        """Return all that is known of the members."""
+        """Return this member's view of all members."""
         return self._anti_entropy.table()
 
     def configure(self, now: float, member_names: Iterable[str]) -> None:
@@ -88,13 +89,13 @@
         removed = self.peers.configure(now, other_names)
         self._transitions.remove(removed)
         self.prober.remove(removed)
-        if changed:  # the longest list counts for all members, also where it is reloaded later
+        if changed:  # the longest list sets the fleet size for all members, also for those that reload later
             for name in self.peers.names_in(*PRESENT):
                 self._outbox.send(name, self.membership_table())
         self.partition.review(now)
 
     def leave(self, now: float) -> None:
-        """Announce that this member leaves by intent."""
+        """Announce that this member leaves the fleet."""
         self._gossiper.send_farewell(self.identity.leave())
 
     # Events.
@@ -117,7 +118,7 @@
     def on_link_down(self, now: float, name: str) -> None:
         """Handle the loss of a link: probe that member next.
 
-        A process that died refuses a new connection, one behind a network partition does not answer.
+        A process that has died refuses a new connection; one behind a network partition does not answer.
         """
         self._detect_stall(now)
         if (peer := self.peers.get(name)) is not None and peer.is_present:
@@ -125,7 +126,7 @@
         self._schedule(now)
 
     def on_frame(self, now: float, sender: str, incarnation: int, frame: AnyFrame) -> None:
-        """Handle a frame; `incarnation` is that of the handshake on its link."""
+        """Handle a frame; `incarnation` is the one in the handshake of its link."""
         self._detect_stall(now)
         peer = self.peers.get(sender)
         if peer is None or generation_of(incarnation) < peer.generation:
@@ -136,7 +137,7 @@
                 self._apply(now, updates)
                 self._outbox.send(sender, Ack(sequence, updates=self._queue.take(peer.refutable_update())))
             case Ack(updates=updates):
-                self._apply(now, updates)  # first, for it may hold the refutation that is passed on
+                self._apply(now, updates)  # before on_ack, so that a refutation in it can be passed on
                 self.prober.on_ack(now, sender, frame)
             case PingRequest(updates=updates):
                 self._apply(now, updates)
@@ -150,7 +151,7 @@
             case MembershipTable():
                 self._on_table(now, sender, frame)
             case _:
-                pass  # of endpoints, which are not this machine's concern
+                pass  # EndpointUpdates, which `EndpointExchange` handles
         self._schedule(now)
 
     def _on_table(self, now: float, sender: str, table: MembershipTable) -> None:
@@ -170,7 +171,7 @@
     # Time.
 
     def tick(self, now: float) -> None:
-        """Do what is due by time alone."""
+        """Do everything that is due at this time."""
         self._detect_stall(now)
         self.prober.tick(now)
         self._transitions.tick(now)
@@ -185,7 +186,10 @@
         self._schedule(now)
 
     def _detect_stall(self, now: float) -> None:
-        """Notice that this process stood still, before anything else: its view is out of date."""
+        """Begin an isolation if this process did not run for a while.
+
+        Its view is then out of date, so this comes before the handling of any event.
+        """
         late_s = now - self.due
         if now <= self.due + self.parameters.stall_s:
             return
@@ -201,7 +205,7 @@
             self.partition.due,
             self._gossiper.due,
             self._anti_entropy.due,
-            now + self.parameters.stall_s / 2,  # so that a stall is noticed also while probes are rare
+            now + self.parameters.stall_s / 2,  # detects a stall in time even while probes are rare
             *self._transitions.deadlines,
         ]
         self.due = max(now, min(times))
--- a/emberlatch/fleet/membership/partition.py
+++ b/emberlatch/fleet/membership/partition.py
@@ -1,4 +1,4 @@
-"""Whether this member is in contact with a majority of the configured members, or isolated from it."""
+"""Detects whether this member is in contact with a majority of the configured members, or isolated."""
 
 from __future__ import annotations
 
@@ -11,38 +11,39 @@
 
 
 class IsolationReason(Enum):
-    """Why a member is isolated; the values are in the log and in the status."""
+    """Why a member is isolated. The values appear in the log and in the status."""
 
-    NONE = ""  # it is in contact with a majority
+    NONE = ""  # not isolated: in contact with a majority
     JOINING = "joining"
     NO_MAJORITY = "no majority"
     STALLED = "stalled"
 
 
 class PartitionDetector:
-    """Begins an isolation by the view of the peers, and ends it only by answers to later pings.
+    """Begins an isolation by the view of the peers, and ends it only by answers to pings sent after that.
 
-    `since` is when the isolation began or ended. Times are in seconds on the machine's clock.
+    `reason` and `since` are why and when the isolation began, or NONE and when it ended. Times are in seconds
+    on the machine's clock.
     """
 
     def __init__(self, instance: ProtocolInstance, now: float) -> None:
         self._peers, self._outbox, self._parameters = instance.peers, instance.outbox, instance.parameters
         self.reason, self.since = IsolationReason.JOINING, now
-        self._answered: set[str] = set()  # since the isolation began
+        self._answered: set[str] = set()  # peers that have answered since the isolation began
         self._next_confirmation_at = now
 
     @property
     def is_isolated(self) -> bool:
-        """Whether this member is without a majority, or has yet to prove one."""
+        """Whether this member has no contact with a majority, or has not confirmed it yet."""
         return self.reason is not IsolationReason.NONE
 
     @property
     def due(self) -> float:
-        """When the members that have not answered are to be pinged next."""
+        """When the peers that have not answered are to be pinged next; infinite if not isolated."""
         return self._next_confirmation_at if self.is_isolated else math.inf
 
     def review(self, now: float) -> None:
-        """Begin or end an isolation by what is known now."""
+        """Begin or end an isolation, according to the present view."""
         majority = self._peers.configured_size // 2 + 1
         if not self.is_isolated and self._peers.present_count < majority:
             self.begin_isolation(now, IsolationReason.NO_MAJORITY)
@@ -52,20 +53,20 @@
             self.reason, self.since = IsolationReason.NONE, now
 
     def begin_isolation(self, now: float, reason: IsolationReason) -> None:
-        """Count answers anew from now on."""
+        """Begin an isolation, and discard the answers recorded so far."""
         self.reason, self.since = reason, now
         self._answered.clear()
         self._outbox.log(FleetEvent.PARTITIONED, why=reason.value)
         self.review(now)
 
     def record_answer(self, now: float, name: str, pinged_at: float) -> None:
-        """Record the answer of a peer to a ping that was sent at that time."""
+        """Record the answer of a peer to a ping that was sent at `pinged_at`."""
         if self.is_isolated and pinged_at >= self.since:
             self._answered.add(name)
             self.review(now)
 
     def start_confirmation(self, now: float) -> list[str]:
-        """Return who is to be pinged, if that is due: all that have not answered and have not left."""
+        """Return the peers to be pinged, if that is due: those that have not answered and have not left."""
         if now < self.due:
             return []
         self._next_confirmation_at = now + self._parameters.probe_interval_s
--- a/emberlatch/fleet/membership/peers.py
+++ b/emberlatch/fleet/membership/peers.py
@@ -1,4 +1,4 @@
-"""What is known of each other member, and the rule by which an update supersedes it."""
+"""This member's view of each other member, and the rule by which an update supersedes it."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from emberlatch.fleet.frames import MemberState, MemberUpdate
 from emberlatch.fleet.membership.suspicion import Suspicion
 
-REFUTATION_BITS = 20  # of an incarnation, which count refutations; those above are the generation
+REFUTATION_BITS = 20  # low bits of an incarnation, which count refutations; the high bits are the generation
 UNKNOWN_INCARNATION = -1
 PRESENT = (MemberState.ALIVE, MemberState.SUSPECT)
 ABSENT = (MemberState.JOINING, MemberState.UNREACHABLE)
 
 
 def first_incarnation(generation: int) -> int:
-    """Return the incarnation with which a generation, which is one process of a member, begins."""
+    """Return the first incarnation of a generation; each process of a member has its own generation."""
     return generation << REFUTATION_BITS
 
 
 def generation_of(incarnation: int) -> int:
-    """Return the generation to which an incarnation belongs."""
+    """Return the generation of an incarnation."""
     return incarnation >> REFUTATION_BITS
 
 
@@ -35,26 +35,26 @@
     incarnation: int = UNKNOWN_INCARNATION
     run_id: str = ""
     state_since: float = 0.0
-    last_frame_at: float = -math.inf  # directly from it
-    is_reached_directly: bool = True  # its latest answer came on its own link, not by an indirect probe
+    last_frame_at: float = -math.inf  # when a frame from the peer itself last arrived
+    is_reached_directly: bool = True  # whether its latest answer was to a direct ping
     suspicion: Suspicion | None = None
-    returned_at: list[float] = field(default_factory=list)  # from being unreachable
+    returned_at: list[float] = field(default_factory=list)  # when it became alive after being unreachable
 
     @property
     def is_present(self) -> bool:
-        """Whether it is alive or suspect."""
+        """Whether the peer is alive or suspect."""
         return self.state in PRESENT
 
     @property
     def generation(self) -> int:
-        """Its generation; negative while that is unknown."""
+        """The peer's generation; negative while it is unknown."""
         return generation_of(self.incarnation)
 
     def is_superseded_by(self, update: MemberUpdate) -> bool:
-        """Whether an update says more than is known.
+        """Return whether an update is newer than the present view of the peer.
 
-        Updates are in a total order, by incarnation and then state: in whatever order they arrive, all
-        members come to the same view.
+        Updates have a total order, by incarnation and then state, so that all members reach the same view in
+        whatever order updates arrive.
         """
         if self.state is MemberState.JOINING:
             return update.state is not MemberState.JOINING
@@ -63,23 +63,23 @@
         return update.state > self.state
 
     def as_update(self) -> MemberUpdate:
-        """Return the update that says what is known of it."""
+        """Return an update with the present view of the peer."""
         suspected_by = next(iter(self.suspicion.suspected_by)) if self.suspicion is not None else ""
         return MemberUpdate(self.name, self.state, self.incarnation, self.run_id, suspected_by)
 
     def refutable_update(self) -> MemberUpdate | None:
-        """Return the update that it has to receive in order to refute it, if it seems to have failed."""
+        """Return the update that the peer must receive to refute it, if it is suspect or unreachable."""
         seems_failed = self.state in (MemberState.SUSPECT, MemberState.UNREACHABLE)
         return self.as_update() if seems_failed else None
 
     def recent_returns(self, now: float, window_s: float, maximum: int) -> int:
-        """Return how often it came back from being unreachable within a window, up to a maximum."""
+        """Return how often the peer returned from being unreachable within a window, up to a maximum."""
         self.returned_at = [at for at in self.returned_at if at > now - window_s]
         return min(maximum, len(self.returned_at))
 
 
 class PeerTable(dict[str, Peer]):
-    """The other configured members by name, in a fixed order; the owner alone adds and removes."""
+    """The other configured members by name, in a fixed order. Only `configure` adds and removes members."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -87,25 +87,25 @@
 
     @property
     def fleet_size(self) -> int:
-        """Members of the largest fleet that may be alive: as configured here, or as another one announced."""
+        """The size of the largest fleet that may be alive, as configured here or announced by a peer."""
         return max([self.configured_size, *self._recorded_sizes.values()])
 
     @property
     def configured_size(self) -> int:
-        """Configured members, this one included."""
+        """The number of configured members, this one included."""
         return len(self) + 1
 
     @property
     def present_count(self) -> int:
-        """Members that are alive or suspect, this one included."""
+        """The number of members that are alive or suspect, this one included."""
         return 1 + sum(peer.is_present for peer in self.values())
 
     def record_size(self, name: str, size: int) -> None:
-        """Record how many members are configured at another one."""
+        """Record how many members a peer has in its configuration."""
         self._recorded_sizes[name] = size
 
     def configure(self, now: float, names: Iterable[str]) -> list[str]:
-        """Apply the names of all other members; return those that are no longer among them."""
+        """Apply the names of all other members; return the names that were removed."""
         wanted = set(names)
         removed = [name for name in self if name not in wanted]
         for name in removed:
@@ -116,14 +116,14 @@
         return removed
 
     def names_in(self, *states: MemberState) -> list[str]:
-        """Return the names of the peers in one of some states."""
+        """Return the names of the peers that are in one of the states."""
         return [peer.name for peer in self.values() if peer.state in states]
 
     def known_updates(self) -> list[MemberUpdate]:
-        """Return an update of each peer of which anything has been heard."""
+        """Return an update of each peer on which an update has been received."""
         return [peer.as_update() for peer in self.values() if peer.state is not MemberState.JOINING]
 
 
 def sample_names(rng: random.Random, names: list[str], maximum: int) -> list[str]:
-    """Return up to so many of the names, at random."""
+    """Return up to `maximum` of the names, at random."""
     return rng.sample(names, min(maximum, len(names)))
--- a/emberlatch/fleet/membership/protocol_instance.py
+++ b/emberlatch/fleet/membership/protocol_instance.py
@@ -1,4 +1,4 @@
-"""What the parts of the membership machine share."""
+"""The state that the parts of the membership machine share."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProtocolInstance:
-    """One instance of the membership protocol: that which runs in one process of a member.
+    """One instance of the membership protocol; each process of a member runs one.
 
     Attributes:
-        parameters: its times and counts.
-        rng: the source of all its draws; their order is that of the parts' calls.
-        peers: this member's view of the others.
-        queue: the updates to be passed on, on whatever frame is sent next.
-        outbox: the actions that the parts have requested of the process.
+        parameters: the times and counts of the protocol.
+        rng: the generator of all random draws; with a given seed, the draws depend on the order of calls.
+        peers: this member's view of the other members.
+        queue: the updates that are to be sent with the next frames.
+        outbox: the actions that the parts have requested.
     """
 
     parameters: ProtocolParameters
@@ -31,6 +31,6 @@
 
     @classmethod
     def begin(cls, parameters: ProtocolParameters, seed: int) -> ProtocolInstance:
-        """Return an instance that knows of no peers and has requested nothing."""
+        """Return an instance without peers, queued updates and actions."""
         peers = PeerTable()
         return cls(parameters, random.Random(seed), peers, UpdateQueue(parameters, peers), Outbox())
--- a/emberlatch/fleet/quota_shares.py
+++ b/emberlatch/fleet/quota_shares.py
@@ -1,8 +1,8 @@
-"""A member's quota share: its fraction of each partner's rate limit, and the classes that it rejects. Pure.
+"""Computes a member's quota share, its fraction of each partner's rate limit, and the classes it rejects.
 
-The shares of all members, on all sides of any network partition, never sum to more than the limit: each is
-1/N of the largest fleet that may be alive, whoever is in sight. What is in sight only decides whether a
-member uses its full share.
+The shares of all members, on all sides of a network partition, never sum to more than the limit: each is at
+most 1/N, where N is the size of the largest fleet that may be alive, whichever members are reachable.
+Reachability only decides whether a member uses its full share. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -12,61 +12,67 @@
 from dataclasses import dataclass
 from enum import Enum
 
-ISOLATED_FRACTION = 0.25  # of its own share, which a member uses while it is isolated
-RAMP_S = 0.8  # from that to the full share
+ISOLATED_FRACTION = 0.25  # fraction of its share that an isolated member uses
+RAMP_S = 0.8  # duration of the ramp from `ISOLATED_FRACTION` to the full share
 RAMP_STEP_S = 0.1
-ROUNDING_S = 1e-6  # so that a step is not missed by the rounding of a time
+ROUNDING_STEPS = 1e-6  # tolerance, in steps, so that rounding a time does not skip a step
 
 
 class PartitionPolicy(Enum):
-    """What happens to the messages of a class while the member is isolated; the values are configuration."""
+    """How a class's messages are treated while the member is isolated. The values stand in configurations."""
 
-    OWN = "own"  # accepted; the member, with all its classes, uses its full share of each limit
-    LEAST = "least"  # accepted, at `ISOLATED_FRACTION` of the share unless another class has OWN
-    REFUSE = "refuse"  # rejected at once, with a time to retry after
+    OWN = "own"  # accepted; if any class has this policy, the member uses its full share for all classes
+    LEAST = "least"  # accepted; the member uses `ISOLATED_FRACTION` of its share unless another class has OWN
+    REFUSE = "refuse"  # rejected at once, with a retry-after time
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaShare:
-    """What applies now."""
+    """The quota share and the closed classes at one moment."""
 
     fleet_size: int  # the largest number of members that may be alive
-    fraction: float  # of each rate limit
-    closed_classes: frozenset[str]  # rejected while this member is isolated
+    fraction: float  # the part of each partner's rate limit that this member may use
+    closed_classes: frozenset[str]  # classes whose messages are rejected now
 
 
 class QuotaShareController:
-    """Follows the size of the fleet and the isolation of this member. Times are in seconds on one clock."""
+    """Computes the quota share from the fleet size and the isolation of this member.
+
+    Times are in seconds on one monotonic clock.
+    """
 
     def __init__(self, policies: Mapping[str, PartitionPolicy], now: float) -> None:
-        """`policies` are by the name of the class."""
+        """`policies` has the policy of each class by its name."""
         self._policies = dict(policies)
         self._fleet_size, self._is_isolated = 1, True
         self._ramp_start_fraction, self._changed_at = self._isolated_fraction, now
 
     @property
     def _isolated_fraction(self) -> float:
-        """The fraction of its own share that a member uses while it is isolated."""
+        """The fraction of its share that this member uses while it is isolated."""
         return 1.0 if PartitionPolicy.OWN in self._policies.values() else ISOLATED_FRACTION
 
     def update(self, now: float, fleet_size: int, is_isolated: bool) -> None:
-        """Apply the state of the fleet; `is_isolated` is false in contact with a majority."""
+        """Apply a fleet size, and whether this member is isolated from the majority."""
         self._fleet_size = fleet_size
         if is_isolated != self._is_isolated:
             self._ramp_start_fraction, self._changed_at = self._isolated_fraction, now
             self._is_isolated = is_isolated
 
     def _steps(self, now: float) -> int:
-        return math.floor((now - self._changed_at) / RAMP_STEP_S + ROUNDING_S)
+        return math.floor((now - self._changed_at) / RAMP_STEP_S + ROUNDING_STEPS)
 
     def _used_fraction(self, now: float) -> float:
-        """Down at once, up by a ramp: not all members return to a partner's full limit in one moment."""
+        """Return the fraction of its share that this member uses: it drops at once and grows by a ramp.
+
+        The ramp prevents that all members return to a partner's full limit at the same moment.
+        """
         steps = 0 if self._is_isolated else self._steps(now)
         ramp = (1 - ISOLATED_FRACTION) * steps * RAMP_STEP_S / RAMP_S
         return min(1.0, self._ramp_start_fraction + ramp)
 
     def share_at(self, now: float) -> QuotaShare:
-        """Return what applies at a moment."""
+        """Return the quota share and the closed classes at a time."""
         closed = frozenset(
             name for name, policy in self._policies.items() if policy is PartitionPolicy.REFUSE
         )
@@ -74,7 +80,7 @@
         return QuotaShare(self._fleet_size, fraction, closed if self._is_isolated else frozenset())
 
     def next_change_at(self, now: float) -> float | None:
-        """Return when the share changes by time alone; None if it does not."""
+        """Return the time of the ramp's next step; None if the share does not change with time."""
         if self._is_isolated or self._used_fraction(now) >= 1.0:
             return None
         return self._changed_at + RAMP_STEP_S * (self._steps(now) + 1)
--- a/emberlatch/fleet/service.py
+++ b/emberlatch/fleet/service.py
@@ -1,4 +1,4 @@
-"""One member of a fleet: the membership machine on links and a clock, and what follows from its view."""
+"""Runs one member of a fleet: connects the membership machine to links, a clock and the gateway."""
 
 from __future__ import annotations
 
@@ -32,25 +32,25 @@
 
 log = structlog.stdlib.get_logger(__name__)
 
-SHARE_DIGITS = 6  # after the point, of a quota share in the log
-FAREWELL_S = 0.1  # in which the frames that say that this member leaves go out
-MIN_TIMER_S = 0.001  # a clock that drifts from the loop's would never come to a moment exactly
+SHARE_DECIMALS = 6  # decimal places of a quota share in the log
+LEAVE_FLUSH_S = 0.1  # wait before closing, so that the announcement of leaving is sent
+MIN_TIMER_S = 0.001  # a clock that drifts from the event loop's would never reach a due time exactly
 
 
 class FleetObserver(EndpointObserver, Protocol):
-    """What acts on the view of the fleet."""
+    """Acts on changes of this member's view of the fleet."""
 
     def on_quota_share(self, share: QuotaShare) -> None:
-        """Another quota share, or other closed classes, apply from now on."""
+        """Apply a changed quota share or changed closed classes from now on."""
 
     def on_halt(self, reason: str) -> None:
-        """The process must end: another one has this member's name."""
+        """End this process, because another one has this member's name."""
 
 
 class FleetService:
-    """Runs the machine: each event goes in, its actions are carried out, and a timer is set for the next.
+    """Passes events to the membership machine, carries out its actions, and sets a timer for its next tick.
 
-    `members` is the machine, `is_new_folder` whether the state folder was new.
+    `members` is the machine; `is_new_folder` is whether the state folder had no generation yet.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         observer: FleetObserver,
         environment: ProcessEnvironment,
     ) -> None:
-        """`files` is the folder in which generations are counted; OSError if it can't be read."""
+        """`files` is the folder with the generation file; raises OSError if it can't be read."""
         self.settings, self._observer = settings, observer
         self._loop = asyncio.get_running_loop()
         self._clock, self._log_event = environment.clock, environment.log_event
@@ -77,12 +77,12 @@
         self._links = LinkManager(settings, self, environment)
         self._endpoints = EndpointExchange(self._links, observer, self._clock, self._log_event)
         self._quota_shares = QuotaShareController(settings.policies, self._clock())
-        self._share: QuotaShare | None = None  # as the observer knows it
+        self._share: QuotaShare | None = None  # the share last reported to the observer
         self._timer: asyncio.TimerHandle | None = None
         self._is_closed = False
 
     def start(self) -> None:
-        """Store this generation, listen, and dial the others; OSError if the address can't be listened on."""
+        """Store this generation, listen and dial; raises OSError if the address can't be listened on."""
         self._save_generation()
         generation, size = self.members.identity.generation, self.members.peers.fleet_size
         fresh = self.is_new_folder
@@ -91,15 +91,17 @@
         self._run(self.members.tick)
 
     async def leave(self) -> None:
-        """Announce that this member leaves, and close."""
-        if not self._is_closed and not self.members.identity.is_halted:  # else the name is another process's
+        """Announce that this member leaves the fleet, and close."""
+        if (
+            not self._is_closed and not self.members.identity.is_halted
+        ):  # if halted, the name is another process's
             self._run(self.members.leave)
             self._log_event(FleetEvent.LEAVING)
-            await asyncio.sleep(FAREWELL_S)
+            await asyncio.sleep(LEAVE_FLUSH_S)
         self.close()
 
     def close(self) -> None:
-        """Close without an announcement."""
+        """Close without announcing that this member leaves."""
         self._is_closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -111,15 +113,15 @@
         self._run(lambda now: self.members.configure(now, peer_addresses))
 
     def share_endpoint_hold(self, target: str, seconds: float) -> None:
-        """Pass on that an endpoint asked this member to call again only after so many seconds."""
+        """Share with the other members that an endpoint asked this one not to call for `seconds`."""
         self._endpoints.share_hold(target, seconds)
 
     def share_endpoint_phases(self, phases: Mapping[str, Phase]) -> None:
-        """Pass on that this member's endpoint list gives these endpoints other phases than before."""
+        """Share the phases of endpoints whose phase has changed in this member's endpoint list."""
         self._endpoints.share_phases(phases)
 
     def status(self) -> FleetStatus:
-        """Return what operators may see."""
+        """Return the status for operators."""
         now = self._clock()
         share = self._quota_shares.share_at(now)
         links = self._links
@@ -127,14 +129,14 @@
             self.settings.fleet_name, self.members, share, links.connected_names, links.dropped_frames, now
         )
 
-    # What the links report.
+    # The methods of LinkObserver.
 
     def handshake(self) -> Handshake:
         """Return the first frame on each link."""
         return self.members.handshake(self.settings.fleet_name)
 
     def membership_table(self) -> MembershipTable:
-        """Return all that is known of the members."""
+        """Return this member's view of all members."""
         return self.members.membership_table()
 
     def on_handshake(self, handshake: Handshake) -> None:
@@ -143,7 +145,7 @@
         self._endpoints.send_all(handshake.name)
 
     def on_link_down(self, name: str) -> None:
-        """Handle the loss of a member's link."""
+        """Handle the loss of the link to a member."""
         self._run(lambda now: self.members.on_link_down(now, name))
 
     def on_frame(self, name: str, incarnation: int, frame: AnyFrame) -> None:
@@ -152,10 +154,10 @@
         if isinstance(frame, EndpointUpdates):
             self._endpoints.on_updates(name, frame)
 
-    # The machine.
+    # Running the membership machine.
 
     def _run(self, event: Callable[[float], None]) -> None:
-        """Let the machine take an event, and carry out what it wants done."""
+        """Pass an event to the machine, carry out its actions, and apply its view."""
         if self._is_closed:
             return
         now = self._clock()
@@ -177,7 +179,7 @@
                 self._observer.on_halt(reason)
 
     def _apply_view(self, now: float) -> None:
-        """Report what follows from the machine's view, and set the timer for its next change."""
+        """Update the quota share from the machine's view, report it if it changed, and set the timer."""
         partition = self.members.partition
         self._quota_shares.update(now, self.members.peers.fleet_size, partition.is_isolated)
         share = self._quota_shares.share_at(now)
@@ -190,14 +192,14 @@
         self._log_event(
             FleetEvent.QUOTA_SHARE,
             size=share.fleet_size,
-            part=round(share.fraction, SHARE_DIGITS),
+            part=round(share.fraction, SHARE_DECIMALS),
             closed=sorted(share.closed_classes),
             cut=self.members.partition.reason.value,
         )
         self._observer.on_quota_share(share)
 
     def _set_timer(self, now: float) -> None:
-        """Set the timer for when the machine is due, or the quota share changes by time alone."""
+        """Set the timer for the next tick of the machine or the next step of the quota share."""
         due = min(self.members.due, self._quota_shares.next_change_at(now) or self.members.due)
         if self._timer is not None:
             self._timer.cancel()
@@ -207,12 +209,12 @@
         self._run(self._tick_if_due)
 
     def _tick_if_due(self, now: float) -> None:
-        """Tick the machine, unless the timer was set for the quota share alone."""
+        """Tick the machine if it is due; the timer may have been set for the quota share."""
         if now >= self.members.due:
             self.members.tick(now)
 
     def _save_generation(self) -> None:
-        """Store which generation this is, so that the next process has a later one."""
+        """Store this generation, so that the next process takes a later one."""
         try:
             self._generations.save(self.members.identity.generation)
         except OSError as error:
--- a/emberlatch/fleet/status.py
+++ b/emberlatch/fleet/status.py
@@ -1,4 +1,4 @@
-"""What operators may see of a member: `emberlatch fleet status` and `members`."""
+"""The status of a member for operators (`emberlatch fleet status` and `emberlatch fleet members`)."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
     """Another member in this one's view."""
 
     state: str
-    generation: int  # 0 if nothing has been heard of it
+    generation: int  # 0 if no update on it has been received
     state_age_s: float
-    last_frame_age_s: float | None  # None if no frame has come from it
+    last_frame_age_s: float | None  # None if it has sent no frame
     is_reached_directly: bool
 
     @classmethod
     def of(cls, peer: Peer, now: float) -> PeerStatus:
-        """Describe a peer."""
+        """Return the status of a peer at a time."""
         return cls(
             peer.state.name.lower(),
             max(0, peer.generation),
@@ -31,7 +31,7 @@
         )
 
     def to_json(self) -> dict[str, object]:
-        """Return the keys of the answer to operators, which scripts read."""
+        """Return the JSON object for operators; scripts read its keys, which must not change."""
         return {
             "state": self.state,
             "life": self.generation,
@@ -43,15 +43,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetStatus:
-    """One member's view of its fleet, and what it follows from that."""
+    """One member's view of its fleet, and the quota share that results from it."""
 
     fleet_name: str
     member_name: str
     generation: int
     fleet_size: int  # the largest number of members that may be alive
-    present_count: int
-    isolation_reason: str  # empty in contact with a majority
-    isolation_age_s: float  # since the isolation began or ended
+    present_count: int  # members that are alive or suspect, this one included
+    isolation_reason: str  # empty while in contact with a majority
+    isolation_age_s: float  # time since the isolation began or ended
     share: QuotaShare
     connected_names: tuple[str, ...]
     dropped_frames: int
@@ -67,7 +67,7 @@
         dropped_frames: int,
         now: float,
     ) -> FleetStatus:
-        """Describe a member by its machine and its links."""
+        """Return the status of a member, from its membership machine and its links."""
         identity, partition = machine.identity, machine.partition
         return cls(
             fleet_name,
@@ -84,7 +84,7 @@
         )
 
     def to_json(self) -> dict[str, object]:
-        """Return the keys of the answer to operators, which scripts read."""
+        """Return the JSON object for operators; scripts read its keys, which must not change."""
         return {
             "fleet": self.fleet_name,
             "me": self.member_name,
--- a/tests/fleet/test_service.py
+++ b/tests/fleet/test_service.py
@@ -207,7 +207,7 @@
                 await a.until(lambda: bool(a.halt_reason))
                 await b.until(lambda: b.has_logged("member", member="a", life=2))
                 assert observer.has_logged("new_life", before=1, life=2) and not observer.halt_reason
-                assert "another process is a in its life 2" in a.halt_reason
+                assert "another process is a in generation 2" in a.halt_reason
                 twin.close()
 
     run(test)
