--- a/emberlatch/fleet/membership/anti_entropy.py
+++ b/emberlatch/fleet/membership/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: members compare digests of their tables now and then, and exchange tables that differ."""
+"""Anti-entropy: members periodically compare digests of their tables, and exchange tables that differ."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from emberlatch.fleet.membership.peers import sample_names
 from emberlatch.fleet.membership.protocol_instance import ProtocolInstance
 
-INTERVAL_JITTER = (0.5, 1.5)  # of the interval, drawn each time
+INTERVAL_JITTER = (0.5, 1.5)  # range of the random factor by which each interval is multiplied
 DIGEST_BYTES = 8
 
 
 class AntiEntropy:
-    """Sends this member's digest to a drawn peer at an interval. `due` is when it does so next (s)."""
+    """Sends this member's digest to a random peer at an interval. `due` is the time of the next one (s)."""
 
     def __init__(self, instance: ProtocolInstance, identity: OwnIdentity, now: float) -> None:
         self._identity, self._peers, self._outbox = identity, instance.peers, instance.outbox
@@ -22,12 +22,12 @@
         self.due = now + self._parameters.sync_interval_s
 
     def table(self, reply_requested: bool = False) -> MembershipTable:
-        """Return all that is known of the members."""
+        """Return this member's view of all members."""
         updates = (*self._peers.known_updates(), self._identity.as_update())
         return MembershipTable(updates, reply_requested, self._peers.configured_size)
 
     def digest(self) -> str:
-        """Return a hash of the table, in which a suspect counts as alive."""
+        """Return a hash of the table; suspects are counted as alive in it."""
         lines = []
         for update in (self._identity.as_update(), *self._peers.known_updates()):
             state = MemberState.ALIVE if update.state is MemberState.SUSPECT else update.state
--- a/emberlatch/fleet/membership/dissemination.py
+++ b/emberlatch/fleet/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""How updates spread by gossip, beside those on other frames (`update_queue`). Times are in seconds."""
+"""Sends queued updates as gossip, in addition to those on other frames. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from emberlatch.fleet.membership.peers import PRESENT, sample_names
 from emberlatch.fleet.membership.protocol_instance import ProtocolInstance
 
-FAREWELL_FANOUT_FACTOR = 4  # of the usual fan-out: a member that leaves has one chance to say so
+LEAVE_FANOUT_FACTOR = 4  # multiplies the fan-out for a leaving member, which announces that only once
 
 
 class Gossiper:
-    """Sends what is in the queue to a few drawn members at an interval."""
+    """Sends queued updates to a few randomly chosen peers at an interval."""
 
     def __init__(self, instance: ProtocolInstance, now: float) -> None:
         self._peers, self._queue, self._outbox = instance.peers, instance.queue, instance.outbox
@@ -21,19 +21,19 @@
 
     @property
     def due(self) -> float:
-        """When it is to be sent next."""
+        """When updates are to be sent next; infinite while none is queued."""
         return self._next_at if self._queue else math.inf
 
     def tick(self, now: float) -> None:
-        """Send, if it is due."""
+        """Send queued updates, if that is due."""
         if now < self.due:
             return
         self._next_at = now + self._parameters.gossip_interval_s
         for name in sample_names(self._rng, self._peers.names_in(*PRESENT), self._parameters.gossip_fanout):
             self._outbox.send(name, Gossip(self._queue.take()))
 
-    def send_farewell(self, update: MemberUpdate) -> None:
-        """Tell many at once that this member leaves."""
-        fanout = FAREWELL_FANOUT_FACTOR * self._parameters.gossip_fanout
+    def announce_leaving(self, update: MemberUpdate) -> None:
+        """Send the update that this member leaves to many peers at once."""
+        fanout = LEAVE_FANOUT_FACTOR * self._parameters.gossip_fanout
         for name in sample_names(self._rng, self._peers.names_in(*PRESENT), fanout):
             self._outbox.send(name, Gossip((update,)))
--- a/emberlatch/fleet/membership/machine.py
+++ b/emberlatch/fleet/membership/machine.py
@@ -96,7 +96,7 @@
 
     def leave(self, now: float) -> None:
         """Announce that this member leaves the fleet."""
-        self._gossiper.send_farewell(self.identity.leave())
+        self._gossiper.announce_leaving(self.identity.leave())
 
     # Events.
 
--- a/emberlatch/fleet/membership/probing.py
+++ b/emberlatch/fleet/membership/probing.py
@@ -1,4 +1,4 @@
-"""Probes of the peers in a random round-robin order: direct pings, indirect ones by relays, answers."""
+"""Probes the peers in a random round-robin order, by direct pings and by indirect pings through relays."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from emberlatch.fleet.membership.peers import ABSENT, PRESENT, Peer, sample_names
 from emberlatch.fleet.membership.protocol_instance import ProtocolInstance
 
-PING_MEMORY_S = 10.0  # for which a late answer to a ping still counts
-NACK_FRACTION = 0.8  # of the requester's time-out, after which a relay reports that there is no answer
-RTT_GAIN_UP, RTT_GAIN_DOWN = 0.3, 0.05  # of the moving average: up fast, down slowly
-INTERVAL_JITTER = (0.9, 1.1)  # of the interval, drawn each time
-MIN_INTERVAL_RTTS, MIN_TIMEOUT_RTTS = 3, 1.5  # round trips
+PING_RETENTION_S = 10.0  # how long after a ping its answer is still matched
+NACK_FRACTION = 0.8  # part of the probe time-out after which a relay sends a Nack
+RTT_GAIN_UP, RTT_GAIN_DOWN = 0.3, 0.05  # gains of the moving average: fast up, slow down
+INTERVAL_JITTER = (0.9, 1.1)  # range of the random factor by which each interval is multiplied
+MIN_INTERVAL_RTTS, MIN_TIMEOUT_RTTS = 3, 1.5  # in round-trip times
 
 
 @dataclass(frozen=True, slots=True)
 class _Relay:
-    """On whose behalf a ping was sent: the requester, its sequence number, and when it gets a Nack."""
+    """The request on behalf of which a ping was sent, and when a Nack is due for it."""
 
     requester: str
     sequence: int
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class _SentPing:
-    """A ping, or a request for an indirect one, of this member."""
+    """A Ping or PingRequest that this member has sent."""
 
     target: str
     sent_at: float
@@ -38,25 +38,25 @@
 
 @dataclass(slots=True)
 class _Probe:
-    """The probe of this interval."""
+    """The probe of the current interval."""
 
     target: str
     started_at: float
-    indirect_at: float  # when indirect probes are requested, if there is no answer by then
+    indirect_at: float  # when indirect probes are requested if there is no answer
     is_answered: bool = False
-    relays: int = 0  # that were requested; 1 also if there was no peer to request it of
+    relays: int = 0  # relays that were requested; 1 if there was no peer to use as one
     nacks: int = 0
 
     @property
     def awaits_timeout(self) -> bool:
-        """Whether indirect probes may still become due."""
+        """Whether indirect probes may still be requested."""
         return not self.is_answered and not self.relays
 
 
 class Prober:
     """Sends probes and matches the answers. Times are in seconds on the machine's clock.
 
-    `rtt_s` is the moving average of a round trip; `next_interval_at` is when the next peer is to be probed.
+    `rtt_s` is the moving average of round-trip times; `next_interval_at` is when the next peer is due.
     """
 
     def __init__(
@@ -68,43 +68,43 @@
         self.rtt_s = 0.0
         self.next_interval_at = now
         self._probe: _Probe | None = None
-        self._sent: dict[int, _SentPing] = {}  # by sequence number
+        self._sent_pings: dict[int, _SentPing] = {}  # by sequence number
         self._sequence = 0
-        self._round: list[str] = []  # to be probed next, the last first
+        self._unprobed: list[str] = []  # peers still to be probed in this round; the last is next
 
     # Sending.
 
     def ping(self, now: float, name: str) -> None:
-        """Ping a peer."""
+        """Send a ping to a peer."""
         self._ping(now, name, None)
 
     def relay_ping(self, now: float, requester: str, request: PingRequest) -> None:
-        """Ping a peer on behalf of another one."""
+        """Send a ping to a peer on behalf of another peer."""
         if request.target in self._peers:
             timeout_s = self._health.scale(self._parameters.probe_timeout_s) * NACK_FRACTION
             self._ping(now, request.target, _Relay(requester, request.sequence, now + timeout_s))
 
     def _ping(self, now: float, name: str, relay: _Relay | None) -> None:
         self._sequence += 1
-        self._sent[self._sequence] = _SentPing(name, now, relay)
+        self._sent_pings[self._sequence] = _SentPing(name, now, relay)
         updates = self._queue.take(self._peers[name].refutable_update())
         self._outbox.send(name, Ping(self._sequence, updates))
 
     def request_indirect(self, now: float, target: str) -> int:
-        """Have some drawn peers ping another one; return how many."""
+        """Ask randomly chosen peers to ping the target; return how many were asked."""
         alive = [name for name in self._peers.names_in(MemberState.ALIVE) if name != target]
         relays = sample_names(self._rng, alive, self._parameters.indirect_probes)
         for relay in relays:
             self._sequence += 1
-            self._sent[self._sequence] = _SentPing(target, now)
+            self._sent_pings[self._sequence] = _SentPing(target, now)
             self._outbox.send(relay, PingRequest(self._sequence, target, self._queue.take()))
         return len(relays)
 
     # Answers.
 
     def on_ack(self, now: float, sender: str, ack: Ack) -> None:
-        """Match an answer with its ping, and pass it on if that was on another member's behalf."""
-        ping = self._sent.pop(ack.sequence, None)
+        """Match an answer with its ping; if the ping was sent for a requester, forward the answer to it."""
+        ping = self._sent_pings.pop(ack.sequence, None)
         if ping is None or ping.target != (ack.answered_by or sender):
             return
         if ping.relay is not None:
@@ -127,40 +127,40 @@
         self.rtt_s += (rtt_s - self.rtt_s) * gain
 
     def on_nack(self, sequence: int) -> None:
-        """Record that a relay had no answer: the relay and the link to it are well."""
-        if self._probe is not None and sequence in self._sent:
-            self._probe.nacks += self._sent[sequence].target == self._probe.target
+        """Record that a relay got no answer; this shows that the relay and the link to it work."""
+        if self._probe is not None and sequence in self._sent_pings:
+            self._probe.nacks += self._sent_pings[sequence].target == self._probe.target
 
     # Time.
 
     @property
     def due(self) -> float:
-        """When `tick` or a new interval is due."""
+        """When `tick` or `start_interval` is to be called next."""
         times = [self.next_interval_at]
         if self._probe is not None and self._probe.awaits_timeout:
             times.append(self._probe.indirect_at)
-        times += [ping.relay.nack_at for ping in self._sent.values() if ping.relay is not None]
+        times += [ping.relay.nack_at for ping in self._sent_pings.values() if ping.relay is not None]
         return min(times)
 
     def tick(self, now: float) -> None:
-        """Request indirect probes, send Nacks and forget old pings, as far as that is due."""
+        """Request indirect probes, send Nacks and remove old pings, as far as each is due."""
         probe = self._probe
         if probe is not None and probe.awaits_timeout and now >= probe.indirect_at:
             relays = self.request_indirect(now, probe.target)
             probe.relays = max(1, relays)
-            if not relays:  # there is nobody whose Nack could be missing
+            if not relays:  # no relay was asked, so no Nack can be missing
                 probe.nacks = 1
-        for sequence, ping in list(self._sent.items()):
+        for sequence, ping in list(self._sent_pings.items()):
             if ping.relay is not None and now >= ping.relay.nack_at:
                 self._outbox.send(ping.relay.requester, Nack(ping.relay.sequence))
                 ping.relay = None
-            if now > ping.sent_at + PING_MEMORY_S:
-                del self._sent[sequence]
+            if now > ping.sent_at + PING_RETENTION_S:
+                del self._sent_pings[sequence]
 
     def conclude_probe(self) -> Peer | None:
-        """End the probe of this interval; return the peer that failed to answer it, if it is to be suspected.
+        """End the probe of this interval; return its peer if it did not answer and is to be suspected.
 
-        Whoever misses answers and Nacks trusts its own failure detector less.
+        A missing Nack suggests that this member itself is slow, and raises its health score.
         """
         probe, self._probe = self._probe, None
         if probe is None:
@@ -175,7 +175,7 @@
         return peer
 
     def start_interval(self, now: float) -> None:
-        """Probe the next peer, and ping one that is absent: its own messages may not reach this member."""
+        """Probe the next peer, and ping a random absent one, whose own frames may not reach this member."""
         parameters = self._parameters
         interval_s = max(self._health.scale(parameters.probe_interval_s), MIN_INTERVAL_RTTS * self.rtt_s)
         self.next_interval_at = now + interval_s * self._rng.uniform(*INTERVAL_JITTER)
@@ -187,27 +187,27 @@
             self.ping(now, absent)
 
     def _next_target(self) -> str | None:
-        """Return the next peer in a random order in which each has its turn."""
+        """Return the next peer to probe: each peer once per round, in a random order."""
         while True:
-            while self._round:
-                name = self._round.pop()
+            while self._unprobed:
+                name = self._unprobed.pop()
                 if self._peers[name].is_present:
                     return name
-            self._round = self._peers.names_in(*PRESENT)
-            if not self._round:
+            self._unprobed = self._peers.names_in(*PRESENT)
+            if not self._unprobed:
                 return None
-            self._rng.shuffle(self._round)
+            self._rng.shuffle(self._unprobed)
 
     def probe_next(self, name: str) -> None:
         """Probe this peer before all others."""
-        self._round = [*(other for other in self._round if other != name), name]
+        self._unprobed = [*(other for other in self._unprobed if other != name), name]
 
     def remove(self, names: list[str]) -> None:
-        """Forget peers that are no longer configured."""
-        self._round = [name for name in self._round if name not in names]
+        """Remove peers that are no longer configured from this round."""
+        self._unprobed = [name for name in self._unprobed if name not in names]
 
     def restart(self, now: float) -> None:
-        """Forget all pings: this process was stalled, and their answers say nothing about now."""
+        """Discard all pings after a stall: answers to them do not show the present state of the peers."""
         self._probe = None
-        self._sent.clear()
+        self._sent_pings.clear()
         self.next_interval_at = now
--- a/emberlatch/fleet/membership/suspicion.py
+++ b/emberlatch/fleet/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""How long a suspicion lasts (Lifeguard): long while nobody confirms it, shorter with each confirmation."""
+"""The duration of a suspicion (Lifeguard): it is shortened by each confirmation of another member."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class Suspicion:
-    """The suspicion of one member under one incarnation: its age and who shares it.
+    """The suspicion of one incarnation of a member: when it began, and which members share it.
 
-    Its time shrinks from the longest to the shortest one by the logarithm of the members that share it.
-    Times are in seconds on the machine's clock.
+    Its duration decreases from the longest to the shortest with the logarithm of the number of members that
+    share it. Times are in seconds on the machine's clock.
     """
 
     def __init__(
@@ -23,9 +23,10 @@
         rtt_s: float,
         flaps: int,
     ) -> None:
-        """`present_count` is of the members that are alive or suspect.
+        """`present_count` is the number of members that are alive or suspect.
 
-        `flaps`, the latest returns from being unreachable, lengthen the suspicion; `rtt_s` is a round trip.
+        `rtt_s` is a round-trip time. `flaps` is how often the member has recently returned from being
+        unreachable; each return lengthens the suspicion.
         """
         self.started_at, self.suspected_by = now, {suspected_by}
         size = max(1.0, math.log10(max(present_count, 1)))
@@ -36,7 +37,7 @@
         self._final_deadline = math.inf
 
     def confirm(self, member: str) -> bool:
-        """Record that another member suspects it too; whether that is worth passing on."""
+        """Record that another member shares the suspicion; return whether to pass that on."""
         if member in self.suspected_by or len(self.suspected_by) > self._confirmations_needed:
             return False
         self.suspected_by.add(member)
@@ -44,24 +45,24 @@
 
     @property
     def in_final_probe(self) -> bool:
-        """Whether the member is being probed a last time."""
+        """Whether the final probe of the member was sent."""
         return self._final_deadline < math.inf
 
     def start_final_probe(self, now: float, timeout_s: float) -> None:
-        """Give the member a last time in which to answer."""
+        """Record that the final probe was sent; the member has `timeout_s` to answer it."""
         self._final_deadline = now + timeout_s
 
     @property
     def deadline(self) -> float:
-        """When the final probe is due, or once it is sent when the member is unreachable."""
+        """When the final probe is to be sent; once it was sent, when the member is declared unreachable."""
         if self.in_final_probe:
             return self._final_deadline
         if not self._confirmations_needed:
             return self.started_at + self._shortest_s
         progress = math.log(len(self.suspected_by)) / math.log(self._confirmations_needed + 1)
-        span = max(self._shortest_s, self._longest_s - (self._longest_s - self._shortest_s) * progress)
-        return self.started_at + span
+        duration_s = max(self._shortest_s, self._longest_s - (self._longest_s - self._shortest_s) * progress)
+        return self.started_at + duration_s
 
     def restart(self, now: float) -> None:
-        """Begin again: this process was stalled, and could not have received a refutation."""
+        """Restart the suspicion after a stall, during which this process could not receive a refutation."""
         self.started_at, self._final_deadline = now, math.inf
--- a/emberlatch/fleet/membership/transitions.py
+++ b/emberlatch/fleet/membership/transitions.py
@@ -1,4 +1,4 @@
-"""State changes of the peers: by updates of other members, failed probes, and suspicions that run out."""
+"""State changes of the peers: by updates of other members, failed probes and expired suspicions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PeerTransitions:
-    """Changes the states of the peers, and is alone in that. Times are in seconds on the machine's clock."""
+    """Changes the states of the peers; no other part does. Times are in seconds on the machine's clock."""
 
     def __init__(
         self, own_name: str, instance: ProtocolInstance, partition: PartitionDetector, prober: Prober
@@ -23,7 +23,7 @@
         self._suspects: set[str] = set()
 
     def apply(self, now: float, update: MemberUpdate) -> None:
-        """Apply an update that another member sent; ignore it if it is not of a configured member."""
+        """Apply an update that another member sent, unless it is on a member that is not configured."""
         peer = self._peers.get(update.name)
         if peer is None or update.state is MemberState.JOINING:
             return
@@ -36,11 +36,11 @@
             self._confirm(peer, update.suspected_by, update)
 
     def suspect(self, now: float, peer: Peer) -> None:
-        """Suspect a peer that has failed to answer a probe of this member."""
+        """Suspect a peer that has not answered a probe of this member."""
         update = self._suspicion_of(peer, self._own_name)
         if peer.state is MemberState.ALIVE:
             self.set_state(now, peer, update)
-            self._prober.ping(now, peer.name)  # it is the first to know, and can refute
+            self._prober.ping(now, peer.name)  # the ping carries the suspicion, which the peer can refute
         else:
             self._confirm(peer, self._own_name, update)
 
@@ -52,9 +52,9 @@
             self._queue.add(update)
 
     def _verify_failure(self, now: float, peer: Peer, update: MemberUpdate) -> None:
-        """Treat another member's update that a peer is unreachable as a suspicion, and probe it a last time.
+        """Treat an update that a peer is unreachable as a suspicion, and send the peer a final probe.
 
-        Such updates arrive when a partition heals, from the members that were on its other side.
+        Such updates arrive when a network partition heals, from members that were on its other side.
         """
         if peer.state is MemberState.ALIVE:
             self.set_state(now, peer, self._suspicion_of(peer, update.suspected_by))
@@ -68,7 +68,7 @@
         self._prober.request_indirect(now, peer.name)
 
     def set_state(self, now: float, peer: Peer, update: MemberUpdate) -> None:
-        """Give a peer the state and incarnation of an update, and pass the update on."""
+        """Set the state and incarnation of a peer to those of an update, and queue the update."""
         old_state, old_generation = peer.state, peer.generation
         peer.state = update.state
         if old_state is MemberState.UNREACHABLE and update.state is MemberState.ALIVE:
@@ -103,28 +103,28 @@
 
     @property
     def deadlines(self) -> list[float]:
-        """When each suspicion is due."""
+        """The deadlines of all suspicions."""
         suspicions = (self._peers[name].suspicion for name in self._suspects)
         return [suspicion.deadline for suspicion in suspicions if suspicion is not None]
 
     def tick(self, now: float) -> None:
-        """Probe suspects a last time, and declare those unreachable that have not answered that either."""
+        """Send due final probes, and declare suspects unreachable that have not answered theirs in time."""
         for name in list(self._suspects):
             peer = self._peers[name]
             if peer.suspicion is None or now < peer.suspicion.deadline:
                 continue
-            if not peer.suspicion.in_final_probe:  # its refutation may have been lost on the way here alone
+            if not peer.suspicion.in_final_probe:  # a refutation may have been lost on its way to this member
                 self._start_final_probe(now, peer, peer.suspicion)
             else:
                 update = MemberUpdate(name, MemberState.UNREACHABLE, peer.incarnation, peer.run_id)
                 self.set_state(now, peer, update)
 
     def restart_suspicions(self, now: float) -> None:
-        """Begin each suspicion again: this process was stalled."""
+        """Restart all suspicions after a stall of this process."""
         for name in self._suspects:
             if (suspicion := self._peers[name].suspicion) is not None:
                 suspicion.restart(now)
 
     def remove(self, names: list[str]) -> None:
-        """Forget peers that are no longer configured."""
+        """Remove the suspicions of peers that are no longer configured."""
         self._suspects.difference_update(names)
