--- a/emberlatch/standalone/__init__.py
+++ b/emberlatch/standalone/__init__.py
@@ -1,4 +1,4 @@
-"""The gateway outside the platform: its configuration is a file, its membership an inventory."""
+"""The standalone gateway: it reads its configuration from a file and its endpoints from an inventory."""
 
 from emberlatch.standalone.control_socket import send_command
 from emberlatch.standalone.errors import GatewayError, StartError, StorageFailedError
--- a/emberlatch/standalone/errors.py
+++ b/emberlatch/standalone/errors.py
@@ -1,15 +1,15 @@
 """Errors of the standalone gateway.
 
-GatewayError            a setting, and what is wrong
-  StartError            it can't start
-  StorageFailedError    it must stop: the disk can't do what a class of messages asks for
+GatewayError            names a setting and what is wrong with it
+  StartError            the gateway can't start
+  StorageFailedError    the gateway must stop: the disk can't provide the configured durability
 """
 
 from __future__ import annotations
 
 
 class GatewayError(Exception):
-    """The gateway can't run; `setting` is the key of the configuration that it is about."""
+    """The gateway can't run; `setting` is the configuration key that the error is about."""
 
     def __init__(self, setting: str, reason: object) -> None:
         super().__init__(f"{setting}: {reason}")
@@ -21,7 +21,7 @@
 
 
 class StorageFailedError(GatewayError):
-    """A sync failed: what was confirmed is on disk, and nothing more can be promised."""
+    """A sync of the state folder failed: what was confirmed is on disk, but nothing more can be promised."""
 
     def __init__(self, error: OSError) -> None:
-        super().__init__("state", f"a sync failed: {error}")
+        super().__init__("state", f"cannot sync to disk: {error}")
--- a/emberlatch/standalone/fleet_integration.py
+++ b/emberlatch/standalone/fleet_integration.py
@@ -1,5 +1,8 @@
-"""Connects a gateway with its fleet: its quota share and the closed classes become settings of the decision
-module, and what its own endpoint list and retry-after times say is shared with the other members."""
+"""Connects a gateway with its fleet.
+
+The quota share and the closed classes become settings of the decision module. Changes of the gateway's
+endpoint list and the retry-after times that it receives are shared with the other members.
+"""
 
 from __future__ import annotations
 
@@ -20,13 +23,13 @@
 log = logging.getLogger(__name__)
 
 CLOSED_CLASS_RETRY_AFTER_S = 1.0
-"""After which a client whose class is closed may submit again."""
+"""The retry-after time for clients whose class is closed."""
 FLEET_FOLDER = "fleet"
-"""Of the state folder."""
+"""The subfolder of the state folder for the fleet's files."""
 
 
 class FleetIntegration:
-    """Observes the fleet on behalf of a gateway's core, and the core on behalf of the fleet."""
+    """Applies changes of the fleet to a gateway's core, and shares the core's endpoint state with it."""
 
     def __init__(
         self,
@@ -37,7 +40,7 @@
         machine: Machine,
         request_stop: Callable[[], None],
     ) -> None:
-        """`settings` are those of the decision module without a fleet; `request_stop` ends the process."""
+        """`settings` are the decision module's without a fleet; `request_stop` shuts the process down."""
         assert config.fleet is not None
         self._config, self._settings, self._core = config, settings, core
         self._request_stop = request_stop
@@ -52,7 +55,7 @@
                 self._table.name,
                 self._table.me,
                 self._table.listen_address,
-                _others(self._table),
+                _peer_addresses(self._table),
                 {name: PartitionPolicy(item.cut_off) for name, item in config.classes.items()},
             ),
             machine.files(folder),
@@ -62,38 +65,41 @@
         core.carrier.redirect_outcomes(self._on_outcome)
 
     def start(self) -> None:
-        """Connect to the other members; OSError if the address can't be listened on."""
+        """Connect to the other members; raises OSError if the address can't be listened on."""
         self.service.start()
 
     async def stop(self) -> None:
-        """Announce to the other members that this one leaves."""
+        """Announce to the other members that this one leaves, and close the links."""
         await self.service.leave()
 
     async def status(self) -> JsonObject:
-        """The keys of `FleetAnswer`, for operators."""
+        """Return the status for operators, with the keys of `FleetAnswer`."""
         return self.service.status().to_json()
 
     def reload_members(self) -> None:
-        """Apply a changed list of members in the configuration file, if one member changed in it."""
+        """Read the list of members in the configuration file again; apply it if one member has changed."""
         if self._config.file is None:
             return
         try:
             new = load(self._config.file).fleet
         except ConfigError as error:
-            log.error("fleet.members: not taken: %s", error)
+            log.error("fleet.members: change rejected: %s", error)
             return
         if new is None or new.member_addresses == self._table.member_addresses:
             return
         reason = membership_change_error(self._table.member_addresses, new.member_addresses, self._table.me)
         if reason or new.name != self._table.name:
-            log.error("fleet.members: not taken: %s", reason or "the fleet's name is another")
+            log.error(
+                "fleet.members: change rejected: %s",
+                reason or f"fleet.name changed from {self._table.name!r} to {new.name!r}",
+            )
             return
-        log.info("fleet.members: %s", ", ".join(new.member_addresses))
+        log.info("fleet.members: change applied: %s", ", ".join(new.member_addresses))
         self._table = new
-        self.service.configure(_others(new))
+        self.service.configure(_peer_addresses(new))
 
     def on_endpoint_list(self, update: api.DirectoryUpdate, addresses: Addresses) -> None:
-        """The gateway's own list has changed: what changed in it is shared with the other members."""
+        """Share the phases that have changed in the gateway's endpoint list with the other members."""
         is_first = not self._own_endpoints
         if update.kind in (api.ListKind.CACHED, api.ListKind.FULL):
             self._own_endpoints.clear()
@@ -115,7 +121,7 @@
         self._core.engine.outcome(outcome)
 
     def on_quota_share(self, share: QuotaShare) -> None:
-        """The gateway has another quota share, or other classes are closed. See `FleetObserver`."""
+        """Apply a changed quota share or changed closed classes. See `FleetObserver`."""
         settings = replace(
             self._settings,
             forwarders=share.fleet_size,
@@ -128,15 +134,15 @@
             self._core.engine.apply_settings(settings)
 
     def on_endpoint_hold(self, target: str, seconds: float) -> None:
-        """Another member got a retry-after time of an endpoint; it binds this one. See `FleetObserver`."""
+        """Apply a retry-after time that another member received from an endpoint. See `FleetObserver`."""
         self._core.carrier.apply_retry_after(target.encode(), seconds)
         self._core.engine.on_endpoint_hold(target.encode(), seconds)
 
     def on_endpoint_report(self, target: str, phase: int) -> None:
-        """Another member's list says that an endpoint drains, is gone or is back. See `FleetObserver`.
+        """Apply another member's report of an endpoint's phase. See `FleetObserver`.
 
-        An endpoint that is ready in the gateway's own list drains until it is reported back; the report
-        lifts nothing that the own list says.
+        An endpoint that is ready in the gateway's own list is drained until a report says that it is ready
+        again. A report never overrides another phase in the gateway's own list.
         """
         entry, address = self._own_endpoints.get(target.encode(), (None, None))
         if entry is None or address is None or entry.phase is not api.Phase.READY:
@@ -147,11 +153,11 @@
         self._core.engine.listed(update, {entry.target: address})
 
     def on_halt(self, reason: str) -> None:
-        """Another process has this member's name. See `FleetObserver`."""
+        """Stop this process, because another one has this member's name. See `FleetObserver`."""
         log.error("stopping: %s", reason)
         self._request_stop()
 
 
-def _others(table: FleetTable) -> Mapping[str, Address]:
-    """The address of each member but this one."""
+def _peer_addresses(table: FleetTable) -> Mapping[str, Address]:
+    """Return the addresses of all members except this one."""
     return {name: address for name, address in table.member_addresses.items() if name != table.me}
--- a/emberlatch/standalone/outcome_file.py
+++ b/emberlatch/standalone/outcome_file.py
@@ -1,6 +1,7 @@
-"""The files of the outcome log: JSON lines, in a current file that is rotated once.
+"""The files of the outcome log: a current and a rotated file of JSON lines.
 
-A line has the keys of `StoredOutcome`. Appending is all or nothing, so that a retry writes no line twice.
+A line has the keys of `StoredOutcome`. An append writes all of its lines or none, so that a retry writes no
+line twice.
 """
 
 from __future__ import annotations
@@ -17,29 +18,31 @@
 
 CURRENT_FILE, ROTATED_FILE = "ends.jsonl", "ends.old.jsonl"
 LOGGED_BYTES = 40
-"""Of a line that cannot be read."""
+"""How many bytes of an unreadable line are logged."""
 
 
 class StoredOutcome(TypedDict):
-    """A message's outcome by its stored keys, which operators' scripts read as well."""
+    """The outcome of a message, with the keys that are stored; operators' scripts read them too."""
 
     ref: int
-    """The gateway's own number of the message, never used twice."""
+    """The number that the gateway gave the message; it is never reused."""
     id: str
     state: str
     """`delivered`, `refused` or `failed`."""
     at: float
     """Unix time in seconds."""
     wait_ms: NotRequired[float]
-    """Of a refusal: after how many milliseconds a new attempt makes sense."""
+    """Only if refused: after how many milliseconds the message may be submitted again."""
 
 
 class OutcomeFile:
-    """Appends lines in a folder within a limit, and makes them durable."""
+    """Appends lines to the files in a folder within a size limit, and syncs them."""
 
     def __init__(self, folder: Path, limit_bytes: int) -> None:
-        """`limit_bytes` is for both files together. Ends a line that a kill has torn, so that the next one
-        stands on a line of its own."""
+        """`limit_bytes` is for both files together.
+
+        If a kill cut the last line short, append a line end, so that the next outcome starts on a new line.
+        """
         self._folder, self._limit_bytes = folder, limit_bytes
         path = folder / CURRENT_FILE
         last_byte = path.read_bytes()[-1:] if path.exists() else b"\n"
@@ -48,7 +51,7 @@
                 file.write(b"\n")
 
     def append(self, data: bytes) -> None:
-        """Write all of some lines or nothing; OSError if they can't be written."""
+        """Write all of the data or nothing; raises OSError if it can't be written."""
         if not data:
             return
         path = self._folder / CURRENT_FILE
@@ -59,13 +62,13 @@
             start = file.tell()
             try:
                 if file.write(data) != len(data):
-                    raise OSError(errno.ENOSPC, "no space for all of the lines")
+                    raise OSError(errno.ENOSPC, f"no space to write all {len(data)} bytes of outcomes")
             except OSError:
-                file.truncate(start)  # a part of the data would be written again by the retry
+                file.truncate(start)  # the retry writes all of the data again
                 raise
 
     def read(self) -> Iterator[StoredOutcome]:
-        """The outcomes of both files, the oldest first; a line that cannot be read is logged and left out."""
+        """Yield the outcomes of both files, the oldest first; log and skip lines that cannot be read."""
         for name in (ROTATED_FILE, CURRENT_FILE):
             try:
                 data = (self._folder / name).read_bytes()
@@ -96,5 +99,5 @@
 
 
 def encode(outcome: StoredOutcome) -> bytes:
-    """The line of an outcome."""
+    """Return the line of an outcome."""
     return json.dumps(outcome, separators=(",", ":")).encode() + b"\n"
--- a/emberlatch/standalone/outcome_log.py
+++ b/emberlatch/standalone/outcome_log.py
@@ -1,7 +1,7 @@
-"""The log of messages' final outcomes, for installations without a URL to report them to.
+"""The log of the final outcomes of messages, for installations without a URL to report outcomes to.
 
-An outcome is appended to a file (`outcome_file`) and confirmed to the engine once it is written; the newest
-ones are kept in memory, to be asked for by message id.
+An outcome is appended to a file (`outcome_file`), and confirmed to the engine once it is written. The newest
+outcomes are kept in memory, where clients can look them up by message id.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class MessageState(StrEnum):
-    """The state of a message by the names of the users' pages; all but the first are final."""
+    """The state of a message, as the documentation for users names it; all but IN_FLIGHT are final."""
 
     IN_FLIGHT = "held"
     DELIVERED = "delivered"
@@ -36,7 +36,7 @@
     "bounced": MessageState.REFUSED,
     "dead": MessageState.FAILED,
 }
-"""By the `result` of a completion notice."""
+"""The final state for each `result` of a completion notice."""
 
 
 def _ignore_failure(error: OSError) -> None:
@@ -44,7 +44,7 @@
 
 
 class OutcomeLog:
-    """Confirms an outcome once its line is written; keeps the newest `max_in_memory` to be asked for."""
+    """Confirms each outcome once its line is written, and keeps the newest `max_in_memory` for look-ups."""
 
     notifies_deliveries = True
 
@@ -57,15 +57,18 @@
         offload: Offload | None = None,
         on_storage_failure: Callable[[OSError], None] = _ignore_failure,
     ) -> None:
-        """`limit_bytes` is for both files of the log. With `offload` an outcome is known and confirmed only
-        once its line is durable; `on_storage_failure` is called if the disk can't do that."""
+        """`limit_bytes` is for both files of the log.
+
+        With `offload`, an outcome can be found and is confirmed only once its line is synced to disk;
+        `on_storage_failure` is called if a sync fails.
+        """
         self._file = OutcomeFile(folder, limit_bytes)
         self._sync = GroupSync(self._file, offload, on_storage_failure) if offload is not None else None
         self._max_in_memory, self._confirm = max_in_memory, confirm
-        self._unwritten: dict[int, StoredOutcome] = {}  # by ref, as all below
+        self._unwritten: dict[int, StoredOutcome] = {}  # by ref, as in the next two collections
         self._unsynced: dict[int, StoredOutcome] = {}
         self._written_before: set[int] = set()  # by an earlier process; the engine may add them again
-        self._by_message: dict[str, StoredOutcome] = {}  # by id, the oldest first
+        self._by_message: dict[str, StoredOutcome] = {}  # by message id, the oldest first
         self._write_scheduled = False
         for outcome in self._file.read():
             self._remember(outcome)
@@ -73,15 +76,15 @@
 
     @property
     def pending(self) -> bool:
-        """Whether an outcome is not on disk yet."""
+        """Whether any outcome is not on disk yet."""
         return bool(self._unwritten or self._unsynced)
 
     def find(self, message: str) -> StoredOutcome | None:
-        """The outcome of the message with that id, if it is still in memory."""
+        """Return the outcome of the message with that id, or None if it is not in memory."""
         return self._by_message.get(message)
 
     def add(self, ref: int, notice: CompletionNotice) -> None:
-        """Write an outcome, together with the others of this turn of the loop."""
+        """Schedule the write of an outcome, together with the others of this event loop iteration."""
         outcome: StoredOutcome = {
             "ref": ref,
             "id": notice["ref"],
@@ -104,8 +107,8 @@
         try:
             self._file.append(b"".join(map(encode, new)))
         except OSError as error:
-            # What is unwritten is still in the journal, and is written once there is space again.
-            log.error("the log of outcomes cannot be written: %s", error)
+            # The journal still has the unwritten outcomes; a retry writes them once there is space again.
+            log.error("outcome log cannot be written, retrying in %s s: %s", WRITE_RETRY_BACKOFF_S, error)
             self._schedule_write(WRITE_RETRY_BACKOFF_S)
             return
         self._unwritten = {}
@@ -116,7 +119,7 @@
             self._sync.when_durable(lambda: self._complete(outcomes))
 
     def _complete(self, outcomes: Mapping[int, StoredOutcome]) -> None:
-        """They are on disk: from now on they can be asked for."""
+        """Confirm outcomes that are on disk, and make them available to `find`."""
         for ref, outcome in outcomes.items():
             self._unsynced.pop(ref, None)
             if ref not in self._written_before:
--- a/emberlatch/standalone/resources.py
+++ b/emberlatch/standalone/resources.py
@@ -1,4 +1,4 @@
-"""What a gateway needs of its machine before its parts are made: the state folder and descriptors."""
+"""Acquires what a gateway needs from its machine before it is composed: state folder and descriptors."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def lock_state_folder(state: Path) -> FolderLock:
-    """Make the folder, and lock it until the process ends; StartError if that can't be done."""
+    """Create the folder, and lock it until the process ends; raises StartError if that fails."""
     try:
         state.mkdir(parents=True, exist_ok=True)
         lock = FolderLock(state)
@@ -25,9 +25,10 @@
 
 
 def connection_limits(descriptors: int, reserved: int) -> ConnectionLimits:
-    """What the configured descriptors allow, so many of them reserved for other use.
+    """Return the connection limits for a number of descriptors, of which `reserved` are for other use.
 
-    Raises the process's own limit if need be; StartError if that can't be done, or if none is left.
+    Raise the process's descriptor limit if it is too low. StartError if that fails, or if too few descriptors
+    remain for connections.
     """
     _raise_descriptor_limit(descriptors)
     try:
--- a/emberlatch/standalone/service.py
+++ b/emberlatch/standalone/service.py
@@ -1,4 +1,4 @@
-"""Runs a gateway as a process: until SIGTERM or SIGINT, with a look at its files on SIGHUP."""
+"""Runs a gateway process: SIGTERM and SIGINT stop it, SIGHUP reloads its files."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 async def serve(config: Gateway, machine: Machine = REAL_MACHINE) -> None:
-    """Run until SIGTERM or SIGINT; raises GatewayError or RefusedError."""
+    """Run a gateway until SIGTERM or SIGINT; raises GatewayError or RefusedError."""
     loop = asyncio.get_running_loop()
-    stop_early = asyncio.Event()  # a signal while there is no gateway yet
+    stop_requested_early = asyncio.Event()  # set by a signal before the gateway exists
     for number in STOP_SIGNALS:
-        loop.add_signal_handler(number, stop_early.set)
-    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # the start itself looks at the inventory
+        loop.add_signal_handler(number, stop_requested_early.set)
+    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # the start reads the inventory anyway
     gateway = StandaloneGateway(config, machine)
-    if stop_early.is_set():
+    if stop_requested_early.is_set():
         gateway.stop_requested.set()
     for number in STOP_SIGNALS:
         loop.add_signal_handler(number, gateway.stop_requested.set)
@@ -38,11 +38,11 @@
     event_log.info("serving", listen=config.listen, set=inventory.digest, endpoints=len(inventory))
     sys.stderr.flush()
     await gateway.stop_requested.wait()
-    if gateway.storage_failure is not None:  # no graceful stop: the next start goes by what is durable
+    if gateway.storage_failure is not None:  # no graceful stop: the next start uses the durable state
         raise StorageFailedError(gateway.storage_failure)
     await gateway.stop()
 
 
 def _on_sighup(gateway: StandaloneGateway) -> None:
-    log.info("SIGHUP: looking at the inventory")
+    log.info("SIGHUP: reloading the inventory")
     gateway.reload_files()
