--- a/emberlatch/standalone/answers.py
+++ b/emberlatch/standalone/answers.py
@@ -1,6 +1,6 @@
-"""The requests and answers of the control socket, with the keys that stand in its JSON.
+"""The commands and answers of the control socket, with the keys of their JSON objects.
 
-The keys are read by operators' scripts (`--json`) and stay; the fields have the code's terms.
+Operators' scripts read the keys (`--json`), so they must not change; field names may differ from them.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 JsonObject = dict[str, object]
 
 ERROR = "error"
-"""The one key of the answer to a command that failed, or that is not known."""
+"""The only key of the answer to a command that failed or is unknown."""
 
 AnswerT = TypeVar("AnswerT", bound=msgspec.Struct)
 
 
 class Command(StrEnum):
-    """What the running gateway can be asked for."""
+    """The commands of a running gateway."""
 
     STATUS = "status"
     RELOAD = "reload"
@@ -28,25 +28,25 @@
 
 
 class InventoryAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The inventory in force, and what of the files is not."""
+    """The inventory in force, and the files and problems for which a newer one is not."""
 
     digest: str = msgspec.field(name="set")
     taken_at: float = msgspec.field(name="taken")
-    """Unix time at which it came into force, in seconds."""
+    """When the inventory came into force, in Unix time (s)."""
     endpoints: int
     unstable_files: dict[str, str] = msgspec.field(name="waiting")
-    """Files that are not read yet -> why."""
+    """Why a changed file is not read yet, by file."""
     problems: list[str]
 
 
 class ReloadAnswer(InventoryAnswer, frozen=True, kw_only=True):
-    """What came of a look at the inventory's files."""
+    """The result of reloading the inventory files."""
 
     changed: bool
 
 
 class LeaveAnswer(msgspec.Struct, frozen=True):
-    """The gateway leaves its fleet and stops."""
+    """The gateway has begun to leave its fleet and to stop."""
 
     leaving: bool = True
 
@@ -59,7 +59,7 @@
 
 
 class RouteAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """A route to one or more endpoints; times in seconds."""
+    """A route to one or more endpoints. Times are in seconds."""
 
     endpoints: list[EndpointAnswer]
     state: str
@@ -68,7 +68,7 @@
 
 
 class PoolAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """A destination that is in use or has a fault."""
+    """The pool of a destination that is in use or has a fault. Times are in seconds."""
 
     partner: str
     destination: int
@@ -79,7 +79,7 @@
 
 
 class As2Answer(msgspec.Struct, frozen=True, kw_only=True):
-    """The AS2 part of a gateway."""
+    """The status of a gateway's AS2 parts."""
 
     name: str
     messages: int
@@ -89,11 +89,11 @@
 
 
 class StatusAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """What a gateway has in flight, and its pools."""
+    """The status of a gateway."""
 
     inventory: InventoryAnswer
     in_flight: int = msgspec.field(name="held")
-    """Messages that have no outcome yet."""
+    """The number of messages that have no outcome yet."""
     unconfirmed_outcomes: int = msgspec.field(name="notices_owed")
     slots: int
     free_slots: int = msgspec.field(name="slots_free")
@@ -102,19 +102,19 @@
 
 
 class MemberAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """A member of the fleet as another one sees it; times in seconds."""
+    """A member of the fleet in another one's view. Times are in seconds."""
 
     state: str
     generation: int = msgspec.field(name="life")
     state_age_s: float = msgspec.field(name="since")
     last_frame_age_s: float | None = msgspec.field(name="heard")
-    """None if no frame has come from it."""
+    """None if the member has sent no frame."""
     is_reached_directly: bool = msgspec.field(name="direct")
-    """Whether its frames come from itself, and not through others only."""
+    """Whether it answers direct probes; if not, it answers only probes through other members."""
 
 
 class FleetAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """One member's view of its fleet: what `fleet.status.FleetStatus` writes."""
+    """One member's view of its fleet: the answer that `fleet.status.FleetStatus.to_json` creates."""
 
     fleet_name: str = msgspec.field(name="fleet")
     member_name: str = msgspec.field(name="me")
@@ -122,7 +122,7 @@
     fleet_size: int = msgspec.field(name="size")
     present_count: int = msgspec.field(name="here")
     cut_reason: str = msgspec.field(name="cut")
-    """Why this member is without a majority; empty if it has one."""
+    """Why this member is isolated; empty while it is in contact with a majority."""
     cut_age_s: float = msgspec.field(name="since")
     quota_share: float = msgspec.field(name="part")
     closed_classes: list[str] = msgspec.field(name="closed")
@@ -131,11 +131,11 @@
 
 
 def decode(document: JsonObject, answer: type[AnswerT]) -> AnswerT:
-    """An answer from its JSON object; msgspec.ValidationError names the key that is wrong."""
+    """Return the answer in a JSON object; raises msgspec.ValidationError, which names an invalid key."""
     return msgspec.convert(document, answer)
 
 
 def encode(answer: msgspec.Struct) -> JsonObject:
-    """The JSON object of an answer."""
+    """Return an answer as a JSON object."""
     document: JsonObject = msgspec.to_builtins(answer)
     return document
--- a/emberlatch/standalone/as2_parts.py
+++ b/emberlatch/standalone/as2_parts.py
@@ -1,6 +1,6 @@
-"""The AS2 parts beside a gateway's HTTP ones.
+"""Composes the AS2 parts of a gateway.
 
-Imported only where a configuration has AS2, for the libraries that it needs are an extra.
+This module is imported only if the configuration has AS2, because the libraries for it are an optional extra.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 from emberlatch.standalone.errors import StartError
 from emberlatch.store import Folder
 
-PROTOCOL = "as2"
-"""Of an endpoint in the inventory."""
+AS2_PROTOCOL = "as2"
+"""The protocol of AS2 endpoints in the inventory."""
 
 
 @dataclass(frozen=True, slots=True)
 class As2Parts:
-    """The parts and the process that signs and encrypts for them."""
+    """The AS2 side and the worker process that signs and encrypts for it."""
 
     side: As2Side
     crypto_worker: CryptoWorker
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class InventoryPartners:
-    """An `as2.PartnerDirectory`: the partners and endpoints of the inventory in force."""
+    """An `as2.PartnerDirectory` that is backed by the inventory in force."""
 
     membership: InventoryMembership
 
     def partner_of(self, target: Target) -> str | None:
         """See `as2.PartnerDirectory`."""
         endpoint = self.membership.inventory.endpoints.get(target)
-        return endpoint.partner if endpoint is not None and endpoint.protocol == PROTOCOL else None
+        return endpoint.partner if endpoint is not None and endpoint.protocol == AS2_PROTOCOL else None
 
     def destination_number(self, partner: str) -> int | None:
         """See `as2.PartnerDirectory`."""
@@ -51,7 +51,7 @@
 
 
 def reserved_descriptors(config: As2) -> int:
-    """How many descriptors the AS2 parts may open."""
+    """Return how many descriptors the AS2 parts may open."""
     return as2_settings(config).descriptors
 
 
@@ -63,7 +63,7 @@
     state: Path,
     notifier: CompletionNotifier,
 ) -> As2Parts:
-    """Raises StartError where a profile can't be used or the state can't be read."""
+    """Create the AS2 parts; raises StartError if a profile can't be used or the state can't be read."""
     assert config.as2 is not None
 
     def open_folder(name: str) -> Folder:
--- a/emberlatch/standalone/commands.py
+++ b/emberlatch/standalone/commands.py
@@ -1,4 +1,4 @@
-"""What operators can ask the running gateway for on its control socket."""
+"""The handlers of the commands that operators send to a running gateway on its control socket."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 from emberlatch.standalone.control_socket import CommandHandler
 from emberlatch.standalone.fleet_integration import FleetIntegration
 
-if TYPE_CHECKING:  # what AS2 needs is an extra
+if TYPE_CHECKING:  # the libraries that AS2 needs are an optional extra
     from emberlatch.as2.side import As2Side
 
 
-class HasPending(Protocol):
-    """Where outcomes go: the log of outcomes, or the sender of notifications."""
+class OutcomeSink(Protocol):
+    """The part of the outcome log or the notification sender that is used here."""
 
     @property
     def pending(self) -> bool:
-        """Whether an outcome is not confirmed yet."""
+        """Whether any outcome is not confirmed yet."""
 
 
 class GatewayCommands:
-    """Answers each command from the parts of a gateway."""
+    """Answers commands with the state of a gateway's parts."""
 
     def __init__(
         self,
         engine: Engine,
         membership: InventoryMembership,
-        outcomes: HasPending,
+        outcomes: OutcomeSink,
         as2: As2Side | None,
         fleet: FleetIntegration | None,
         request_stop: Callable[[], None],
@@ -46,7 +46,7 @@
         self._as2, self._fleet, self._request_stop = as2, fleet, request_stop
 
     def handlers(self) -> Mapping[str, CommandHandler]:
-        """The handler of each command; those of a fleet only where there is one."""
+        """Return the handler of each command; fleet commands have one only if the gateway has a fleet."""
         handlers: dict[str, CommandHandler] = {
             Command.STATUS: self.status,
             Command.RELOAD: self._reload_document,
@@ -56,7 +56,7 @@
         return handlers
 
     async def status(self) -> JsonObject:
-        """The keys of `StatusAnswer`, and the decision module's other figures."""
+        """Return the status: the keys of `StatusAnswer`, and other figures of the decision module."""
         names = {number: name for name, number in self._membership.inventory.names.items()}
         engine_status = self._engine.status()
         pools = [{**pool, "partner": names.get(pool["destination"], "")} for pool in engine_status["pools"]]
@@ -69,7 +69,7 @@
         return {**document, **engine_status, "pools": pools}
 
     async def reload(self) -> ReloadAnswer:
-        """Look at the inventory's files now."""
+        """Reload the inventory files now."""
         before = self._membership.inventory.digest
         await self._membership.reload()
         inventory = self._inventory()
@@ -86,7 +86,7 @@
         return encode(await self.reload())
 
     async def _leave(self) -> JsonObject:
-        """Leave the fleet and stop, as SIGTERM does."""
+        """Leave the fleet and stop the process, as on SIGTERM."""
         self._request_stop()
         return encode(LeaveAnswer())
 
--- a/emberlatch/standalone/control_socket.py
+++ b/emberlatch/standalone/control_socket.py
@@ -1,6 +1,6 @@
 """The control socket: a Unix socket in the state folder that only its owner may open.
 
-One JSON object on a line each way: `{"do": "status"}`, and the answer (`answers`).
+A request is one line with a JSON object, such as `{"do": "status"}`; the answer (`answers`) is another.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 SOCKET_NAME = "control.sock"
 MAX_PATH_BYTES = 107
-"""Of a Unix socket's address (`sun_path`, less its final zero byte)."""
+"""The longest path of a Unix socket: the size of `sun_path` without its final zero byte."""
 MAX_REQUEST_BYTES = 4096
 REQUEST_TIMEOUT_S = 5.0
 ANSWER_TIMEOUT_S = 30.0
@@ -31,19 +31,23 @@
 
 
 class ControlServer:
-    """Answers requests on the socket by the handler of the command that they name."""
+    """Answers each request on the socket with the handler of the command in it."""
 
     def __init__(self, folder: Path, handlers: Mapping[str, CommandHandler]) -> None:
         self._path, self._handlers = folder / SOCKET_NAME, handlers
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen; OSError if the socket cannot be made."""
+        """Listen; raises OSError if the socket cannot be created."""
         if len(os.fsencode(self._path)) > MAX_PATH_BYTES:
-            raise OSError(errno.ENAMETOOLONG, "its path is too long for a Unix socket", str(self._path))
-        self._path.unlink(missing_ok=True)  # of a process that was killed: the folder is locked by this one
+            raise OSError(
+                errno.ENAMETOOLONG,
+                f"path is too long for a Unix socket, at most {MAX_PATH_BYTES} bytes are possible",
+                str(self._path),
+            )
+        self._path.unlink(missing_ok=True)  # left by a killed process: this one holds the lock of the folder
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        previous_umask = os.umask(OWNER_ONLY_UMASK)  # a chmod after bind would leave a moment for others
+        previous_umask = os.umask(OWNER_ONLY_UMASK)  # a chmod after bind would let others connect before it
         try:
             listener.bind(str(self._path))
         finally:
@@ -54,7 +58,7 @@
         )
 
     def stop(self) -> None:
-        """Stop listening, and remove the socket."""
+        """Stop listening, and remove the socket file."""
         if self._server is not None:
             self._server.close()
             self._path.unlink(missing_ok=True)
@@ -66,8 +70,11 @@
             answer = await self._answer(request)
             writer.write(json.dumps(answer).encode() + b"\n")
             await writer.drain()
-        except (OSError, ValueError) as error:  # also TimeoutError, and a line over the limit
-            log.info("control: %r", error)
+        except (
+            OSError,
+            ValueError,
+        ) as error:  # also TimeoutError, and a line over the limit
+            log.info("control socket: request failed: %r", error)
         finally:
             writer.close()
 
@@ -79,15 +86,15 @@
             return {ERROR: f'a line like {{"do": "status"}}; known are {", ".join(self._handlers)}'}
         try:
             return await handler()
-        except Exception as error:  # costs this answer and nothing else
-            log.exception("control: %s failed", command)
+        except Exception as error:  # a failed command must not affect the gateway
+            log.exception("control socket: command %s failed", command)
             return {ERROR: repr(error)}
 
 
 def send_command(folder: Path, command: str, timeout_s: float = ANSWER_TIMEOUT_S) -> JsonObject:
-    """Send a command to the gateway that runs on a state folder; returns its answer.
+    """Send a command to the gateway that runs on a state folder; return its answer.
 
-    OSError if none answers within the time-out, ValueError if its answer is no JSON.
+    Raises OSError if no gateway answers within the time-out, and ValueError if the answer is not JSON.
     """
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as connection:
         connection.settimeout(timeout_s)
@@ -96,5 +103,5 @@
         with connection.makefile("rb") as file:
             answer = json.loads(file.readline() or b"null")
     if not isinstance(answer, dict):
-        raise ConnectionResetError("the gateway ended without an answer")
+        raise ConnectionResetError("the gateway closed the control socket without an answer")
     return answer
--- a/emberlatch/standalone/gateway.py
+++ b/emberlatch/standalone/gateway.py
@@ -1,5 +1,8 @@
-"""Composes the standalone gateway: the engine with an HTTP ingress, the HTTP carrier, an inventory as
-membership, and outcomes that are reported or logged."""
+"""Composes the standalone gateway.
+
+It consists of the engine, an HTTP interface for clients, the HTTP carrier, an inventory as its membership,
+and a log of outcomes or a sender of notifications.
+"""
 
 from __future__ import annotations
 
@@ -24,27 +27,27 @@
 from emberlatch.standalone.outcome_log import MessageState, OutcomeLog
 from emberlatch.standalone.resources import connection_limits, lock_state_folder
 
-if TYPE_CHECKING:  # what AS2 needs is an extra
+if TYPE_CHECKING:  # the libraries that AS2 needs are an optional extra
     from emberlatch.as2.side import As2Side
     from emberlatch.standalone.as2_parts import As2Parts
 
 log = logging.getLogger(__name__)
 
 JOURNAL_FOLDER = "journal"
-"""Of the state folder."""
+"""The subfolder of the state folder for the journal."""
 SEED_BITS = 64
 DEFAULT_HTTP_PORT = 80
 
 
 class StandaloneGateway:
-    """One gateway. The state folder is its own: a second process on it does not start.
+    """One gateway. It locks its state folder: a second process on the same folder does not start.
 
-    `stop_requested` is set when the process is to stop; `storage_failure` then says that the disk cannot do
-    what a class of messages asks for, if that is why.
+    `stop_requested` is set when the process is to stop. `storage_failure` is set if the reason is that the
+    disk cannot provide the durability that is configured for a class of messages.
     """
 
     def __init__(self, config: Gateway, machine: Machine = REAL_MACHINE) -> None:
-        """Raises StartError, or RefusedError if there is no inventory to start with."""
+        """Compose the gateway; raises StartError, or RefusedError without a valid inventory to start with."""
         self._config, self._machine = config, machine
         self._state = config.path(config.state)
         self.stop_requested = asyncio.Event()
@@ -79,7 +82,7 @@
 
     @property
     def as2(self) -> As2Side | None:
-        """The AS2 parts, if the configuration has AS2."""
+        """The AS2 side; None if the configuration has no AS2."""
         return self._as2_parts.side if self._as2_parts is not None else None
 
     def _make_core(self) -> GatewayCore:
@@ -144,7 +147,7 @@
         )
 
     async def start(self) -> None:
-        """Go on with what the journal has, then listen; StartError if that can't be done."""
+        """Recover the messages in the journal, then listen; raises StartError if that fails."""
         if self._as2_parts is not None:
             await self._as2_parts.crypto_worker.ready()
         try:
@@ -157,14 +160,14 @@
             except OSError as error:
                 raise StartError("fleet.listen", error) from error
         gc.collect()
-        gc.freeze()  # what is listed at the start stays: no round of the collector need walk it
+        gc.freeze()  # excludes what the start has loaded, such as the inventory, from later collections
         try:
             await self._control.start()
         except OSError as error:
             raise StartError("state", error) from error
 
     async def stop(self) -> None:
-        """Let open calls end in time, and leave the other messages to the journal."""
+        """Stop: wait a limited time for open calls; all other messages stay in the journal."""
         self._control.stop()
         if self.fleet is not None:
             await self.fleet.stop()
@@ -174,7 +177,7 @@
         self._lock.close()
 
     def reload_files(self) -> None:
-        """Look at the files of the inventory and of the fleet's members now, in the background."""
+        """Reload the inventory files in the background, and the list of the fleet's members at once."""
         self._tasks.spawn(self.membership.reload())
         if self.fleet is not None:
             self.fleet.reload_members()
@@ -192,7 +195,7 @@
         return self.membership.named(partner)
 
     def _message_document(self, message: str) -> bytes | None:
-        """The body of `GET /messages/ID`; None if the message is not known."""
+        """Return the body of the answer to `GET /messages/ID`, or None if the message is unknown."""
         assert isinstance(self.outcomes, OutcomeLog)
         if self.engine.messages.is_open(message):
             return json.dumps({"id": message, "state": MessageState.IN_FLIGHT}).encode()
--- a/emberlatch/standalone/logging_setup.py
+++ b/emberlatch/standalone/logging_setup.py
@@ -1,4 +1,4 @@
-"""How the gateway logs: lines for people, or one JSON object a line for programs."""
+"""Configures logging: lines of text for people, or one JSON object per line for programs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def configure(level: str, log_format: LogFormat) -> None:
-    """Send everything that is logged to standard error, from now on."""
+    """Log to standard error from now on, at this level and in this format."""
     shared: list[structlog.typing.Processor] = [
         structlog.stdlib.add_logger_name,
         structlog.stdlib.add_log_level,
