--- a/emberlatch/standalone/control_socket.py
+++ b/emberlatch/standalone/control_socket.py
@@ -70,10 +70,7 @@
             answer = await self._answer(request)
             writer.write(json.dumps(answer).encode() + b"\n")
             await writer.drain()
-        except (
-            OSError,
-            ValueError,
-        ) as error:  # also TimeoutError, and a line over the limit
+        except (OSError, ValueError) as error:  # also TimeoutError, and a line over the limit
             log.info("control socket: request failed: %r", error)
         finally:
             writer.close()
