--- a/tests/fleet/simulated_fleet.py
+++ b/tests/fleet/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Several membership machines on a simulated clock, joined by a network with faults: no loop, no sockets."""
+"""Simulates membership machines on a network with faults, with a simulated clock and without sockets."""
 
 from __future__ import annotations
 
@@ -23,9 +23,11 @@
 
 
 class SimulatedFleet:
-    """Machines by name. `is_lost` says whether a frame between two is lost, `latency_s` how long it takes.
+    """A fleet of membership machines.
 
-    `events` has each log event with its time and member; `halted` the members that were to halt.
+    `is_lost(sender, recipient)` decides whether a frame is lost, `latency_s(sender, recipient)` how long it
+    takes. `events` has each log event with its time and member; `halted` has the members that requested a
+    halt; `stopped` has the members that a test has stalled.
     """
 
     def __init__(self, size: int, seed: int = 1) -> None:
@@ -42,9 +44,9 @@
         for name in self.names:
             self.start(name)
 
-    def start(self, name: str, generation: int = 1, mark: str = "") -> MembershipMachine:
-        """Start a new process of a member, which is linked with all others."""
-        run_id, seed = f"{name}.{generation}{mark}", self.random.getrandbits(32)
+    def start(self, name: str, generation: int = 1, run_suffix: str = "") -> MembershipMachine:
+        """Start a new process of a member, and link it with all others."""
+        run_id, seed = f"{name}.{generation}{run_suffix}", self.random.getrandbits(32)
         process = ProcessIdentity(name, generation, run_id)
         member = MembershipMachine(process, self.names, self.now, seed)
         self.members[name] = member
@@ -70,7 +72,7 @@
         heapq.heappush(self._queue, (self.now + delay_s, next(self._order), callback))
 
     def run(self, seconds: float) -> None:
-        """Let so much time pass."""
+        """Advance the simulated clock by `seconds`."""
         until = self.now + seconds
         while True:
             for name in list(self.members):
@@ -112,7 +114,7 @@
         def deliver() -> None:
             if self.members.get(recipient) is not receiver:
                 return
-            if recipient in self.stopped:  # it waits in the kernel
+            if recipient in self.stopped:  # the frame waits in the stalled process's receive buffer
                 self.call_later(0.05, deliver)
                 return
             receiver.on_frame(self.now, sender, incarnation, received)
@@ -129,9 +131,9 @@
         return {name: member.partition.reason for name, member in self.members.items()}
 
     def logged(self, event: str, member: str = "") -> list[dict[str, Any]]:
-        return [fields for _, name, found, fields in self.events if found == event and member in ("", name)]
+        return [fields for _, name, kind, fields in self.events if kind == event and member in ("", name)]
 
 
 def partition(*sides: set[str]) -> Callable[[str, str], bool]:
-    """Frames between two sides are lost."""
+    """Return an `is_lost` function by which frames are lost unless sender and recipient are on one side."""
     return lambda one, other: not any(one in side and other in side for side in sides)
--- a/tests/fleet/test_endpoint_reports.py
+++ b/tests/fleet/test_endpoint_reports.py
@@ -1,4 +1,4 @@
-"""Reports on endpoints: the newest holds, and if the order is unknown the more severe one."""
+"""Endpoint reports: the newest one counts, or the more severe one if their order is unknown."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from emberlatch.fleet.endpoint_reports import MAX_ENDPOINTS, EndpointReports
 
 
-def test_the_newest_report_holds_in_whatever_order_they_arrive() -> None:
+def test_the_newest_report_counts_in_any_order_of_arrival() -> None:
     phases = [(Phase.DRAINING, 10.0), (Phase.READY, 20.0), (Phase.GONE, 30.0), (Phase.READY, 40.0)]
     for order in itertools.permutations(phases):
         reports = EndpointReports()
@@ -17,7 +17,7 @@
         assert [(report.phase, report.age_s) for report in reports.all(50.0)] == [(Phase.READY, 10.0)]
 
 
-def test_of_simultaneous_reports_the_most_severe_one_holds() -> None:
+def test_the_most_severe_of_simultaneous_reports_counts() -> None:
     for order in itertools.permutations([(Phase.DRAINING, 10.0), (Phase.READY, 10.3), (Phase.GONE, 9.8)]):
         reports = EndpointReports()
         for phase, since in order:
@@ -25,7 +25,7 @@
         assert reports.all(50.0)[0].phase == Phase.GONE
 
 
-def test_a_known_phase_is_no_change_and_the_oldest_report_goes_when_there_are_too_many() -> None:
+def test_a_known_phase_is_no_change_and_too_many_reports_drop_the_oldest() -> None:
     reports = EndpointReports()
     assert reports.record("t", Phase.DRAINING, 1.0) and not reports.record("t", Phase.DRAINING, 9.0)
     assert not reports.record("t", Phase.READY, 0.2)
--- a/tests/fleet/test_environment.py
+++ b/tests/fleet/test_environment.py
@@ -1,4 +1,4 @@
-"""What a real process of a member runs in, where a simulation gives nothing else."""
+"""The default environment of a member's process: clock, seed, run id and log."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from emberlatch.fleet.log_events import FleetEvent
 
 
-def test_the_clock_is_the_loops_and_each_process_has_a_seed_of_its_own() -> None:
+def test_the_default_clock_is_the_event_loops_and_each_process_draws_its_own_seed() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         one, other = (ProcessEnvironment(Tasks(), REAL_MACHINE) for _ in range(2))
@@ -23,14 +23,14 @@
     asyncio.run(test())
 
 
-def test_the_run_id_is_of_the_seed() -> None:
+def test_the_run_id_is_derived_from_the_seed() -> None:
     environment = ProcessEnvironment(
         Tasks(), REAL_MACHINE, lambda: 0.0, lambda event, **fields: None, 0x0123456789ABCDEF
     )
     assert environment.run_id == "89abcdef01234567"
 
 
-def test_events_are_logged_under_the_services_name(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_events_are_logged_under_the_name_of_the_fleet_service(monkeypatch: pytest.MonkeyPatch) -> None:
     logged: list[tuple[str, str, dict[str, object]]] = []
 
     class RecordingLogger:
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames: their bytes, decoding in pieces, and hostile ones, each of which costs no more than an error."""
+"""Frames: their wire format, decoding from pieces, and invalid data, which may only raise FrameError."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     (Ping(1), "0000000493020190"),
     (EndpointUpdates(), "0000000493099090"),
 ]
-"""What the release before the fields were renamed has sent; releases run side by side."""
+"""The bytes that earlier releases send, which must not change because releases run side by side."""
 
 
 @pytest.mark.parametrize(
@@ -69,12 +69,12 @@
     WIRE_FORMS,
     ids=[f"{number}-{type(frame).__name__}" for number, (frame, _) in enumerate(WIRE_FORMS)],
 )
-def test_the_bytes_of_each_frame_are_those_of_earlier_releases(frame: Frame, wire_form: str) -> None:
+def test_each_frame_has_the_bytes_of_earlier_releases(frame: Frame, wire_form: str) -> None:
     assert encode(frame).hex() == wire_form
     assert list(FrameDecoder().feed(bytes.fromhex(wire_form))) == [frame]
 
 
-def test_each_frame_is_decoded_from_pieces_of_any_size() -> None:
+def test_frames_are_decoded_from_pieces_of_any_size() -> None:
     data = b"".join(map(encode, FRAMES))
     for size in (1, 2, 3, 7, len(data)):
         decoder = FrameDecoder()
@@ -97,7 +97,7 @@
         encode(EndpointUpdates((EndpointHold("a", float("nan")),))),
         encode(EndpointUpdates((EndpointHold("a", -1.0),))),
         encode(EndpointUpdates(reports=(EndpointReport("a", Phase.GONE, -1.0),))),
-        bytes.fromhex("000000119309909193a16107cb3ff0000000000000"),  # a phase of 7
+        bytes.fromhex("000000119309909193a16107cb3ff0000000000000"),  # phase 7, which does not exist
         encode(
             MembershipTable(
                 tuple(MemberUpdate(f"n{n}", MemberState.ALIVE, 1) for n in range(MAX_LIST_ITEMS + 1))
@@ -105,17 +105,17 @@
         ),
     ],
 )
-def test_invalid_data_is_a_frame_error(data: bytes) -> None:
+def test_invalid_data_raises_a_frame_error(data: bytes) -> None:
     with pytest.raises(FrameError):
         list(FrameDecoder().feed(data))
 
 
-def test_drawn_invalid_data_never_raises_another_error() -> None:
-    chance = random.Random(5)
+def test_random_invalid_data_raises_nothing_but_frame_errors() -> None:
+    rng = random.Random(5)
     for _ in range(20_000):
-        valid = bytearray(encode(chance.choice(FRAMES))[4:])
-        for _ in range(chance.randint(1, 4)):
-            valid[chance.randrange(len(valid))] = chance.randrange(256)
-        for data in (bytes(valid), os.urandom(chance.randint(0, 40))):
+        valid = bytearray(encode(rng.choice(FRAMES))[4:])
+        for _ in range(rng.randint(1, 4)):
+            valid[rng.randrange(len(valid))] = rng.randrange(256)
+        for data in (bytes(valid), os.urandom(rng.randint(0, 40))):
             with contextlib.suppress(FrameError):
                 decode(data)
--- a/tests/fleet/test_log_events.py
+++ b/tests/fleet/test_log_events.py
@@ -1,4 +1,4 @@
-"""The names under which a member's events are logged: stored, and the same for operators and in histories."""
+"""The logged names of a member's events, which operators search for and stored histories contain."""
 
 from __future__ import annotations
 
@@ -33,30 +33,30 @@
 
 
 def documented_names() -> list[str]:
-    """The first column of the operators' table of log events."""
+    """Return the names in the first column of the operators' table of log events."""
     _, table = OPERATORS_PAGE.read_text(encoding="utf-8").split("| in the log | means |\n| --- | --- |\n")
     rows = table.split("\n\n")[0].splitlines()
     return [name for row in rows for name in re.findall(r"`([a-z_]+)`", row.split("|")[1])]
 
 
-def test_each_event_is_in_the_operators_table_once_and_nothing_else_is() -> None:
+def test_the_operators_table_has_each_event_once_and_nothing_else() -> None:
     assert sorted(documented_names()) == sorted(FleetEvent)
 
 
-def test_the_stored_names_stay() -> None:
+def test_the_logged_names_are_unchanged() -> None:
     assert {event: event.value for event in FleetEvent} == STORED_NAMES
 
 
 @pytest.mark.parametrize("event", FleetEvent)
-def test_an_event_is_logged_as_its_bare_name(event: FleetEvent) -> None:
+def test_an_event_is_rendered_as_its_plain_name(event: FleetEvent) -> None:
     name = STORED_NAMES[event]
     as_json, as_text = structlog.processors.JSONRenderer(), structlog.dev.ConsoleRenderer(colors=False)
     assert as_json(None, "info", {"event": event}) == json.dumps({"event": name})
     assert as_text(None, "info", {"event": event, "a": 1}) == as_text(None, "info", {"event": name, "a": 1})
 
 
-def test_histories_have_the_logged_names() -> None:
-    """A kind of events of a history that is named as an event of a member is that event."""
+def test_histories_use_the_logged_names() -> None:
+    """A kind of history events with the identifier of a member's event must have its stored name too."""
     shared = [kind for kind in EventKind if kind.name in FleetEvent.__members__]
     assert len(shared) == 9
     for kind in shared:
--- a/tests/fleet/test_machine.py
+++ b/tests/fleet/test_machine.py
@@ -1,4 +1,4 @@
-"""Who is alive: machines on a simulated network, each hard case by itself."""
+"""The membership machine on a simulated network: failures, partitions, stalls and restarts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def running_fleet(size: int = 5, seed: int = 1) -> SimulatedFleet:
-    """A fleet in which all see each other."""
+    """Return a fleet in which each member sees all others as alive."""
     fleet = SimulatedFleet(size, seed)
     fleet.run(5.0)
     assert all(fleet.is_seen_by_all(name, MemberState.ALIVE) for name in fleet.names)
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("size", [2, 3, 10, 40])
-def test_a_death_is_known_to_all_and_a_new_generation_too(size: int) -> None:
+def test_all_members_learn_of_a_killed_member_and_of_its_next_generation(size: int) -> None:
     fleet = running_fleet(size)
     fleet.kill("m1")
     fleet.run(6.0 if size > 2 else 8.0)
@@ -32,7 +32,7 @@
     assert {member.peers["m1"].incarnation for member in others} == {first_incarnation(2)}
 
 
-def test_half_of_forty_killed_at_once() -> None:
+def test_killing_half_of_forty_members_at_once_isolates_the_others() -> None:
     fleet = running_fleet(40)
     for name in fleet.names[:20]:
         fleet.kill(name)
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_fifth_of_the_frames_lost_beside_a_slow_member_makes_nobody_unreachable(seed: int) -> None:
+def test_loss_of_a_fifth_of_the_frames_and_a_slow_member_make_no_member_unreachable(seed: int) -> None:
     fleet = running_fleet(10, seed)
     fleet.is_lost = lambda one, other: fleet.random.random() < 0.2
     fleet.latency_s = lambda one, other: fleet.random.uniform(0.0, 0.4) if "m9" in (one, other) else LATENCY_S
@@ -51,7 +51,7 @@
     assert [fields for fields in fleet.logged("member") if fields["state"] == "unreachable"] == []
 
 
-def test_a_one_way_link_is_no_failure_and_is_logged() -> None:
+def test_a_link_that_fails_in_one_direction_is_logged_and_not_a_failure() -> None:
     fleet = running_fleet()
     fleet.is_lost = lambda one, other: (one, other) == ("m0", "m1")
     fleet.run(10.0)
@@ -60,7 +60,7 @@
     assert not fleet.members["m0"].peers["m1"].is_reached_directly
 
 
-def test_two_sides_that_are_linked_by_one_member_see_each_other() -> None:
+def test_two_members_linked_only_through_a_third_see_each_other_as_alive() -> None:
     fleet = running_fleet(3)
     fleet.is_lost = lambda one, other: {one, other} == {"m0", "m2"}
     fleet.run(15.0)
@@ -68,7 +68,7 @@
     assert set(fleet.isolation_reasons().values()) == {IsolationReason.NONE}
 
 
-def test_a_partition_in_the_middle_of_four_leaves_both_sides_without_a_majority() -> None:
+def test_a_partition_of_four_members_into_halves_isolates_both_until_it_heals() -> None:
     fleet = running_fleet(4)
     fleet.is_lost = partition({"m0", "m1"}, {"m2", "m3"})
     fleet.run(10.0)
@@ -79,7 +79,7 @@
     assert all(fleet.is_seen_by_all(name, MemberState.ALIVE) for name in fleet.names)
 
 
-def test_three_of_five_keep_the_majority_and_two_know_that_they_are_isolated() -> None:
+def test_a_partition_of_five_members_isolates_the_two_and_not_the_three() -> None:
     fleet = running_fleet(5)
     fleet.is_lost = partition({"m0", "m1", "m2"}, {"m3", "m4"})
     fleet.run(10.0)
@@ -87,19 +87,19 @@
     assert fleet.isolation_reasons() == majority | dict.fromkeys(["m3", "m4"], IsolationReason.NO_MAJORITY)
 
 
-def test_a_flapping_link_makes_the_view_flap_ever_less() -> None:
+def test_a_flapping_link_causes_ever_fewer_state_changes() -> None:
     fleet = running_fleet()
     fleet.is_lost = lambda one, other: "m1" in (one, other) and int(fleet.now) % 4 < 2
     fleet.run(60.0)
     failed_at = [
         at for at, name, _, fields in fleet.events if (name, fields.get("state")) == ("m0", "unreachable")
     ]
-    assert len(failed_at) <= 6  # of fifteen
+    assert len(failed_at) <= 6  # the link fails fifteen times
     assert len([at for at in failed_at if at > 35.0]) <= 2
 
 
 @pytest.mark.parametrize(("seconds", "is_stall"), [(0.3, False), (2.0, True), (20.0, True)])
-def test_a_stalled_member_logs_that_before_anything_else(seconds: float, is_stall: bool) -> None:
+def test_a_stalled_member_logs_the_stall_before_anything_else(seconds: float, is_stall: bool) -> None:
     fleet = running_fleet()
     fleet.stopped.add("m2")
     fleet.run(seconds)
@@ -115,7 +115,7 @@
     )
 
 
-def test_a_stall_is_noticed_also_while_probes_are_rare() -> None:
+def test_a_stall_is_detected_while_probes_are_rare() -> None:
     fleet = running_fleet()
     fleet.members["m2"].health.adjust(8)
     fleet.run(2.0)
@@ -126,12 +126,12 @@
     assert fleet.logged("stalled", "m2")
 
 
-def test_after_a_stall_only_answers_to_later_pings_count() -> None:
+def test_after_a_stall_only_answers_to_later_pings_end_the_isolation() -> None:
     fleet = running_fleet()
     fleet.stopped.add("m2")
     fleet.run(2.0)
     fleet.stopped.clear()
-    fleet.is_lost = lambda one, other: one == "m2"  # what waits for it in its kernel still arrives
+    fleet.is_lost = lambda one, other: one == "m2"  # frames that wait in its receive buffer still arrive
     fleet.run(3.0)
     assert fleet.isolation_reasons()["m2"] is IsolationReason.STALLED
     fleet.is_lost = lambda one, other: False
@@ -139,7 +139,7 @@
     assert fleet.isolation_reasons()["m2"] is IsolationReason.NONE
 
 
-def test_an_update_from_before_the_restart_changes_nothing() -> None:
+def test_updates_and_frames_from_before_a_restart_are_ignored() -> None:
     fleet = running_fleet()
     fleet.kill("m1")
     fleet.run(1.0)
@@ -155,7 +155,7 @@
     assert fleet.is_seen_by_all("m1", MemberState.ALIVE)
 
 
-def test_a_member_that_left_has_left_until_its_next_generation() -> None:
+def test_a_member_that_left_stays_left_until_its_next_generation() -> None:
     fleet = running_fleet()
     fleet.members["m3"].leave(fleet.now)
     fleet.run(0.05)
@@ -168,7 +168,7 @@
     assert fleet.is_seen_by_all("m3", MemberState.ALIVE)
 
 
-def test_in_a_rolling_restart_each_member_sees_all_others_but_one() -> None:
+def test_in_a_rolling_restart_each_member_sees_all_but_one_and_is_not_isolated() -> None:
     fleet = running_fleet(4)
     for name in fleet.names:
         fleet.members[name].leave(fleet.now)
@@ -178,20 +178,20 @@
         assert min(member.peers.present_count for member in fleet.members.values()) == 3
         fleet.start(name, 2)
         fleet.run(2.0)
-    assert not fleet.logged("cut", "m0")[1:]  # its own start is one
+    assert not fleet.logged("cut", "m0")[1:]  # the first is the one of its own start
 
 
-def test_an_empty_folder_makes_a_new_generation_and_is_logged() -> None:
+def test_a_process_with_an_empty_state_folder_takes_the_next_generation_and_logs_it() -> None:
     fleet = running_fleet()
     fleet.kill("m1")
     fleet.run(5.0)
-    fleet.start("m1", 1, mark="new")
+    fleet.start("m1", 1, run_suffix="new")
     fleet.run(3.0)
     assert fleet.logged("new_life", "m1")[0] == {"before": 1, "life": 2}
     assert fleet.is_seen_by_all("m1", MemberState.ALIVE) and not fleet.halted
 
 
-def test_of_two_processes_with_one_name_the_earlier_one_halts() -> None:
+def test_a_process_halts_when_a_later_generation_has_its_name() -> None:
     fleet = running_fleet()
     earlier = fleet.members["m1"]
     earlier.identity.end_join_window_at(0.0)
@@ -202,7 +202,7 @@
     assert "another process is m1" in fleet.logged("halted", "m1")[0]["why"]
 
 
-def test_a_clock_that_runs_fast_changes_no_view() -> None:
+def test_ticks_of_a_running_member_change_no_view() -> None:
     fleet = SimulatedFleet(5)
     member, ticks = fleet.members["m1"], []
     tick = member.tick
@@ -211,7 +211,7 @@
     assert ticks and fleet.is_seen_by_all("m1", MemberState.ALIVE)
 
 
-def test_a_list_that_is_longer_in_one_place_counts_for_all_at_once() -> None:
+def test_a_longer_member_list_at_one_member_sets_the_fleet_size_for_all() -> None:
     fleet = running_fleet(3)
     fleet.members["m0"].configure(fleet.now, [*fleet.names, "m9"])
     fleet.run(0.1)
@@ -221,7 +221,7 @@
     assert [member.peers.fleet_size for member in fleet.members.values()] == [3, 3, 3]
 
 
-def test_members_are_added_and_removed() -> None:
+def test_added_and_removed_members_change_the_fleet_size() -> None:
     fleet = running_fleet(3)
     member = fleet.members["m0"]
     member.configure(fleet.now, [*fleet.names, "m9"])
--- a/tests/fleet/test_membership_rules.py
+++ b/tests/fleet/test_membership_rules.py
@@ -1,4 +1,4 @@
-"""The rules of the membership machine by themselves: the order of updates, suspicions, local health."""
+"""Unit tests of the membership rules: the order of updates, suspicions, local health, instances."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 PARAMETERS = ProtocolParameters()
 
 
-def test_updates_are_ordered_in_whatever_order_they_arrive() -> None:
+def test_of_two_different_updates_exactly_one_supersedes_the_other() -> None:
     updates = [MemberUpdate("m", state, inc) for inc in (1, 2, 3) for state in list(MemberState)[1:]]
     for first in updates:
         for second in updates:
@@ -29,7 +29,7 @@
             assert peer.is_superseded_by(second) or other.is_superseded_by(first) or first == second
 
 
-def test_a_suspicion_is_shorter_with_each_confirmation_and_longer_for_a_flapping_member() -> None:
+def test_confirmations_shorten_a_suspicion_and_flaps_lengthen_it() -> None:
     suspicion = Suspicion(0.0, "a", 10, PARAMETERS, 0.0, 0)
     unconfirmed = suspicion.deadline
     assert suspicion.confirm("b") and not suspicion.confirm("b") and suspicion.deadline < unconfirmed
@@ -40,7 +40,7 @@
     assert not suspicion.in_final_probe and suspicion.deadline > 7.0
 
 
-def test_the_health_score_is_bounded() -> None:
+def test_the_health_score_stays_within_its_bounds() -> None:
     health = LocalHealth(8)
     health.adjust(-3)
     assert health.scale(1.0) == 1.0
@@ -48,13 +48,13 @@
     assert health.scale(1.0) == 9.0
 
 
-def test_a_machine_begins_as_the_process_that_it_was_given() -> None:
+def test_a_machine_starts_with_the_identity_of_its_process() -> None:
     machine = MembershipMachine(ProcessIdentity("a", 3, "run"), ["a", "b"], now=0.0, seed=1)
     assert machine.handshake("f") == Handshake("f", "a", first_incarnation(3), "run", member_count=2)
     assert machine.identity.generation == 3 and list(machine.peers) == ["b"]
 
 
-def test_instances_of_the_protocol_share_nothing_but_a_seed_and_draw_alike() -> None:
+def test_protocol_instances_share_no_state_and_draw_alike_with_the_same_seed() -> None:
     one, other = (ProtocolInstance.begin(PARAMETERS, seed=7) for _ in range(2))
     one.peers.configure(0.0, ["b"])
     one.queue.add(MemberUpdate("b", MemberState.ALIVE, 1))
--- a/tests/fleet/test_quota_shares.py
+++ b/tests/fleet/test_quota_shares.py
@@ -1,4 +1,4 @@
-"""Quota shares: never more than the limit in sum, down at once, up by a ramp."""
+"""Quota shares: their sum never exceeds the limit; a share drops at once and grows by a ramp."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 POLICIES = {"payout": PartitionPolicy.REFUSE, "note": PartitionPolicy.LEAST}
 
 
-def test_a_share_begins_at_the_isolated_fraction_and_grows_within_a_second() -> None:
+def test_a_share_grows_from_the_isolated_fraction_to_the_full_share_within_a_second() -> None:
     controller = QuotaShareController(POLICIES, 0.0)
     controller.update(0.0, 4, True)
     assert controller.share_at(0.0).fraction == pytest.approx(ISOLATED_FRACTION / 4)
@@ -22,7 +22,7 @@
     now: float | None = 1.0
     while now is not None:
         fractions.append(controller.share_at(now).fraction)
-        controller.update(now, 4, False)  # the same again and again changes nothing
+        controller.update(now, 4, False)  # repeating the same state changes nothing
         last, now = now, controller.next_change_at(now)
     assert fractions[0] == pytest.approx(ISOLATED_FRACTION / 4) and fractions[-1] == pytest.approx(1 / 4)
     assert last <= 1.0 + RAMP_S + 0.11
@@ -30,7 +30,7 @@
     assert all(0 < step <= 0.2 / 4 for step in steps)
 
 
-def test_a_cut_lowers_the_share_at_once_and_closes_the_classes_that_are_to_be_rejected() -> None:
+def test_an_isolation_lowers_the_share_at_once_and_closes_classes_with_the_refuse_policy() -> None:
     controller = QuotaShareController(POLICIES, 0.0)
     controller.update(0.0, 2, False)
     assert controller.share_at(5.0).fraction == 0.5 and controller.share_at(5.0).closed_classes == frozenset()
@@ -39,13 +39,13 @@
     assert controller.share_at(5.0).closed_classes == {"payout"}
 
 
-def test_a_class_that_continues_with_its_own_share_keeps_all_of_it() -> None:
+def test_an_isolated_member_with_an_own_policy_class_keeps_its_full_share() -> None:
     controller = QuotaShareController({"payout": PartitionPolicy.OWN}, 0.0)
     controller.update(0.0, 2, True)
     assert controller.share_at(0.0).fraction == 0.5 and controller.share_at(0.0).closed_classes == frozenset()
 
 
-def test_the_shares_of_all_on_all_sides_of_any_partition_never_sum_to_more_than_the_limit() -> None:
+def test_the_shares_on_all_sides_of_any_partition_never_sum_to_more_than_the_limit() -> None:
     for size in range(1, 7):
         for isolations in itertools.product((True, False), repeat=size):
             total = 0.0
@@ -56,7 +56,7 @@
             assert total <= 1.0 + 1e-9
 
 
-def test_one_change_of_the_members_at_a_time() -> None:
+def test_a_membership_change_is_rejected_unless_one_member_changes() -> None:
     old = {"a": ("h", 1), "b": ("h", 2), "c": ("h", 3)}
     assert membership_change_error(old, old | {"d": ("h", 4)}, "a") == ""
     assert membership_change_error(old, old | {"b": ("h", 9)}, "a") == ""
--- a/tests/fleet/test_service.py
+++ b/tests/fleet/test_service.py
@@ -1,4 +1,4 @@
-"""Fleets on loopback sockets, in one process: links between members, and connections that are no members."""
+"""Fleets on loopback sockets in one process: members, and connections of other processes."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class RecordingObserver:
-    """A fleet's observer and event log, which a test may wait on."""
+    """Records what a service reports and logs; a test can wait for it."""
 
     def __init__(self) -> None:
         self.shares: list[QuotaShare] = []
@@ -72,7 +72,7 @@
         self.events.append((event, fields))
         self._changed.set()
 
-    async def until(self, condition: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         while not condition():
             self._changed.clear()
             await self._changed.wait()
@@ -86,7 +86,7 @@
 
 
 class LocalFleet:
-    """The members that a test has started, on ports that stay reserved until it is over."""
+    """Starts members for a test, on ports that stay reserved until the test ends."""
 
     def __init__(self, folder: Path, *names: str) -> None:
         self.folder, self.reservations = folder, {name: reserve_port() for name in names}
@@ -129,83 +129,83 @@
             reservation.close()
 
 
-def test_three_join_one_dies_and_comes_back_in_a_later_generation(tmp_path: Path) -> None:
+def test_members_see_a_peer_join_fail_and_restart_in_its_next_generation(tmp_path: Path) -> None:
     async def test() -> None:
         async with local_fleet(tmp_path, "a", "b", "c") as fleet:
             (_, a), (_, b), (c, first) = (fleet.start(name) for name in "abc")
-            await a.until(lambda: a.has_joined("b", "c"))
-            await a.until(lambda: a.shares[-1] == QuotaShare(3, 1 / 3, frozenset()))
+            await a.wait_until(lambda: a.has_joined("b", "c"))
+            await a.wait_until(lambda: a.shares[-1] == QuotaShare(3, 1 / 3, frozenset()))
             assert a.shares[0].closed_classes == {"x"} and a.shares[0].fraction < 0.1
             c.close()
-            await b.until(lambda: b.has_logged("member", member="c", state="unreachable"))
+            await b.wait_until(lambda: b.has_logged("member", member="c", state="unreachable"))
             _, second = fleet.start("c")
-            await b.until(lambda: b.has_logged("member", member="c", state="alive", life=2))
+            await b.wait_until(lambda: b.has_logged("member", member="c", state="alive", life=2))
             assert second.has_logged("life", life=2, fresh=False)
             assert first.has_logged("life", life=1, fresh=True)
 
     run(test)
 
 
-def test_a_member_that_leaves_is_seen_to_have_left_at_once(tmp_path: Path) -> None:
+def test_a_leaving_member_is_seen_as_left_and_not_as_failed(tmp_path: Path) -> None:
     async def test() -> None:
         async with local_fleet(tmp_path, "a", "b", "c") as fleet:
             (_, a), (_, b), (c, _) = (fleet.start(name) for name in "abc")
-            await a.until(lambda: a.has_joined("b", "c"))
-            await b.until(lambda: b.has_joined("a", "c"))
+            await a.wait_until(lambda: a.has_joined("b", "c"))
+            await b.wait_until(lambda: b.has_joined("a", "c"))
             await c.leave()
-            await a.until(lambda: a.has_logged("member", member="c", state="left", was="alive"))
+            await a.wait_until(lambda: a.has_logged("member", member="c", state="left", was="alive"))
             assert not a.has_logged("cut", why="no majority")
 
     run(test)
 
 
-def test_a_hold_reaches_all_also_a_member_that_joins_later(tmp_path: Path) -> None:
+def test_a_hold_reaches_all_members_including_one_that_joins_later(tmp_path: Path) -> None:
     async def test() -> None:
         async with local_fleet(tmp_path, "a", "b", "c") as fleet:
             (service, a), (_, b) = fleet.start("a"), fleet.start("b")
-            await a.until(lambda: a.has_joined("b"))
+            await a.wait_until(lambda: a.has_joined("b"))
             service.share_endpoint_hold("p-1", 5.0)
-            service.share_endpoint_hold("p-1", 3.0)  # shorter than what is known
-            await b.until(lambda: bool(b.holds))
+            service.share_endpoint_hold("p-1", 3.0)  # shorter than the known hold
+            await b.wait_until(lambda: bool(b.holds))
             assert [target for target, _ in b.holds] == ["p-1"] and 4.0 < b.holds[0][1] <= 5.0
             _, c = fleet.start("c")
-            await c.until(lambda: bool(c.holds))
+            await c.wait_until(lambda: bool(c.holds))
             assert c.holds[0][0] == "p-1" and c.holds[0][1] <= 5.0 and a.holds == []
 
     run(test)
 
 
-def test_a_draining_endpoint_of_one_list_reaches_all_also_a_member_that_joins_later(tmp_path: Path) -> None:
+def test_changed_phases_reach_all_members_including_one_that_joins_later(tmp_path: Path) -> None:
     async def test() -> None:
         async with local_fleet(tmp_path, "a", "b", "c") as fleet:
             (service_a, a), (service_b, b) = fleet.start("a"), fleet.start("b")
-            await a.until(lambda: a.has_joined("b"))
+            await a.wait_until(lambda: a.has_joined("b"))
             service_a.share_endpoint_phases({"p-1": Phase.DRAINING, "p-2": Phase.GONE})
-            await b.until(lambda: len(b.reports) == 2)
+            await b.wait_until(lambda: len(b.reports) == 2)
             service_a.share_endpoint_phases({"p-1": Phase.DRAINING})  # no change
             service_b.share_endpoint_phases({"p-1": Phase.GONE})  # more severe than draining
-            await a.until(lambda: bool(a.reports))
+            await a.wait_until(lambda: bool(a.reports))
             assert a.reports == [("p-1", Phase.GONE)] and b.reports == [
                 ("p-1", Phase.DRAINING),
                 ("p-2", Phase.GONE),
             ]
             _, c = fleet.start("c")
-            await c.until(lambda: len(c.reports) == 2)
+            await c.wait_until(lambda: len(c.reports) == 2)
             assert sorted(c.reports) == [("p-1", Phase.GONE), ("p-2", Phase.GONE)]
 
     run(test)
 
 
-def test_of_two_processes_with_one_name_the_later_stays(tmp_path: Path) -> None:
+def test_of_two_processes_with_one_name_the_earlier_halts(tmp_path: Path) -> None:
     async def test() -> None:
         async with local_fleet(tmp_path, "a", "b", "c") as fleet:
             (_, a), (_, b), _ = (fleet.start(name) for name in "abc")
-            await a.until(lambda: a.has_joined("b", "c"))
+            await a.wait_until(lambda: a.has_joined("b", "c"))
             await asyncio.sleep(PARAMETERS.join_window_s)
             with reserve_port() as other:
                 twin, observer = fleet.start("a", folder="twin", port=other.getsockname()[1])
-                await a.until(lambda: bool(a.halt_reason))
-                await b.until(lambda: b.has_logged("member", member="a", life=2))
+                await a.wait_until(lambda: bool(a.halt_reason))
+                await b.wait_until(lambda: b.has_logged("member", member="a", life=2))
                 assert observer.has_logged("new_life", before=1, life=2) and not observer.halt_reason
                 assert "another process is a in generation 2" in a.halt_reason
                 twin.close()
@@ -213,8 +213,8 @@
     run(test)
 
 
-async def received_by_stranger(port: int, data: bytes) -> bytes:
-    """What a connection that sends this receives until it is closed."""
+async def receive_until_closed(port: int, data: bytes) -> bytes:
+    """Send data on a new connection; return what it receives until it is closed."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         writer.write(data)
@@ -225,11 +225,11 @@
         writer.close()
 
 
-def test_a_connection_that_is_no_member_is_closed_and_affects_nothing_else(tmp_path: Path) -> None:
+def test_a_connection_without_a_valid_handshake_is_closed_and_affects_nothing_else(tmp_path: Path) -> None:
     async def test() -> None:
         async with local_fleet(tmp_path, "a", "b") as fleet:
             (_, a), (_, b) = fleet.start("a"), fleet.start("b")
-            await a.until(lambda: a.has_joined("b"))
+            await a.wait_until(lambda: a.has_joined("b"))
             port = fleet.ports["b"]
             for data in (
                 b"GET / HTTP/1.1\r\n\r\n",
@@ -238,10 +238,10 @@
                 encode(Handshake("other", "a", 9 << 20, "x")),
                 encode(Handshake("f", "nobody", 9 << 20, "x")),
                 encode(Handshake("f", "a", 9 << 20, "x", version=0)),
-                b"",  # and nothing more
-                b"\0\0\0\x09ab",  # half a frame, and nothing more
+                b"",  # no data at all
+                b"\0\0\0\x09ab",  # an incomplete frame
             ):
-                assert await received_by_stranger(port, data) == b""
+                assert await receive_until_closed(port, data) == b""
             connections = [
                 await asyncio.open_connection("127.0.0.1", port) for _ in range(2 * MAX_UNIDENTIFIED_LINKS)
             ]
@@ -265,7 +265,7 @@
     async def test() -> None:
         async with local_fleet(tmp_path, "a", "b") as fleet:
             (service, a), (_, b) = fleet.start("a"), fleet.start("b")
-            await a.until(lambda: a.has_joined("b"))
+            await a.wait_until(lambda: a.has_joined("b"))
             reader, writer = await asyncio.open_connection("127.0.0.1", fleet.ports["b"])
             writer.write(encode(Handshake("f", "a", 0, "old")))
             decoder = FrameDecoder()
@@ -281,19 +281,19 @@
     run(test)
 
 
-def test_generations_are_counted_whatever_a_kill_left_of_the_file(tmp_path: Path) -> None:
+def test_the_generation_is_read_from_a_file_with_an_incomplete_last_line(tmp_path: Path) -> None:
     async def test() -> None:
         (tmp_path / "a").mkdir()
         (tmp_path / "a" / "lives").write_bytes(b"4\n5\n6x")
         async with local_fleet(tmp_path, "a") as fleet:
             _, a = fleet.start("a")
             assert a.has_logged("life", life=6, fresh=False)
-            assert a.has_logged("majority")  # of one
+            assert a.has_logged("majority")  # in a fleet of one member
 
     run(test)
 
 
-def test_the_file_of_generations_is_bounded(tmp_path: Path) -> None:
+def test_a_large_generation_file_is_replaced(tmp_path: Path) -> None:
     async def test() -> None:
         (tmp_path / "a").mkdir()
         (tmp_path / "a" / "lives").write_bytes(b"".join(b"%d\n" % n for n in range(1000, 2000)))
@@ -305,11 +305,11 @@
     run(test)
 
 
-def test_dropped_frames_are_made_up_for_once_the_link_has_space(tmp_path: Path) -> None:
+def test_after_dropped_frames_the_state_is_sent_again_once_the_link_drains(tmp_path: Path) -> None:
     async def test() -> None:
         async with local_fleet(tmp_path, "a", "b") as fleet:
             (service, a), (_, b) = fleet.start("a"), fleet.start("b")
-            await a.until(lambda: a.has_joined("b"))
+            await a.wait_until(lambda: a.has_joined("b"))
             link = service._links._links["b"]
             unsent_bytes = link._transport.get_write_buffer_size
             link._transport.get_write_buffer_size = lambda: MAX_UNSENT_BYTES + 1  # type: ignore[method-assign]
@@ -318,17 +318,17 @@
             assert service._links.dropped_frames >= 2
             link._transport.get_write_buffer_size = unsent_bytes  # type: ignore[method-assign]
             link.resume_writing()
-            await b.until(lambda: bool(b.holds) and bool(b.reports))
+            await b.wait_until(lambda: bool(b.holds) and bool(b.reports))
             assert b.holds[0][0] == "p-1" and b.reports == [("p-2", Phase.DRAINING)]
 
     run(test)
 
 
-def test_the_status_keeps_the_keys_that_scripts_read(tmp_path: Path) -> None:
+def test_the_status_has_the_keys_that_scripts_read(tmp_path: Path) -> None:
     async def test() -> None:
         async with local_fleet(tmp_path, "a", "b") as fleet:
             (service, a), _ = fleet.start("a"), fleet.start("b")
-            await a.until(lambda: a.has_joined("b") and a.shares[-1].fraction == 0.5)
+            await a.wait_until(lambda: a.has_joined("b") and a.shares[-1].fraction == 0.5)
             status = service.status().to_json()
             peers = status.pop("members")
             assert list(status) == [
