--- a/tests/standalone/running_gateway.py
+++ b/tests/standalone/running_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway of our own with scripted partners, in this process or in one of its own."""
+"""Runs a standalone gateway for tests, in the test process or in a separate one."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def save(folder: Path, *rows: str, name: str = "a.csv") -> None:
-    """Replace an inventory file atomically."""
+    """Create or replace an inventory file atomically."""
     inventory = folder / "inventory"
     inventory.mkdir(exist_ok=True)
     new = inventory / f".{name}.new"
@@ -85,7 +85,7 @@
 
 
 async def message_state(port: int, name: str) -> dict[str, Any] | None:
-    """The state of a message, by HTTP."""
+    """Return the answer to `GET /messages/NAME`, or None if the message is unknown."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         writer.write(f"GET /messages/{name} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
@@ -96,7 +96,7 @@
 
 
 async def final_state(port: int, name: str) -> str:
-    """The state in which a message ends."""
+    """Wait until a message has an outcome; return its state."""
     while (state := await message_state(port, name)) is None or state["state"] == "held":
         await asyncio.sleep(0.02)
     return str(state["state"])
@@ -108,7 +108,7 @@
 
 
 class GatewayProcess:
-    """`emberlatch serve` in a process of its own."""
+    """Runs `emberlatch serve` in a separate process."""
 
     def __init__(self, folder: Path, path: Path, port: int) -> None:
         self.folder, self.path, self.port = folder, path, port
--- a/tests/standalone/test_answers.py
+++ b/tests/standalone/test_answers.py
@@ -1,4 +1,4 @@
-"""The answers of the control socket: what the gateway's parts write is what the commands read."""
+"""The answers of the control socket: the commands can read what the gateway's parts write."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 }
 
 
-def test_a_fleet_s_status_is_read_by_its_keys() -> None:
+def test_a_fleet_status_is_decoded_into_the_fields_of_its_answer() -> None:
     peers = {
         "b": PeerStatus("alive", 4, 2.5, 0.1, is_reached_directly=True),
         "c": PeerStatus("suspect", 0, 7.0, None, is_reached_directly=False),
@@ -43,11 +43,11 @@
         assert member.is_reached_directly is peer.is_reached_directly
 
 
-def test_the_keys_of_reload_and_leave_are_those_that_scripts_read() -> None:
+def test_reload_and_leave_answers_have_the_keys_that_scripts_read() -> None:
     assert encode(decode(dict(RELOAD), ReloadAnswer)) == RELOAD
     assert encode(LeaveAnswer()) == {"leaving": True}
 
 
-def test_an_answer_without_a_key_is_an_error_that_names_it() -> None:
+def test_decoding_an_answer_with_a_missing_key_raises_an_error_that_names_it() -> None:
     with pytest.raises(msgspec.ValidationError, match="endpoints"):
         decode({key: value for key, value in RELOAD.items() if key != "endpoints"}, ReloadAnswer)
--- a/tests/standalone/test_control_socket.py
+++ b/tests/standalone/test_control_socket.py
@@ -1,4 +1,4 @@
-"""The control socket: for its owner, bounded, and not disturbed by bad requests."""
+"""The control socket: permissions, limits, and answers to invalid requests and failed commands."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.standalone.running_gateway import gateway, row, run, submit
 
 
-def test_only_its_owner_may_open_it_and_status_shows_what_is_in_flight(tmp_path: Path) -> None:
+def test_only_its_owner_may_open_the_socket_and_status_shows_messages_in_flight(tmp_path: Path) -> None:
     async def test() -> None:
         async with Peer(never_respond) as peer, gateway(tmp_path, row("m1", peer)) as (_, port):
             path = tmp_path / "state" / SOCKET_NAME
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize(
     "request_line", [b"nonsense\n", b"[]\n", b'{"do":"format"}\n', b'{"do":[]}\n', b"\xff\n"]
 )
-def test_a_bad_request_is_answered_with_what_would_be_right(tmp_path: Path, request_line: bytes) -> None:
+def test_an_invalid_request_is_answered_with_the_known_commands(tmp_path: Path, request_line: bytes) -> None:
     async def test() -> None:
         async with Peer(accept) as peer, gateway(tmp_path, row("m1", peer)):
             reader, writer = await asyncio.open_unix_connection(tmp_path / "state" / SOCKET_NAME)
@@ -52,7 +52,7 @@
     run(test)
 
 
-def test_a_command_that_fails_costs_its_answer_alone(tmp_path: Path) -> None:
+def test_after_a_failed_command_the_socket_answers_the_next_one(tmp_path: Path) -> None:
     async def test() -> None:
         async def broken() -> dict[str, object]:
             raise RuntimeError("a defect")
@@ -67,10 +67,10 @@
     run(test)
 
 
-def test_a_socket_left_by_a_kill_is_replaced_and_a_long_path_is_reported(tmp_path: Path) -> None:
+def test_a_socket_of_a_killed_process_is_replaced_and_a_too_long_path_is_an_error(tmp_path: Path) -> None:
     async def test() -> None:
-        with socket.socket(socket.AF_UNIX) as left:
-            left.bind(str(tmp_path / SOCKET_NAME))
+        with socket.socket(socket.AF_UNIX) as stale:
+            stale.bind(str(tmp_path / SOCKET_NAME))
         control = ControlServer(tmp_path, {})
         await control.start()
         control.stop()
--- a/tests/standalone/test_fleet_integration.py
+++ b/tests/standalone/test_fleet_integration.py
@@ -1,5 +1,4 @@
-"""What the gateway does by what its fleet reports: lists and waits of other members, its quota share and
-closed classes."""
+"""The effects of fleet reports on a gateway: endpoint phases, holds, the quota share and closed classes."""
 
 from __future__ import annotations
 
@@ -13,8 +12,8 @@
 from tests.standalone.running_gateway import HEADER, run, submit
 
 
-async def alone(folder: Path, *rows: str) -> tuple[StandaloneGateway, int]:
-    """A gateway in a fleet of itself."""
+async def start_single_member_gateway(folder: Path, *rows: str) -> tuple[StandaloneGateway, int]:
+    """Start a gateway that is the only member of its fleet; return it and its HTTP port."""
     (folder / "i.csv").write_text("\n".join([HEADER, *rows]) + "\n")
     ports = [await free_port() for _ in range(2)]
     lines = [f'listen = "127.0.0.1:{ports[0]}"', "[inventory]", 'paths = ["i.csv"]', "[fleet]", 'name = "f"']
@@ -29,9 +28,9 @@
     return f"{name},127.0.0.1:{name[1:]},{name}-bank,rural-bank,east-wing,{phase}"
 
 
-def test_another_member_s_list_drains_and_never_lifts_what_our_own_says(tmp_path: Path) -> None:
+def test_a_report_drains_a_ready_endpoint_and_never_overrides_the_own_list(tmp_path: Path) -> None:
     async def test() -> None:
-        gateway, _ = await alone(tmp_path, row("m1"), row("m2", "draining"))
+        gateway, _ = await start_single_member_gateway(tmp_path, row("m1"), row("m2", "draining"))
         assert gateway.fleet is not None
 
         names = {
@@ -60,11 +59,11 @@
     run(test)
 
 
-def test_a_closed_class_is_refused_with_when_to_come_again(tmp_path: Path) -> None:
+def test_a_message_of_a_closed_class_is_rejected_with_429(tmp_path: Path) -> None:
     async def test() -> None:
-        gateway, port = await alone(tmp_path, row("m1"))
+        gateway, port = await start_single_member_gateway(tmp_path, row("m1"))
         assert gateway.fleet is not None
-        gateway.fleet.service.close()  # a share that it computes itself must not replace those set here
+        gateway.fleet.service.close()  # so that the service does not replace the shares that are set here
         gateway.fleet.on_quota_share(QuotaShare(3, 1 / 12, frozenset({"payout"})))
         assert await submit(port, "p1", "m1-bank") == 429
         gateway.fleet.on_quota_share(QuotaShare(3, 1 / 3, frozenset()))
--- a/tests/standalone/test_gateway.py
+++ b/tests/standalone/test_gateway.py
@@ -1,4 +1,4 @@
-"""The standalone gateway on real sockets: what an inventory changes while messages are on their way."""
+"""The standalone gateway on real sockets, with inventory changes while messages are in flight."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 async def wait_for_endpoints(running: StandaloneGateway, rows: int) -> None:
-    """Wait until the set in force has so many endpoints."""
+    """Wait until the inventory in force has `rows` endpoints."""
     while len(running.membership.inventory) != rows:
         await asyncio.sleep(0.01)
 
@@ -37,7 +37,7 @@
     await exchange.answer(503)
 
 
-def test_a_message_is_delivered_by_partner_name_and_its_outcome_can_be_asked_for(tmp_path: Path) -> None:
+def test_a_message_is_delivered_by_partner_name_and_its_outcome_can_be_queried(tmp_path: Path) -> None:
     async def test() -> None:
         async with Peer(accept) as peer, gateway(tmp_path, row("m1", peer)) as (_, port):
             assert await submit(port, "p1") == 202
@@ -50,18 +50,18 @@
     run(test)
 
 
-def test_a_message_that_has_no_outcome_yet_is_shown_as_in_flight(tmp_path: Path) -> None:
+def test_a_message_without_an_outcome_is_shown_as_in_flight(tmp_path: Path) -> None:
     async def test() -> None:
         async with Peer(never_respond) as peer, gateway(tmp_path, row("m1", peer)) as (_, port):
             assert await submit(port, "p1", X_Timeout_Ms="600") == 202
             assert await message_state(port, "p1") == {"id": "p1", "state": "held"}
-            assert await final_state(port, "p1") == "failed"  # it may have run
+            assert await final_state(port, "p1") == "failed"  # the partner may have executed it
             assert [(e["id"], e["state"]) for e in logged_outcomes(tmp_path)] == [("p1", "failed")]
 
     run(test)
 
 
-def test_outcomes_go_to_the_reports_url_where_one_is_set(tmp_path: Path) -> None:
+def test_outcomes_are_sent_to_the_reports_url_if_one_is_configured(tmp_path: Path) -> None:
     async def test() -> None:
         reports: asyncio.Queue[bytes] = asyncio.Queue()
 
@@ -69,29 +69,29 @@
             reports.put_nowait(exchange.body)
             await exchange.answer(204)
 
-        async with Peer(accept) as peer, Peer(report) as place:
-            url = f'"http://{place.address}/ends"'
+        async with Peer(accept) as peer, Peer(report) as receiver:
+            url = f'"http://{receiver.address}/ends"'
             async with gateway(tmp_path, row("m1", peer), reports=url) as (_, port):
                 assert await submit(port, "p1") == 202
                 assert await reports.get() == b'{"ref":"p1","result":"delivered"}\n'
-                assert (await place.next()).path == "/ends"
+                assert (await receiver.next()).path == "/ends"
                 assert (await request(port, "GET", "/messages/p1"))[0] == 404
         assert not (tmp_path / "state" / "ends.jsonl").exists()
 
     run(test)
 
 
-def test_messages_of_an_endpoint_that_is_removed_have_one_outcome_each(tmp_path: Path) -> None:
-    """One is out there, one waits for its answer to another partner; both partners' endpoints go."""
+def test_messages_to_a_removed_endpoint_have_one_outcome_each(tmp_path: Path) -> None:
+    """One message is in flight, one is queued and one is submitted after the removal of their endpoint."""
 
     async def test() -> None:
-        go = asyncio.Event()
+        may_respond = asyncio.Event()
 
-        async def late(exchange: Exchange) -> None:
-            await go.wait()
+        async def respond_late(exchange: Exchange) -> None:
+            await may_respond.wait()
             await exchange.answer(200)
 
-        async with Peer(late) as peer, Peer(accept) as other:
+        async with Peer(respond_late) as peer, Peer(accept) as other:
             rows = row("m1", peer), row("o1", other, "other")
             async with gateway(tmp_path, *rows) as (running, port):
                 assert await submit(port, "out") == 202
@@ -100,7 +100,7 @@
                 save(tmp_path, rows[1])
                 await wait_for_endpoints(running, 1)
                 assert await submit(port, "late", X_Timeout_Ms="700") in (202, 400, 429)
-                go.set()
+                may_respond.set()
                 assert await final_state(port, "out") == "delivered"
                 assert await final_state(port, "waits") in ("refused", "delivered")
                 assert await submit(port, "o", "other") == 202
@@ -111,7 +111,7 @@
     run(test)
 
 
-def test_a_wait_binds_an_endpoint_that_is_removed_and_listed_again(tmp_path: Path) -> None:
+def test_a_retry_after_time_survives_the_removal_and_return_of_an_endpoint(tmp_path: Path) -> None:
     times: list[float] = []
 
     async def handle(exchange: Exchange) -> None:
@@ -139,8 +139,8 @@
     run(test)
 
 
-def test_a_drain_that_arrives_while_a_retry_is_placed_stops_it(tmp_path: Path) -> None:
-    """The first attempt never ran, so another is due at once, just as the file says that it drains."""
+def test_a_drain_that_arrives_before_a_retry_prevents_it(tmp_path: Path) -> None:
+    """The partner did not execute the first attempt, so a retry is due at once, while the endpoint drains."""
 
     async def test() -> None:
         gateways: list[StandaloneGateway] = []
@@ -156,20 +156,22 @@
                 gateways.append(running)
                 assert await submit(port, "p1", X_Timeout_Ms="2000") == 202
                 assert await final_state(port, "p1") == "refused"
-                assert peer.exchanges.qsize() == 1  # and no other call came
+                assert peer.exchanges.qsize() == 1  # no other call arrived
 
     run(test)
 
 
-def test_a_drained_endpoint_gives_its_traffic_to_its_sibling(tmp_path: Path) -> None:
+def test_traffic_of_a_drained_endpoint_goes_to_the_partners_other_endpoint(tmp_path: Path) -> None:
     async def test() -> None:
         async with Peer(accept) as east, Peer(accept) as west:
             rows = row("m1", east), row("m2", west, wing="west-wing")
             async with gateway(tmp_path, *rows) as (running, port):
                 assert await submit(port, "p1") == 202
-                await east.next()  # the one without a fee
+                await east.next()  # the wing without a fee is preferred
                 save(tmp_path, row("m1", east, phase="draining"), rows[1])
-                while not running.membership.inventory.endpoints[b"m1@east-wing/" + number(running)].draining:
+                while not running.membership.inventory.endpoints[
+                    b"m1@east-wing/" + partner_number(running)
+                ].draining:
                     await asyncio.sleep(0.01)
                 for n in range(5):
                     assert await submit(port, f"q{n}") == 202
@@ -179,19 +181,21 @@
     run(test)
 
 
-def number(running: StandaloneGateway) -> bytes:
+def partner_number(running: StandaloneGateway) -> bytes:
     return str(running.membership.named("momo")).encode()
 
 
-def test_an_endpoint_that_moves_to_another_wing_is_another_one(tmp_path: Path) -> None:
-    """A payout that may have run in the east is not sent to the same address as a west one."""
+def test_an_endpoint_that_moves_to_another_wing_gets_no_retry_from_the_earlier_wing(tmp_path: Path) -> None:
+    """A payout that may have been executed in the east wing is not sent to its address in the west wing."""
 
     async def test() -> None:
         async with Peer(never_respond) as peer, gateway(tmp_path, row("m1", peer)) as (running, port):
             assert await submit(port, "p1", X_Timeout_Ms="3000") == 202
             await peer.next()
             save(tmp_path, row("m1", peer, wing="west-wing"))
-            while running.membership.inventory.endpoints.keys() != {b"m1@west-wing/" + number(running)}:
+            while running.membership.inventory.endpoints.keys() != {
+                b"m1@west-wing/" + partner_number(running)
+            }:
                 await asyncio.sleep(0.01)
             assert await submit(port, "p2", X_Timeout_Ms="3000") == 202
             while (await peer.next()).headers["x-request-id"] != "p2":
@@ -202,7 +206,7 @@
     run(test)
 
 
-def test_an_added_endpoint_is_cold_and_gets_little_at_first(tmp_path: Path) -> None:
+def test_an_added_endpoint_starts_cold_with_little_traffic(tmp_path: Path) -> None:
     async def test() -> None:
         async with Peer(accept) as old, Peer(accept) as new:
             rows = row("m1", old, "other"), row("n1", new)
@@ -223,7 +227,7 @@
     run(test)
 
 
-def test_a_broken_edit_leaves_the_set_in_force_and_is_reported(tmp_path: Path) -> None:
+def test_an_invalid_inventory_edit_is_reported_and_the_inventory_in_force_stays(tmp_path: Path) -> None:
     async def test() -> None:
         async with Peer(accept) as peer, gateway(tmp_path, row("m1", peer)) as (running, port):
             digest = running.membership.inventory.digest
@@ -242,7 +246,7 @@
     run(test)
 
 
-def test_a_broken_edit_and_a_kill_the_restart_uses_the_last_good_set_and_says_which(tmp_path: Path) -> None:
+def test_after_an_invalid_edit_and_a_kill_the_restart_uses_the_last_good_inventory(tmp_path: Path) -> None:
     async def test() -> None:
         async with Peer(accept) as peer, Peer(accept) as later, process(tmp_path, row("m1", peer)) as running:
             save(tmp_path, row("m1", later))
@@ -264,8 +268,8 @@
     run(test)
 
 
-def test_a_kill_while_a_call_is_out_it_may_have_run(tmp_path: Path) -> None:
-    """The journal and the log of outcomes outlast the process; no outcome is logged twice."""
+def test_after_a_kill_during_a_call_the_message_is_repeated_with_its_key(tmp_path: Path) -> None:
+    """The journal and the outcome log survive kills, and no outcome is logged twice."""
 
     async def test() -> None:
         async with Peer(never_respond) as peer, process(tmp_path, row("m1", peer)) as running:
@@ -275,7 +279,7 @@
             peer.handler = accept
             await running.start()
             again = await peer.next()
-            assert again.headers["idempotency-key"] == "p1"  # keyed, in its wing and window
+            assert again.headers["idempotency-key"] == "p1"  # it may be repeated: same key, wing and window
             assert await final_state(running.port, "p1") == "delivered"
             await running.kill()
             await running.start()
@@ -285,10 +289,10 @@
     run(test)
 
 
-def test_sighup_looks_at_the_inventory_and_sigterm_ends_it(tmp_path: Path) -> None:
+def test_sighup_reloads_the_inventory_and_sigterm_stops_the_gateway(tmp_path: Path) -> None:
     async def test() -> None:
         async with Peer(accept) as peer, process(tmp_path, row("m1", peer)) as running:
-            (tmp_path / "inventory" / "b.csv").write_text("id\n")  # in place, and broken
+            (tmp_path / "inventory" / "b.csv").write_text("id\n")  # not replaced atomically, and invalid
             running.process.send_signal(signal.SIGHUP)
             while "b.csv:1" not in running.log() and "b.csv" not in running.log():
                 await asyncio.sleep(0.02)
@@ -298,7 +302,7 @@
     run(test)
 
 
-def test_a_second_gateway_on_a_folder_does_not_start(tmp_path: Path) -> None:
+def test_a_second_gateway_on_a_state_folder_does_not_start(tmp_path: Path) -> None:
     async def test() -> None:
         async with Peer(accept) as peer, gateway(tmp_path, row("m1", peer)):
             with pytest.raises(StartError, match="in use by another gateway"):
@@ -307,7 +311,7 @@
     run(test)
 
 
-def test_without_an_inventory_it_does_not_start(tmp_path: Path) -> None:
+def test_a_gateway_without_an_inventory_does_not_start(tmp_path: Path) -> None:
     async def test() -> None:
         path, _ = await write_configuration(tmp_path)
         with pytest.raises(RefusedError, match="is not there"):
@@ -319,7 +323,7 @@
     run(test)
 
 
-def test_more_descriptors_than_the_process_may_have_are_refused(tmp_path: Path) -> None:
+def test_a_descriptor_limit_above_that_of_the_process_is_rejected(tmp_path: Path) -> None:
     async def test() -> None:
         async with Peer(accept) as peer:
             save(tmp_path, row("m1", peer))
