--- a/emberlatch/fleet/membership/machine.py
+++ b/emberlatch/fleet/membership/machine.py
@@ -130,7 +130,7 @@
         self._detect_stall(now)
         peer = self.peers.get(sender)
         if peer is None or generation_of(incarnation) < peer.generation:
-            return  # not configured, or sent before the member restarted
+            return  # the sender is not configured, or sent the frame before its restart
         peer.last_frame_at = now
         match frame:
             case Ping(sequence, updates):
--- a/emberlatch/fleet/service.py
+++ b/emberlatch/fleet/service.py
@@ -92,9 +92,8 @@
 
     async def leave(self) -> None:
         """Announce that this member leaves the fleet, and close."""
-        if (
-            not self._is_closed and not self.members.identity.is_halted
-        ):  # if halted, the name is another process's
+        # A halted process announces nothing: another process has the name.
+        if not self._is_closed and not self.members.identity.is_halted:
             self._run(self.members.leave)
             self._log_event(FleetEvent.LEAVING)
             await asyncio.sleep(LEAVE_FLUSH_S)
