--- a/emberlatch/fleet/service.py
+++ b/emberlatch/fleet/service.py
@@ -50,7 +50,7 @@
 class FleetService:
     """Passes events to the membership machine, carries out its actions, and sets a timer for its next tick.
 
-    `members` is the machine; `is_new_folder` is whether the state folder had no generation yet.
+    `membership` is the membership machine; `is_new_folder` is whether the state folder had no generation yet.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self._generations = GenerationStore(files)
         self.is_new_folder = self._generations.is_new
         generation = self._generations.last_generation + 1
-        self.members = MembershipMachine(
+        self.membership = MembershipMachine(
             ProcessIdentity(settings.member_name, generation, environment.run_id),
             settings.peer_addresses,
             self._clock(),
@@ -84,17 +84,17 @@
     def start(self) -> None:
         """Store this generation, listen and dial; raises OSError if the address can't be listened on."""
         self._save_generation()
-        generation, size = self.members.identity.generation, self.members.peers.fleet_size
+        generation, size = self.membership.identity.generation, self.membership.peers.fleet_size
         fresh = self.is_new_folder
         self._log_event(FleetEvent.INCARNATION_STARTED, life=generation, fresh=fresh, size=size)
         self._links.start()
-        self._run(self.members.tick)
+        self._run(self.membership.tick)
 
     async def leave(self) -> None:
         """Announce that this member leaves the fleet, and close."""
         # A halted process announces nothing: another process has the name.
-        if not self._is_closed and not self.members.identity.is_halted:
-            self._run(self.members.leave)
+        if not self._is_closed and not self.membership.identity.is_halted:
+            self._run(self.membership.leave)
             self._log_event(FleetEvent.LEAVING)
             await asyncio.sleep(LEAVE_FLUSH_S)
         self.close()
@@ -109,7 +109,7 @@
     def configure(self, peer_addresses: Mapping[str, Address]) -> None:
         """Apply a changed list of the other members."""
         self._links.configure(peer_addresses)
-        self._run(lambda now: self.members.configure(now, peer_addresses))
+        self._run(lambda now: self.membership.configure(now, peer_addresses))
 
     def share_endpoint_hold(self, target: str, seconds: float) -> None:
         """Share with the other members that an endpoint asked this one not to call for `seconds`."""
@@ -125,31 +125,31 @@
         share = self._quota_shares.share_at(now)
         links = self._links
         return FleetStatus.of(
-            self.settings.fleet_name, self.members, share, links.connected_names, links.dropped_frames, now
+            self.settings.fleet_name, self.membership, share, links.connected_names, links.dropped_frames, now
         )
 
     # The methods of LinkObserver.
 
     def handshake(self) -> Handshake:
         """Return the first frame on each link."""
-        return self.members.handshake(self.settings.fleet_name)
+        return self.membership.handshake(self.settings.fleet_name)
 
     def membership_table(self) -> MembershipTable:
         """Return this member's view of all members."""
-        return self.members.membership_table()
+        return self.membership.membership_table()
 
     def on_handshake(self, handshake: Handshake) -> None:
         """Handle a new link to a member, or a linked member's new incarnation."""
-        self._run(lambda now: self.members.on_handshake(now, handshake))
+        self._run(lambda now: self.membership.on_handshake(now, handshake))
         self._endpoints.send_all(handshake.name)
 
     def on_link_down(self, name: str) -> None:
         """Handle the loss of the link to a member."""
-        self._run(lambda now: self.members.on_link_down(now, name))
+        self._run(lambda now: self.membership.on_link_down(now, name))
 
     def on_frame(self, name: str, incarnation: int, frame: AnyFrame) -> None:
         """Handle a frame of a member."""
-        self._run(lambda now: self.members.on_frame(now, name, incarnation, frame))
+        self._run(lambda now: self.membership.on_frame(now, name, incarnation, frame))
         if isinstance(frame, EndpointUpdates):
             self._endpoints.on_updates(name, frame)
 
@@ -161,7 +161,7 @@
             return
         now = self._clock()
         event(now)
-        for action in self.members.take_actions():
+        for action in self.membership.take_actions():
             self._carry_out(action)
         self._apply_view(now)
 
@@ -179,8 +179,8 @@
 
     def _apply_view(self, now: float) -> None:
         """Update the quota share from the machine's view, report it if it changed, and set the timer."""
-        partition = self.members.partition
-        self._quota_shares.update(now, self.members.peers.fleet_size, partition.is_isolated)
+        partition = self.membership.partition
+        self._quota_shares.update(now, self.membership.peers.fleet_size, partition.is_isolated)
         share = self._quota_shares.share_at(now)
         if share != self._share:
             self._share = share
@@ -193,13 +193,13 @@
             size=share.fleet_size,
             part=round(share.fraction, SHARE_DECIMALS),
             closed=sorted(share.closed_classes),
-            cut=self.members.partition.reason.value,
+            cut=self.membership.partition.reason.value,
         )
         self._observer.on_quota_share(share)
 
     def _set_timer(self, now: float) -> None:
         """Set the timer for the next tick of the machine or the next step of the quota share."""
-        due = min(self.members.due, self._quota_shares.next_change_at(now) or self.members.due)
+        due = min(self.membership.due, self._quota_shares.next_change_at(now) or self.membership.due)
         if self._timer is not None:
             self._timer.cancel()
         self._timer = self._loop.call_later(max(MIN_TIMER_S, due - now), self._on_timer)
@@ -209,12 +209,12 @@
 
     def _tick_if_due(self, now: float) -> None:
         """Tick the machine if it is due; the timer may have been set for the quota share."""
-        if now >= self.members.due:
-            self.members.tick(now)
+        if now >= self.membership.due:
+            self.membership.tick(now)
 
     def _save_generation(self) -> None:
         """Store this generation, so that the next process takes a later one."""
         try:
-            self._generations.save(self.members.identity.generation)
+            self._generations.save(self.membership.identity.generation)
         except OSError as error:
             log.error("the generation cannot be stored", error=str(error))  # noqa: TRY400
--- a/emberlatch/standalone/answers.py
+++ b/emberlatch/standalone/answers.py
@@ -28,7 +28,7 @@
 
 
 class InventoryAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The inventory in force, and the files and problems for which a newer one is not."""
+    """The inventory in force, and why changed files are not in force yet."""
 
     digest: str = msgspec.field(name="set")
     taken_at: float = msgspec.field(name="taken")
--- a/tests/fleet/test_service.py
+++ b/tests/fleet/test_service.py
@@ -274,7 +274,7 @@
                 received = decoder.feed(await reader.read(4096))
                 tables = [frame for frame in received if isinstance(frame, MembershipTable)]
             known = next(update for update in tables[0].updates if update.name == "a")
-            assert known.run_id == service.members.identity.run_id
+            assert known.run_id == service.membership.identity.run_id
             assert not b.has_logged("member", member="a", state="suspect")
             writer.close()
 
--- a/tests/standalone/running_gateway.py
+++ b/tests/standalone/running_gateway.py
@@ -136,7 +136,7 @@
 
 
 @asynccontextmanager
-async def process(folder: Path, *rows: str) -> AsyncIterator[GatewayProcess]:
+async def gateway_process(folder: Path, *rows: str) -> AsyncIterator[GatewayProcess]:
     save(folder, *rows)
     running = GatewayProcess(folder, *await write_configuration(folder))
     await running.start()
--- a/tests/standalone/test_gateway.py
+++ b/tests/standalone/test_gateway.py
@@ -16,9 +16,9 @@
 from tests.standalone.running_gateway import (
     final_state,
     gateway,
+    gateway_process,
     logged_outcomes,
     message_state,
-    process,
     row,
     run,
     save,
@@ -248,7 +248,11 @@
 
 def test_after_an_invalid_edit_and_a_kill_the_restart_uses_the_last_good_inventory(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Peer(accept) as peer, Peer(accept) as later, process(tmp_path, row("m1", peer)) as running:
+        async with (
+            Peer(accept) as peer,
+            Peer(accept) as later,
+            gateway_process(tmp_path, row("m1", peer)) as running,
+        ):
             save(tmp_path, row("m1", later))
             while "1 changes, 1 endpoints" not in running.log():
                 await asyncio.sleep(0.02)
@@ -272,7 +276,7 @@
     """The journal and the outcome log survive kills, and no outcome is logged twice."""
 
     async def test() -> None:
-        async with Peer(never_respond) as peer, process(tmp_path, row("m1", peer)) as running:
+        async with Peer(never_respond) as peer, gateway_process(tmp_path, row("m1", peer)) as running:
             assert await submit(running.port, "p1") == 202
             await peer.next()
             await running.kill()
@@ -291,7 +295,7 @@
 
 def test_sighup_reloads_the_inventory_and_sigterm_stops_the_gateway(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Peer(accept) as peer, process(tmp_path, row("m1", peer)) as running:
+        async with Peer(accept) as peer, gateway_process(tmp_path, row("m1", peer)) as running:
             (tmp_path / "inventory" / "b.csv").write_text("id\n")  # not replaced atomically, and invalid
             running.process.send_signal(signal.SIGHUP)
             while "b.csv:1" not in running.log() and "b.csv" not in running.log():
