--- a/emberlatch/fleet/quota_shares.py
+++ b/emberlatch/fleet/quota_shares.py
@@ -19,7 +19,7 @@
 
 
 class PartitionPolicy(Enum):
-    """How a class's messages are treated while the member is isolated. The values stand in configurations."""
+    """The treatment of a class's messages while the member is isolated, as named in the configuration."""
 
     OWN = "own"  # accepted; if any class has this policy, the member uses its full share for all classes
     LEAST = "least"  # accepted; the member uses `ISOLATED_FRACTION` of its share unless another class has OWN
