--- a/emberlatch/fleet/service.py
+++ b/emberlatch/fleet/service.py
@@ -1,4 +1,4 @@
-"""One member of a fleet: the membership machine on links and a clock, and what follows from its view."""
+"""Runs one member of a fleet: connects the membership machine to links, a clock and the gateway."""
 
 from __future__ import annotations
 
@@ -32,25 +32,25 @@
 
 log = structlog.stdlib.get_logger(__name__)
 
-SHARE_DIGITS = 6  # after the point, of a quota share in the log
-FAREWELL_S = 0.1  # in which the frames that say that this member leaves go out
-MIN_TIMER_S = 0.001  # a clock that drifts from the loop's would never come to a moment exactly
+SHARE_DECIMALS = 6  # decimal places of a quota share in the log
+LEAVE_FLUSH_S = 0.1  # wait before closing, so that the announcement of leaving is sent
+MIN_TIMER_S = 0.001  # a clock that drifts from the event loop's would never reach a due time exactly
 
 
 class FleetObserver(EndpointObserver, Protocol):
-    """What acts on the view of the fleet."""
+    """Acts on changes of this member's view of the fleet."""
 
     def on_quota_share(self, share: QuotaShare) -> None:
-        """Another quota share, or other closed classes, apply from now on."""
+        """Apply a changed quota share or changed closed classes from now on."""
 
     def on_halt(self, reason: str) -> None:
-        """The process must end: another one has this member's name."""
+        """End this process, because another one has this member's name."""
 
 
 class FleetService:
-    """Runs the machine: each event goes in, its actions are carried out, and a timer is set for the next.
+    """Passes events to the membership machine, carries out its actions, and sets a timer for its next tick.
 
-    `members` is the machine, `is_new_folder` whether the state folder was new.
+    `membership` is the membership machine; `is_new_folder` is whether the state folder had no generation yet.
     """
 
     def __init__(
@@ -60,14 +60,14 @@
         observer: FleetObserver,
         environment: ProcessEnvironment,
     ) -> None:
-        """`files` is the folder in which generations are counted; OSError if it can't be read."""
+        """`files` is the folder with the generation file; raises OSError if it can't be read."""
         self.settings, self._observer = settings, observer
         self._loop = asyncio.get_running_loop()
         self._clock, self._log_event = environment.clock, environment.log_event
         self._generations = GenerationStore(files)
         self.is_new_folder = self._generations.is_new
         generation = self._generations.last_generation + 1
-        self.members = MembershipMachine(
+        self.membership = MembershipMachine(
             ProcessIdentity(settings.member_name, generation, environment.run_id),
             settings.peer_addresses,
             self._clock(),
@@ -77,29 +77,30 @@
         self._links = LinkManager(settings, self, environment)
         self._endpoints = EndpointExchange(self._links, observer, self._clock, self._log_event)
         self._quota_shares = QuotaShareController(settings.policies, self._clock())
-        self._share: QuotaShare | None = None  # as the observer knows it
+        self._share: QuotaShare | None = None  # the share last reported to the observer
         self._timer: asyncio.TimerHandle | None = None
         self._is_closed = False
 
     def start(self) -> None:
-        """Store this generation, listen, and dial the others; OSError if the address can't be listened on."""
+        """Store this generation, listen and dial; raises OSError if the address can't be listened on."""
         self._save_generation()
-        generation, size = self.members.identity.generation, self.members.peers.fleet_size
+        generation, size = self.membership.identity.generation, self.membership.peers.fleet_size
         fresh = self.is_new_folder
         self._log_event(FleetEvent.INCARNATION_STARTED, life=generation, fresh=fresh, size=size)
         self._links.start()
-        self._run(self.members.tick)
+        self._run(self.membership.tick)
 
     async def leave(self) -> None:
-        """Announce that this member leaves, and close."""
-        if not self._is_closed and not self.members.identity.is_halted:  # else the name is another process's
-            self._run(self.members.leave)
+        """Announce that this member leaves the fleet, and close."""
+        # A halted process announces nothing: another process has the name.
+        if not self._is_closed and not self.membership.identity.is_halted:
+            self._run(self.membership.leave)
             self._log_event(FleetEvent.LEAVING)
-            await asyncio.sleep(FAREWELL_S)
+            await asyncio.sleep(LEAVE_FLUSH_S)
         self.close()
 
     def close(self) -> None:
-        """Close without an announcement."""
+        """Close without announcing that this member leaves."""
         self._is_closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -108,59 +109,59 @@
     def configure(self, peer_addresses: Mapping[str, Address]) -> None:
         """Apply a changed list of the other members."""
         self._links.configure(peer_addresses)
-        self._run(lambda now: self.members.configure(now, peer_addresses))
+        self._run(lambda now: self.membership.configure(now, peer_addresses))
 
     def share_endpoint_hold(self, target: str, seconds: float) -> None:
-        """Pass on that an endpoint asked this member to call again only after so many seconds."""
+        """Share with the other members that an endpoint asked this one not to call for `seconds`."""
         self._endpoints.share_hold(target, seconds)
 
     def share_endpoint_phases(self, phases: Mapping[str, Phase]) -> None:
-        """Pass on that this member's endpoint list gives these endpoints other phases than before."""
+        """Share the phases of endpoints whose phase has changed in this member's endpoint list."""
         self._endpoints.share_phases(phases)
 
     def status(self) -> FleetStatus:
-        """Return what operators may see."""
+        """Return the status for operators."""
         now = self._clock()
         share = self._quota_shares.share_at(now)
         links = self._links
         return FleetStatus.of(
-            self.settings.fleet_name, self.members, share, links.connected_names, links.dropped_frames, now
+            self.settings.fleet_name, self.membership, share, links.connected_names, links.dropped_frames, now
         )
 
-    # What the links report.
+    # The methods of LinkObserver.
 
     def handshake(self) -> Handshake:
         """Return the first frame on each link."""
-        return self.members.handshake(self.settings.fleet_name)
+        return self.membership.handshake(self.settings.fleet_name)
 
     def membership_table(self) -> MembershipTable:
-        """Return all that is known of the members."""
-        return self.members.membership_table()
+        """Return this member's view of all members."""
+        return self.membership.membership_table()
 
     def on_handshake(self, handshake: Handshake) -> None:
         """Handle a new link to a member, or a linked member's new incarnation."""
-        self._run(lambda now: self.members.on_handshake(now, handshake))
+        self._run(lambda now: self.membership.on_handshake(now, handshake))
         self._endpoints.send_all(handshake.name)
 
     def on_link_down(self, name: str) -> None:
-        """Handle the loss of a member's link."""
-        self._run(lambda now: self.members.on_link_down(now, name))
+        """Handle the loss of the link to a member."""
+        self._run(lambda now: self.membership.on_link_down(now, name))
 
     def on_frame(self, name: str, incarnation: int, frame: AnyFrame) -> None:
         """Handle a frame of a member."""
-        self._run(lambda now: self.members.on_frame(now, name, incarnation, frame))
+        self._run(lambda now: self.membership.on_frame(now, name, incarnation, frame))
         if isinstance(frame, EndpointUpdates):
             self._endpoints.on_updates(name, frame)
 
-    # The machine.
+    # Running the membership machine.
 
     def _run(self, event: Callable[[float], None]) -> None:
-        """Let the machine take an event, and carry out what it wants done."""
+        """Pass an event to the machine, carry out its actions, and apply its view."""
         if self._is_closed:
             return
         now = self._clock()
         event(now)
-        for action in self.members.take_actions():
+        for action in self.membership.take_actions():
             self._carry_out(action)
         self._apply_view(now)
 
@@ -177,9 +178,9 @@
                 self._observer.on_halt(reason)
 
     def _apply_view(self, now: float) -> None:
-        """Report what follows from the machine's view, and set the timer for its next change."""
-        partition = self.members.partition
-        self._quota_shares.update(now, self.members.peers.fleet_size, partition.is_isolated)
+        """Update the quota share from the machine's view, report it if it changed, and set the timer."""
+        partition = self.membership.partition
+        self._quota_shares.update(now, self.membership.peers.fleet_size, partition.is_isolated)
         share = self._quota_shares.share_at(now)
         if share != self._share:
             self._share = share
@@ -190,15 +191,15 @@
         self._log_event(
             FleetEvent.QUOTA_SHARE,
             size=share.fleet_size,
-            part=round(share.fraction, SHARE_DIGITS),
+            part=round(share.fraction, SHARE_DECIMALS),
             closed=sorted(share.closed_classes),
-            cut=self.members.partition.reason.value,
+            cut=self.membership.partition.reason.value,
         )
         self._observer.on_quota_share(share)
 
     def _set_timer(self, now: float) -> None:
-        """Set the timer for when the machine is due, or the quota share changes by time alone."""
-        due = min(self.members.due, self._quota_shares.next_change_at(now) or self.members.due)
+        """Set the timer for the next tick of the machine or the next step of the quota share."""
+        due = min(self.membership.due, self._quota_shares.next_change_at(now) or self.membership.due)
         if self._timer is not None:
             self._timer.cancel()
         self._timer = self._loop.call_later(max(MIN_TIMER_S, due - now), self._on_timer)
@@ -207,13 +208,13 @@
         self._run(self._tick_if_due)
 
     def _tick_if_due(self, now: float) -> None:
-        """Tick the machine, unless the timer was set for the quota share alone."""
-        if now >= self.members.due:
-            self.members.tick(now)
+        """Tick the machine if it is due; the timer may have been set for the quota share."""
+        if now >= self.membership.due:
+            self.membership.tick(now)
 
     def _save_generation(self) -> None:
-        """Store which generation this is, so that the next process has a later one."""
+        """Store this generation, so that the next process takes a later one."""
         try:
-            self._generations.save(self.members.identity.generation)
+            self._generations.save(self.membership.identity.generation)
         except OSError as error:
             log.error("the generation cannot be stored", error=str(error))  # noqa: TRY400
