--- a/emberlatch/as2/__init__.py
+++ b/emberlatch/as2/__init__.py
@@ -1,5 +1,5 @@
-"""AS2 partners (RFC 4130): messages and receipts, a front end and a carrier.
+"""Exchange of messages and receipts with AS2 partners (RFC 4130).
 
-The front end receives what partners send, the carrier sends messages to them. An extra, `emberlatch[as2]`:
-nothing of it is imported where no partner uses AS2.
+The front end receives the messages of partners; the carrier sends messages to them. The package needs the
+extra `emberlatch[as2]` and is imported only if the configuration has AS2 partners.
 """
--- a/emberlatch/as2/build.py
+++ b/emberlatch/as2/build.py
@@ -1,4 +1,4 @@
-"""Builds the parties from the `[as2]` part of the configuration: reads certificates and keys."""
+"""Builds the parties from the `[as2]` section of the configuration and reads their certificates and keys."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
     CertificateError,
     Identity,
     Trust,
+    expiry_warnings,
     read_certificates,
     read_identity,
-    warnings,
 )
 from emberlatch.as2.cms import normalized_digest
 from emberlatch.as2.message import Format, Policy
@@ -26,7 +26,7 @@
 
 
 class ProfileError(Exception):
-    """A profile that can't be used, by the setting and the reason."""
+    """A profile that can't be used: the setting at fault and the reason."""
 
     def __init__(self, setting: str, reason: Exception) -> None:
         super().__init__(f"{setting}: {reason}")
@@ -34,7 +34,10 @@
 
 
 def parties(config: As2, path: Callable[[str], Path]) -> Parties:
-    """Ourselves and all partners; `path` finds a file of the configuration. Raises ProfileError."""
+    """Build our own identity and all partners; raises ProfileError.
+
+    `path` resolves a file name of the configuration.
+    """
     try:
         identity = read_identity([path(name) for name in config.certificates])
     except CertificateError as error:
@@ -50,7 +53,7 @@
 
 
 def as2_settings(config: As2) -> As2Settings:
-    """The settings in a configuration, apart from those of parties."""
+    """Return the settings of the `[as2]` section other than those of single parties."""
     return As2Settings(
         parse_address(config.listen),
         max_connections=config.sockets,
@@ -98,22 +101,24 @@
         return ssl.create_default_context(cafile=str(path(authorities)))
     except ssl.SSLError as error:
         raise CertificateError(
-            f"tls: {authorities}: no certificates of authorities: {error.reason}"
+            f"tls: {authorities}: no certificates of certification authorities: {error.reason}"
         ) from error
 
 
 def _url(text: str, tls: ssl.SSLContext | None) -> Url:
     parts = urlsplit(text)
     if parts.scheme == "https" and tls is None:
-        raise CertificateError("receipts_to: https needs tls, the file of the authorities to trust")
+        raise CertificateError(
+            "receipts_to: an https URL requires tls, the file with the trusted authorities"
+        )
     assert parts.hostname is not None and parts.port is not None
     return Url((parts.hostname, parts.port), parts.path, tls if parts.scheme == "https" else None)
 
 
 def expiry(parties_: Parties, now: float) -> list[str]:
-    """Certificates to renew, a line each."""
+    """Describe the certificates that need renewal, one line each."""
     identity: Identity = parties_.own.identity
-    lines = [f"our certificate {line}" for line in warnings([c for c, _ in identity.key_pairs], now)]
+    lines = [f"our certificate {line}" for line in expiry_warnings([c for c, _ in identity.key_pairs], now)]
     for partner in parties_.partners.values():
-        lines += [f"{partner.inventory_name}: {line}" for line in warnings(partner.trust.pinned, now)]
+        lines += [f"{partner.inventory_name}: {line}" for line in expiry_warnings(partner.trust.pinned, now)]
     return lines
--- a/emberlatch/as2/carrier.py
+++ b/emberlatch/as2/carrier.py
@@ -1,6 +1,7 @@
-"""The AS2 carrier: sends each call as an AS2 message and waits for a receipt.
+"""The AS2 carrier: sends each call as an AS2 message and waits for its receipt.
 
-A call lasts until its receipt, an answer that needs none, or the time-out of the decision module.
+A call ends when its receipt arrives, when an HTTP answer decides it without a receipt, or when the decision
+module cancels it at its time-out.
 """
 
 from __future__ import annotations
@@ -34,11 +35,12 @@
 
 log = logging.getLogger(__name__)
 
-SEALED_CACHE_BYTES = 8 * 1024 * 1024  # of sealed messages that are kept for a repeat
-MAX_ANSWER_BYTES = 128 * 1024  # of a receipt
-MAX_CAUSE_CHARACTERS = 120  # of an error, in the text of a dispute
+SEALED_CACHE_BYTES = 8 * 1024 * 1024
+"""Limit of the cache of sealed messages, from which repeated attempts are sent."""
+MAX_ANSWER_BYTES = 128 * 1024  # limit of an HTTP answer, which may contain a receipt
+MAX_CAUSE_CHARACTERS = 120  # limit of an error's cause in the text of a dispute
 RECEIPT_POLICY = Policy(signed=False)
-"""For opening receipts; `evaluation` decides whether a signature is required."""
+"""The policy for opening receipts; `evaluation` decides whether a signature is required."""
 RESULT_OF_STATUS = {
     ProcessingStatus.PROCESSED: Result.OK,
     ProcessingStatus.REJECTED: Result.FULL,
@@ -58,17 +60,17 @@
     partner: Partner
     sealed: Sealed
     record: Record
-    receipt_arrived: asyncio.Future[None]  # an asynchronous one, see `_complete`
+    receipt_arrived: asyncio.Future[None]  # done once an asynchronous receipt arrived, see `_complete`
 
     @property
     def expected(self) -> Expected:
-        """What its receipt has to contain."""
+        """What the receipt of the message has to contain."""
         sealed = self.sealed
         return Expected(self.record.message_id, sealed.mic, sealed.digest, self.partner.signed_receipts)
 
 
-def content_of(item: CallItem) -> bytes:
-    """A message as an entity: it contains no time, so that its MIC is the same at each attempt."""
+def compose_content(item: CallItem) -> bytes:
+    """Compose a message as a MIME entity, without a time, so that its MIC is the same at each attempt."""
     headers = [
         ("Content-Type", "application/octet-stream"),
         ("Content-Transfer-Encoding", "binary"),
@@ -86,7 +88,7 @@
 class As2Carrier(PooledCarrier):
     """Sends calls to AS2 endpoints on at most `max_connections`, and completes them by their receipts.
 
-    `core` gets the outcomes; `evidence` has a record of each message before it goes out.
+    The engine of `core` gets the outcomes. Each message is recorded in `evidence` before it is sent.
     """
 
     def __init__(
@@ -101,7 +103,7 @@
         super().__init__(settings, max_connections, core.engine.outcome, core.tasks, core.engine.counters)
         self._parties, self._crypto, self._now = station.parties, station.crypto, station.now
         self._directory, self._evidence = directory, evidence
-        self._exchanges: dict[str, _Exchange] = {}  # by Message-ID, while the call is in flight
+        self._exchanges: dict[str, _Exchange] = {}  # calls in flight, by Message-ID
         self._exchange_of: dict[Call, _Exchange] = {}
         self._sealed: OrderedDict[str, Sealed] = OrderedDict()
         self._sealed_bytes = 0
@@ -121,7 +123,7 @@
 
     async def _prepare(self, target: Endpoint, call: Call) -> None:
         if len(call.items) != 1:
-            raise UnsentError("several messages in a call to an AS2 endpoint")
+            raise UnsentError(f"{len(call.items)} messages in a call to an AS2 endpoint; 1 is allowed")
         (item,), partner = call.items, self._partner_of(call.target)
         if partner is None:
             raise UnsentError(f"no AS2 profile for {call.target!r}")
@@ -130,7 +132,7 @@
         try:
             sealed = await self._seal(message_id, partner, item)
         except (CertificateError, As2Error) as error:
-            log.error("no message can go out to %s: %s", partner.inventory_name, error)
+            log.error("messages to %s cannot be sealed: %s", partner.inventory_name, error)
             raise UnsentError(str(error)) from error
         mic, name = sealed.mic.hex(), target.entry.target.decode()
         record = Record(
@@ -142,16 +144,16 @@
         self._exchange_of[call] = self._exchanges[message_id] = exchange
 
     async def _seal(self, message_id: str, partner: Partner, item: CallItem) -> Sealed:
-        """The message as it is sent; at a repeat the very same bytes while they are cached."""
+        """Return the message as it is sent; a repeated attempt sends the cached bytes if there are any."""
         key = f"{partner.inventory_name}\n{message_id}"
         if (cached := self._sealed.get(key)) is not None:
             self._sealed.move_to_end(key)
             return cached
         sealed = await self._crypto.seal(
-            content_of(item), partner.format, partner.inventory_name, self._now()
+            compose_content(item), partner.format, partner.inventory_name, self._now()
         )
         if (other := self._sealed.setdefault(key, sealed)) is not sealed:
-            return other  # a hedged request was quicker: both send the same bytes
+            return other  # A hedged request has sealed the message meanwhile: both send the same bytes.
         self._sealed_bytes += len(sealed.body)
         while self._sealed_bytes > SEALED_CACHE_BYTES:
             self._sealed_bytes -= len(self._sealed.popitem(last=False)[1].body)
@@ -177,7 +179,12 @@
             self._set_retry_after(target, retry_after)
         if not 200 <= response.status < 300:
             verdict = Verdict(evaluation.of_status(response.status))
-            log.warning("%s answered %d to %s", call.target, response.status, exchange.record.message_id)
+            log.warning(
+                "endpoint %s answered %d to message %s",
+                call.target,
+                response.status,
+                exchange.record.message_id,
+            )
             self._record(exchange.record, verdict)
         elif response.body.strip():
             verdict = await self._synchronous_receipt(exchange, response)
@@ -196,7 +203,7 @@
 
     async def _synchronous_receipt(self, exchange: _Exchange, response: Response) -> Verdict:
         outer = mime.of(tuple(response.headers.items()), bytes(response.body))
-        raw = _as_received(outer)
+        raw = _raw_receipt(outer)
         try:
             receipt, signed = await self._read(exchange.partner, outer)
             verdict = evaluation.of_receipt(exchange.expected, receipt, signed)
@@ -206,7 +213,7 @@
         return verdict
 
     async def _read(self, partner: Partner, outer: Entity) -> tuple[Mdn, bool]:
-        """A receipt, and whether it has a valid signature of the partner; raises As2Error."""
+        """Open a receipt and check whether the partner has signed it; raises As2Error."""
         opened = await self._crypto.unseal(outer, partner.inventory_name, RECEIPT_POLICY, self._now())
         return mdn.parse(opened.content), bool(opened.signer)
 
@@ -214,38 +221,40 @@
         _log_dispute(record, verdict)
         try:
             self._evidence.record_verdict(record.message_id, verdict, self._now(), raw)
-        except OSError as error:  # the verdict is valid all the same
-            log.error("a receipt could not be recorded: %s", error)
+        except OSError as error:  # The verdict is valid even if it is not stored.
+            log.error("verdict on message %s could not be recorded: %s", record.message_id, error)
 
     async def on_receipt(self, partner: Partner, outer: Entity) -> None:
         """Handle an asynchronous receipt.
 
-        Raises As2Error if it can't be read, and OSError if it can't be recorded: it must be sent again then.
+        Raises As2Error if it can't be read, and OSError if it can't be recorded, so that the partner has to
+        send it again.
         """
-        raw = _as_received(outer)
+        raw = _raw_receipt(outer)
         try:
             receipt, signed = await self._read(partner, outer)
             invalid = None
         except As2Error as error:
-            # One whose signature fails names its message all the same; it proves nothing and is a dispute.
+            # A receipt with an invalid signature proves nothing, but names its message, which gets a dispute.
             receipt, signed, invalid = _read_unverified(outer), False, _invalid_receipt(error)
         record, now = self._evidence.find(receipt.message_id), self._now()
         if record is None or record.partner != partner.inventory_name:
-            log.warning(
-                "receipt of %s for %s, which is not known", partner.inventory_name, receipt.message_id
-            )
+            log.warning("receipt from %s for unknown message %s", partner.inventory_name, receipt.message_id)
             self._evidence.record_unknown(partner.inventory_name, receipt.message_id, now, raw)
             return
-        verdict = invalid or evaluation.of_receipt(_recorded(record, partner), receipt, signed)
+        verdict = invalid or evaluation.of_receipt(_expected_from_record(record, partner), receipt, signed)
         _log_dispute(record, verdict)
         self._evidence.record_verdict(record.message_id, verdict, now, raw)
         self._complete(record, verdict)
 
     def _complete(self, record: Record, verdict: Verdict) -> None:
-        """Complete the call that waits for the receipt; without one, a pending message is ended by it."""
+        """Complete the call that waits for the receipt.
+
+        If there is none, report a processed message that has no final state yet as delivered.
+        """
         exchange = self._exchanges.get(record.message_id)
         if exchange is not None and exchange.call.pending:
-            # The receipt may arrive before the answer to the call, which then has no effect.
+            # The receipt may arrive before the HTTP answer, which then has no effect.
             self._complete_call(exchange.call, verdict)
             if exchange.call.connection is not None:
                 exchange.call.connection.close()
@@ -259,7 +268,7 @@
 def request_headers(
     own: Own, partner: Partner, address: Address, message_id: str, sealed: Sealed
 ) -> list[tuple[str, str]]:
-    """The HTTP headers of a message, with the receipt that it requests."""
+    """Return the HTTP headers of a message, including those that request its receipt."""
     headers = [
         ("Host", f"{address[0]}:{address[1]}"),
         ("AS2-Version", "1.2"),
@@ -279,18 +288,18 @@
 
 
 def request(path: str, headers: list[tuple[str, str]], body: bytes) -> bytes:
-    """A POST request as bytes."""
+    """Encode a POST request."""
     head = f"POST {path} HTTP/1.1\r\n" + "".join(f"{name}: {value}\r\n" for name, value in headers)
     return f"{head}Content-Length: {len(body)}\r\n\r\n".encode("latin-1") + body
 
 
-def _as_received(outer: Entity) -> bytes:
-    """A receipt with its headers, as it is stored for people."""
+def _raw_receipt(outer: Entity) -> bytes:
+    """Return a receipt with its headers, as it is stored for operators."""
     return mime.compose([(name, _ascii(value)) for name, value in outer.headers], outer.body)
 
 
-def _recorded(record: Record, partner: Partner) -> Expected:
-    """What a receipt has to contain by the record of its message, also if that was sent before a restart."""
+def _expected_from_record(record: Record, partner: Partner) -> Expected:
+    """Return what a receipt has to contain, from its message's record, which outlives a restart."""
     return Expected(record.message_id, bytes.fromhex(record.mic), record.digest, partner.signed_receipts)
 
 
@@ -306,6 +315,6 @@
 
 
 def _read_unverified(outer: Entity) -> Mdn:
-    """The receipt whose signature is invalid; raises As2Error if it can't be read."""
+    """Parse a receipt whose signature is invalid; raises As2Error if it can't be read."""
     inner = mime.entity(mime.parts(outer)[0]) if outer.type == "multipart/signed" else outer
     return mdn.parse(inner)
--- a/emberlatch/as2/certificates.py
+++ b/emberlatch/as2/certificates.py
@@ -1,7 +1,7 @@
 """Keys and certificates: our own, and those that authenticate a partner.
 
-Of each there may be two at a time, so that a new one can be announced before the old one
-expires. Times are Unix time in seconds and come from the caller.
+Each party may have several at a time, so that a new certificate can be announced before the old one expires.
+Times are Unix time in seconds and are passed by the caller.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from cryptography.x509 import verification
 
 MIN_RSA_BITS = 2048
-EXPIRY_WARNING_S = 30 * 86400.0  # before its expiry, from when a warning names a certificate
+EXPIRY_WARNING_S = 30 * 86400.0  # time before a certificate's expiry from which a warning names it
 
 PrivateKey = rsa.RSAPrivateKey | ec.EllipticCurvePrivateKey
 _PEM = re.compile(rb"-----BEGIN ([A-Z0-9 ]+)-----.+?-----END \1-----", re.DOTALL)
 
 
 class CertificateError(ValueError):
-    """A file that holds no usable certificate or key; the text says why."""
+    """No certificate or key that can be used; the text says why."""
 
 
 def expires_at(certificate: x509.Certificate) -> float:
-    """When a certificate expires."""
+    """Return when a certificate expires."""
     return certificate.not_valid_after_utc.timestamp()
 
 
@@ -40,18 +40,18 @@
 
 
 def fingerprint(certificate: x509.Certificate) -> str:
-    """The first 16 hexadecimal digits of its SHA-256."""
+    """Return the first 16 hexadecimal digits of a certificate's SHA-256 digest."""
     return certificate.fingerprint(hashes.SHA256()).hex()[:16]
 
 
 def described(certificate: x509.Certificate) -> str:
-    """One line for people."""
+    """Describe a certificate in one line for operators."""
     until = certificate.not_valid_after_utc.strftime("%Y-%m-%d")
     return f"{certificate.subject.rfc4514_string()} ({fingerprint(certificate)}, until {until})"
 
 
-def warnings(certificates: Sequence[x509.Certificate], now: float) -> list[str]:
-    """Texts for operators: certificates that have expired, are not valid yet, or expire with no successor."""
+def expiry_warnings(certificates: Sequence[x509.Certificate], now: float) -> list[str]:
+    """List, for operators, certificates that have expired, are not valid yet, or expire with no successor."""
     last_expiry = max((expires_at(c) for c in certificates if is_valid(c, now)), default=-1.0)
     found = []
     for certificate in certificates:
@@ -72,30 +72,36 @@
     key_pairs: tuple[tuple[x509.Certificate, PrivateKey], ...]
 
     def signing(self, now: float) -> tuple[x509.Certificate, PrivateKey]:
-        """The one to sign with: the first in the settings that is valid; CertificateError if none is."""
+        """Return the first valid certificate of the settings, with its key; raises CertificateError."""
         for certificate, key in self.key_pairs:
             if is_valid(certificate, now):
                 return certificate, key
-        raise CertificateError("none of our certificates holds now")
+        raise CertificateError("none of our certificates is valid at present")
 
 
 @dataclass(frozen=True, slots=True)
 class Trust:
-    """What authenticates a partner: its certificates, or authorities and a common name that they certify."""
+    """What authenticates a partner: pinned certificates, or a common name that authorities certify."""
 
     pinned: tuple[x509.Certificate, ...]
     authorities: tuple[x509.Certificate, ...] = ()
     common_name: str = ""
 
     def recipient(self, now: float) -> x509.Certificate:
-        """The one to encrypt to: the valid one that expires last; CertificateError if none."""
+        """Return the pinned certificate to encrypt to: the valid one that expires last.
+
+        Raises CertificateError if none is valid.
+        """
         currently_valid = [certificate for certificate in self.pinned if is_valid(certificate, now)]
         if not currently_valid:
-            raise CertificateError("none of the partner's certificates holds now")
+            raise CertificateError("none of the partner's certificates is valid at present")
         return max(currently_valid, key=expires_at)
 
     def signers(self, attached: Sequence[x509.Certificate], now: float) -> list[x509.Certificate]:
-        """The certificates whose signature is accepted; `attached` are those of the message."""
+        """Return the certificates whose signatures are accepted.
+
+        `attached` are the certificates that the message contains.
+        """
         found = [certificate for certificate in self.pinned if is_valid(certificate, now)]
         if self.authorities:
             found += [
@@ -123,7 +129,7 @@
 
 
 def read_certificates(path: Path) -> list[x509.Certificate]:
-    """All certificates of a PEM file; raises CertificateError."""
+    """Read all certificates of a PEM file; raises CertificateError."""
     try:
         found = x509.load_pem_x509_certificates(path.read_bytes())
     except OSError as error:
@@ -136,21 +142,23 @@
 
 
 def read_identity(paths: Sequence[Path]) -> Identity:
-    """Our own certificates with their keys, a pair in each PEM file; raises CertificateError."""
+    """Read our own certificates and keys, one pair from each PEM file; raises CertificateError."""
     pairs = []
     for path in paths:
         certificate = read_certificates(path)[0]
         keys = [m[0] for m in _PEM.finditer(path.read_bytes()) if m[1].endswith(b"PRIVATE KEY")]
         if len(keys) != 1:
-            raise CertificateError(f"{path}: holds {len(keys)} private keys; one, beside its certificate")
+            raise CertificateError(
+                f"{path}: contains {len(keys)} private keys; expected 1, next to its certificate"
+            )
         try:
             key = serialization.load_pem_private_key(keys[0], None)
         except (ValueError, TypeError, UnsupportedAlgorithm) as error:
             raise CertificateError(f"{path}: the private key cannot be read: {error}") from error
         if not isinstance(key, rsa.RSAPrivateKey | ec.EllipticCurvePrivateKey):
-            raise CertificateError(f"{path}: a key of RSA or an elliptic curve is needed")
+            raise CertificateError(f"{path}: an RSA or elliptic-curve key is required")
         if key.public_key() != certificate.public_key():
-            raise CertificateError(f"{path}: the key is not that of the certificate")
+            raise CertificateError(f"{path}: the private key does not match the certificate")
         pairs.append((certificate, key))
     return Identity(tuple(pairs))
 
@@ -158,6 +166,8 @@
 def _check_strength(certificate: x509.Certificate, path: Path) -> None:
     key = certificate.public_key()
     if isinstance(key, rsa.RSAPublicKey) and key.key_size < MIN_RSA_BITS:
-        raise CertificateError(f"{path}: an RSA key of {key.key_size} bits; {MIN_RSA_BITS} at least")
+        raise CertificateError(
+            f"{path}: RSA key of {key.key_size} bits; at least {MIN_RSA_BITS} are required"
+        )
     if not isinstance(key, rsa.RSAPublicKey | ec.EllipticCurvePublicKey):
-        raise CertificateError(f"{path}: a key of RSA or an elliptic curve is needed")
+        raise CertificateError(f"{path}: an RSA or elliptic-curve key is required")
--- a/emberlatch/as2/cms.py
+++ b/emberlatch/as2/cms.py
@@ -1,8 +1,8 @@
-"""Cryptographic Message Syntax, as far as AS2 uses it: signed and enveloped data (RFC 5652, 5083, 5084),
-all in DER.
+"""Cryptographic Message Syntax (CMS): the signed and enveloped data that AS2 uses (RFC 5652, 5083, 5084).
 
-The structures are asn1crypto's, the arithmetic is cryptography's. Nothing received is trusted before its
-signature is verified: a certificate inside a message is accepted only where an authority certifies it.
+All objects are DER-encoded. The library asn1crypto encodes and decodes the structures; the library
+cryptography signs, verifies, encrypts and decrypts. No received data is trusted before its signature is
+verified: a certificate inside a message is accepted only if an authority certifies it.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
     "sha512": hashes.SHA512,
 }
 CIPHERS = {f"aes{bits}_{mode}": bits // 8 for bits in (128, 192, 256) for mode in ("cbc", "gcm")}
-"""Content ciphers and the bytes of their keys; received ones may use `tripledes_3key` beside, if allowed."""
+"""The key length, in bytes, of each content cipher. Received messages may also use TRIPLE_DES if allowed."""
 TRIPLE_DES = "tripledes_3key"
 GCM_TAG_BYTES = 16
 GCM_NONCE_BYTES = 12
@@ -44,12 +44,12 @@
 MAX_RECIPIENTS = 16
 MAX_CERTIFICATES = 8
 
-# What reading hostile DER was seen to raise, beside ValueError.
+# The exceptions that decoding of malformed DER was seen to raise.
 DECODING_ERRORS = (ValueError, TypeError, KeyError, IndexError, AttributeError, OverflowError, RecursionError)
 
 
 class _GcmParameters(core.Sequence):  # type: ignore[misc]
-    """RFC 5084, 3.2."""
+    """The parameters of AES-GCM (RFC 5084, 3.2)."""
 
     _fields = [("nonce", core.OctetString), ("icv_len", core.Integer, {"default": 12})]  # noqa: RUF012
 
@@ -59,24 +59,24 @@
     """A signature that was verified."""
 
     signer: x509.Certificate
-    digest: str  # a name of DIGESTS
-    content: bytes  # what was signed
+    digest: str  # a key of DIGESTS
+    content: bytes  # the signed bytes
 
 
 def normalized_digest(name: str) -> str:
-    """The normalized name of a digest: `SHA-256` and `sha256` are the same."""
+    """Normalize the name of a digest: `SHA-256` becomes `sha256`."""
     return name.strip().lower().replace("-", "").replace("_", "")
 
 
 def digest(name: str, content: bytes) -> bytes:
-    """The digest of some bytes; `name` is one of DIGESTS."""
-    hashed = hashes.Hash(DIGESTS[name]())
-    hashed.update(content)
-    return hashed.finalize()
+    """Compute a digest; `name` is a key of DIGESTS."""
+    hasher = hashes.Hash(DIGESTS[name]())
+    hasher.update(content)
+    return hasher.finalize()
 
 
 def kind(der: bytes) -> str:
-    """The content type of a CMS object: `signed_data`, `enveloped_data`, ...; raises As2Error."""
+    """Return the content type of a CMS object: `signed_data`, `enveloped_data`, ...; raises As2Error."""
     try:
         return str(cms.ContentInfo.load(der, strict=True)["content_type"].native)
     except DECODING_ERRORS as error:
@@ -86,7 +86,7 @@
 # Signatures.
 
 
-@lru_cache(256)  # the pinned certificates are needed for each message
+@lru_cache(256)  # Pinned certificates are converted once, not for each message.
 def _to_asn1(certificate: x509.Certificate) -> asn1_x509.Certificate:
     return asn1_x509.Certificate.load(certificate.public_bytes(serialization.Encoding.DER))
 
@@ -97,7 +97,7 @@
 
 
 def sign(content: bytes, certificate: x509.Certificate, key: PrivateKey, name: str, now: float) -> bytes:
-    """A detached signature over some bytes, with its certificate; `name` is one of DIGESTS."""
+    """Create a detached signature with its certificate; `name` is a key of DIGESTS."""
     attributes = _signed_attributes(content, name, now)
     signature, algorithm = _raw_signature(attributes.dump(), key, name)
     signer = cms.SignerInfo(
@@ -123,7 +123,7 @@
 
 
 def _signed_attributes(content: bytes, name: str, now: float) -> cms.CMSAttributes:
-    """What is signed in place of the content, its digest among it (RFC 5652, 5.4)."""
+    """Return the attributes that are signed instead of the content; one is its digest (RFC 5652, 5.4)."""
     signing_time = datetime.fromtimestamp(now, UTC).replace(microsecond=0)
     return cms.CMSAttributes(
         [
@@ -135,17 +135,17 @@
 
 
 def _raw_signature(to_sign: bytes, key: PrivateKey, name: str) -> tuple[bytes, str]:
-    """A signature over some bytes, and its algorithm."""
-    hashed = DIGESTS[name]()
+    """Sign bytes; return the signature and the name of its algorithm."""
+    hash_algorithm = DIGESTS[name]()
     if isinstance(key, rsa.RSAPrivateKey):
-        return key.sign(to_sign, rsa_padding.PKCS1v15(), hashed), "rsassa_pkcs1v15"
-    return key.sign(to_sign, ec.ECDSA(hashed)), f"{name}_ecdsa"
+        return key.sign(to_sign, rsa_padding.PKCS1v15(), hash_algorithm), "rsassa_pkcs1v15"
+    return key.sign(to_sign, ec.ECDSA(hash_algorithm)), f"{name}_ecdsa"
 
 
 def verify(der: bytes, content: bytes | None, trust: Trust, now: float, sha1: bool = False) -> Signed:
-    """Verify a signature with a partner's certificates; `content` is None where it is inside.
+    """Verify a signature with a partner's certificates; raises As2Error for every kind of failure.
 
-    Raises As2Error, whatever is wrong with it.
+    `content` is None if the signature contains the content.
     """
     try:
         data = cms.ContentInfo.load(der, strict=True)["content"]
@@ -159,14 +159,14 @@
         for info in infos:
             for certificate in signers:
                 if _identifies(info["sid"], certificate):
-                    return _verified(info, certificate, content, sha1)
+                    return _verify_signer(info, certificate, content, sha1)
         raise ValueError("no signer that is known and whose certificate holds")
     except (*DECODING_ERRORS, InvalidSignature, UnsupportedAlgorithm) as error:
         raise As2Error(Modifier.AUTHENTICATION, f"signature: {error!r}") from error
 
 
 def _attached_certificates(data: cms.SignedData) -> list[x509.Certificate]:
-    """The certificates attached to a signature; those that can't be read are skipped."""
+    """Return the certificates attached to a signature; those that can't be read are skipped."""
     found = []
     for choice in list(data["certificates"] or ())[:MAX_CERTIFICATES]:
         try:
@@ -191,7 +191,7 @@
     return key_identifier is not None and key_identifier == own.key_identifier
 
 
-def _verified(info: cms.SignerInfo, certificate: x509.Certificate, content: bytes, sha1: bool) -> Signed:
+def _verify_signer(info: cms.SignerInfo, certificate: x509.Certificate, content: bytes, sha1: bool) -> Signed:
     name = str(info["digest_algorithm"]["algorithm"].native)
     if name not in DIGESTS or (name == "sha1" and not sha1):
         raise ValueError(f"digest {name}")
@@ -207,29 +207,30 @@
             raise ValueError("attributes")
         if not hmac.compare_digest(values["message_digest"][0].native, digest(name, content)):
             raise ValueError("the content is not what was signed")
-        signed = b"\x31" + attributes.dump()[1:]  # signed as a SET OF, sent with a tag of its own
+        # The attributes are signed with the tag of a SET OF, but sent with a context-specific tag.
+        signed = b"\x31" + attributes.dump()[1:]
     _check_signature(info, certificate.public_key(), signed, name)
     return Signed(certificate, name, content)
 
 
 def _check_signature(info: cms.SignerInfo, key: PublicKeyTypes, signed: bytes, name: str) -> None:
-    """Verify the signature over some bytes; raises InvalidSignature or ValueError."""
+    """Verify the signature over `signed`; raises InvalidSignature or ValueError."""
     signature, algorithm = info["signature"].native, info["signature_algorithm"]
-    hashed, method = DIGESTS[name](), algorithm.signature_algo
+    hash_algorithm, method = DIGESTS[name](), algorithm.signature_algo
     if isinstance(key, rsa.RSAPublicKey) and method == "rsassa_pkcs1v15":
         if algorithm["algorithm"].native not in ("rsassa_pkcs1v15", f"{name}_rsa"):
             raise ValueError("two digests")
-        key.verify(signature, signed, rsa_padding.PKCS1v15(), hashed)
+        key.verify(signature, signed, rsa_padding.PKCS1v15(), hash_algorithm)
     elif isinstance(key, rsa.RSAPublicKey) and method == "rsassa_pss":
         parameters = algorithm["parameters"]
         if parameters["hash_algorithm"]["algorithm"].native != name:
             raise ValueError("two digests")
-        pss = rsa_padding.PSS(rsa_padding.MGF1(hashed), int(parameters["salt_length"].native))
-        key.verify(signature, signed, pss, hashed)
+        pss = rsa_padding.PSS(rsa_padding.MGF1(hash_algorithm), int(parameters["salt_length"].native))
+        key.verify(signature, signed, pss, hash_algorithm)
     elif isinstance(key, ec.EllipticCurvePublicKey) and method == "ecdsa":
         if algorithm.hash_algo != name:
             raise ValueError("two digests")
-        key.verify(signature, signed, ec.ECDSA(hashed))
+        key.verify(signature, signed, ec.ECDSA(hash_algorithm))
     else:
         raise ValueError(f"signature {algorithm['algorithm'].native} with another kind of key")
 
@@ -238,7 +239,10 @@
 
 
 def encrypt(content: bytes, recipient: x509.Certificate, cipher: str) -> bytes:
-    """Enveloped data for one recipient; authenticated with GCM (RFC 5083). `cipher` is one of CIPHERS."""
+    """Encrypt content to one recipient as enveloped data; `cipher` is a key of CIPHERS.
+
+    With GCM the result is authenticated enveloped data (RFC 5083).
+    """
     public = recipient.public_key()
     if not isinstance(public, rsa.RSAPublicKey):
         raise As2Error(Modifier.UNSUPPORTED, "content can be encrypted to RSA keys only")
@@ -299,7 +303,10 @@
 
 
 def decrypt(der: bytes, identity: Identity, triple_des: bool = False) -> tuple[bytes, str]:
-    """The content and its cipher; raises As2Error, the same one for every cause."""
+    """Decrypt enveloped data; return the content and its cipher.
+
+    Raises As2Error, with the same modifier for every cause.
+    """
     try:
         info = cms.ContentInfo.load(der, strict=True)
         data, authenticated = info["content"], info["content_type"].native == "authenticated_enveloped_data"
@@ -341,9 +348,9 @@
     if name != "rsaes_oaep":
         raise ValueError(f"key transport {name}")
     parameters = algorithm["parameters"]
-    hashed = DIGESTS[parameters["hash_algorithm"]["algorithm"].native]()
+    hash_algorithm = DIGESTS[parameters["hash_algorithm"]["algorithm"].native]()
     mask = DIGESTS[parameters["mask_gen_algorithm"]["parameters"]["algorithm"].native]()
-    return rsa_padding.OAEP(rsa_padding.MGF1(mask), hashed, None)
+    return rsa_padding.OAEP(rsa_padding.MGF1(mask), hash_algorithm, None)
 
 
 def _decrypt_gcm(
--- a/emberlatch/as2/compression.py
+++ b/emberlatch/as2/compression.py
@@ -1,4 +1,4 @@
-"""Compressed data of Cryptographic Message Syntax (RFC 3274), in DER."""
+"""Compressed data of the Cryptographic Message Syntax (RFC 3274), DER-encoded."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def compress(content: bytes) -> bytes:
-    """Compressed data (RFC 3274)."""
+    """Compress content into a compressed-data object (RFC 3274)."""
     data = cms.CompressedData(
         {
             "version": "v0",
@@ -23,7 +23,7 @@
 
 
 def decompress(der: bytes, max_bytes: int) -> bytes:
-    """The content, of at most `max_bytes`: no more is ever decompressed. Raises As2Error."""
+    """Decompress at most `max_bytes` of content; raises As2Error if there is more or it can't be read."""
     try:
         data = cms.ContentInfo.load(der, strict=True)["content"]
         if data["compression_algorithm"]["algorithm"].native != "zlib":
