--- a/emberlatch/as2/carrier.py
+++ b/emberlatch/as2/carrier.py
@@ -178,7 +178,7 @@
         if retry_after > 0:
             self._set_retry_after(target, retry_after)
         if not 200 <= response.status < 300:
-            verdict = Verdict(evaluation.of_status(response.status))
+            verdict = Verdict(evaluation.evaluate_status(response.status))
             log.warning(
                 "endpoint %s answered %d to message %s",
                 call.target,
@@ -206,7 +206,7 @@
         raw = _raw_receipt(outer)
         try:
             receipt, signed = await self._read(exchange.partner, outer)
-            verdict = evaluation.of_receipt(exchange.expected, receipt, signed)
+            verdict = evaluation.evaluate_receipt(exchange.expected, receipt, signed)
         except As2Error as error:
             verdict = _invalid_receipt(error)
         self._record(exchange.record, verdict, raw)
@@ -242,7 +242,9 @@
             log.warning("receipt from %s for unknown message %s", partner.inventory_name, receipt.message_id)
             self._evidence.record_unknown(partner.inventory_name, receipt.message_id, now, raw)
             return
-        verdict = invalid or evaluation.of_receipt(_expected_from_record(record, partner), receipt, signed)
+        verdict = invalid or evaluation.evaluate_receipt(
+            _expected_from_record(record, partner), receipt, signed
+        )
         _log_dispute(record, verdict)
         self._evidence.record_verdict(record.message_id, verdict, now, raw)
         self._complete(record, verdict)
--- a/emberlatch/as2/crypto_frames.py
+++ b/emberlatch/as2/crypto_frames.py
@@ -1,6 +1,6 @@
-"""The messages between the gateway and its crypto worker: pickled, each with its length before it.
+"""The messages between the gateway and its crypto worker: pickled, each preceded by its length.
 
-Both ends are always of the same version, since the gateway starts the worker.
+Both processes always run the same version, since the gateway starts the worker.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 LENGTH = struct.Struct("<I")
 READY = b"ready"
 """Written by the worker, unframed, once it has read its keys."""
-MAX_FRAME_BYTES = 1 << 20  # messages are smaller by far
+MAX_FRAME_BYTES = 1 << 20  # well above the size of any message
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerSettings:
-    """The first message to a worker: the configuration, and the folder of its files."""
+    """The first message to a worker: the configuration, and the folder with the files that it names."""
 
     config: As2
     folder: Path
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A piece of work; `number` identifies it among those in flight."""
+    """A request to seal or open a message; `number` identifies it among the requests in flight."""
 
     number: int
     work: SealRequest | UnsealRequest
@@ -67,13 +67,13 @@
 
 
 def frame(message: WorkerSettings | Request | Response) -> bytes:
-    """A message with its length before it."""
+    """Encode a message, preceded by its length."""
     data = pickle.dumps(message, pickle.HIGHEST_PROTOCOL)
     return LENGTH.pack(len(data)) + data
 
 
 def read_frames(stream: BinaryIO) -> Iterator[object]:
-    """The messages of a stream until it ends, breaks off within one, or one is too long."""
+    """Yield the messages of a stream until it ends, even within a message, or a message is too long."""
     while len(head := stream.read(LENGTH.size)) == LENGTH.size:
         size = LENGTH.unpack(head)[0]
         if size > MAX_FRAME_BYTES or len(data := stream.read(size)) < size:
--- a/emberlatch/as2/crypto_process.py
+++ b/emberlatch/as2/crypto_process.py
@@ -19,11 +19,11 @@
 from emberlatch.as2.crypto_service import Inline
 from emberlatch.as2.message import Opened, Sealed
 
-NICE_INCREMENT = 5  # the event loop goes first where both share a core
+NICE_INCREMENT = 5  # gives the gateway's event loop priority if both processes share a core
 
 
 def main() -> None:
-    """Read the settings, then do one piece of work after another until the input ends."""
+    """Read the settings, then serve one request after another until the input ends."""
     os.nice(NICE_INCREMENT)
     frames = read_frames(sys.stdin.buffer)
     settings = next(frames)
@@ -42,7 +42,7 @@
                 return service.seal_now(content, layers, partner, now)
             case UnsealRequest(outer, partner, policy, now):
                 return service.unseal_now(outer, partner, policy, now)
-    except Exception as error:  # raised again where the work was requested
+    except Exception as error:  # The process that sent the request raises it again.
         return error
 
 
--- a/emberlatch/as2/crypto_service.py
+++ b/emberlatch/as2/crypto_service.py
@@ -1,6 +1,6 @@
-"""The interface through which messages are sealed and opened, and its implementation within the process.
+"""The interface that seals and opens messages, and an implementation that runs in the calling process.
 
-`crypto_worker` has another one, which does the same work in a process beside this one.
+`crypto_worker` has an implementation that runs in a child process.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 from emberlatch.as2.mime import Entity
 from emberlatch.as2.profile import Parties
 
-NO_RECIPIENT = Trust(())  # for messages that are not encrypted
+NO_RECIPIENT = Trust(())  # stands for the recipient of a message that is not encrypted
 
 
 class CryptoServiceError(OSError):
-    """The work was not done, since the process that does it has ended; it may be submitted again."""
+    """A request was not served, since the worker process has ended; it may be sent again."""
 
 
 class CryptoService(Protocol):
-    """Seals and opens messages. `partner` is a partner's name; an empty one stands for no recipient."""
+    """Seals and opens messages. `partner` is a partner's inventory name, or empty for no recipient."""
 
     async def seal(self, content: bytes, layers: Format, partner: str, now: float) -> Sealed:
-        """See `message.seal`; also raises CryptoServiceError."""
+        """Seal as `message.seal` does; also raises CryptoServiceError."""
 
     async def unseal(self, outer: Entity, partner: str, policy: Policy, now: float) -> Opened:
-        """See `message.unseal`; also raises CryptoServiceError."""
+        """Open as `message.unseal` does; also raises CryptoServiceError."""
 
     def close(self) -> None:
-        """Accept no more work."""
+        """Accept no more requests."""
 
 
 class Inline:
-    """Does all work in the calling process, without suspending."""
+    """Seals and opens messages in the calling process, without suspending the coroutine."""
 
     def __init__(self, parties: Parties) -> None:
         self._parties = parties
@@ -50,10 +50,10 @@
         """Do nothing: there is nothing to release."""
 
     def seal_now(self, content: bytes, layers: Format, partner: str, now: float) -> Sealed:
-        """The same as `seal`, without a coroutine."""
+        """Seal as `seal` does, without a coroutine."""
         trust = self._parties.partners[partner].trust if partner else NO_RECIPIENT
         return seal(content, layers, self._parties.own.identity, trust, now)
 
     def unseal_now(self, outer: Entity, partner: str, policy: Policy, now: float) -> Opened:
-        """The same as `unseal`, without a coroutine."""
+        """Open as `unseal` does, without a coroutine."""
         return unseal(outer, self._parties.own.identity, self._parties.partners[partner].trust, policy, now)
--- a/emberlatch/as2/crypto_worker.py
+++ b/emberlatch/as2/crypto_worker.py
@@ -1,7 +1,7 @@
-"""A crypto service that does its work in a process beside the gateway's.
+"""A crypto service that seals and opens messages in a child process of the gateway.
 
-Reading and writing the structures takes longer than the arithmetic and holds the interpreter's lock, so a
-thread beside the event loop would delay everything else; a process does not.
+Encoding and decoding the structures takes longer than the cryptographic operations and holds the global
+interpreter lock, so a thread would delay the event loop; a process does not.
 """
 
 from __future__ import annotations
@@ -32,15 +32,15 @@
 log = logging.getLogger(__name__)
 
 PROCESS_MODULE = "emberlatch.as2.crypto_process"
-RESTART_DELAY_S = 0.5  # after a worker's death
+RESTART_DELAY_S = 0.5  # delay between the end of a worker and the start of the next one
 
 Spawn = Callable[[Coroutine[object, object, None]], object]
 
 
 class CryptoWorker:
-    """Implements `CryptoService` with one child process, which is started again when it dies.
+    """Implements `CryptoService` with one child process, which is restarted when it ends.
 
-    The process ends with the gateway, however that ends: its standard input is closed then.
+    The process ends when the gateway ends for any reason, since its standard input is closed then.
     """
 
     def __init__(self, config: As2, folder: Path, spawn: Spawn) -> None:
@@ -65,14 +65,14 @@
         return result
 
     def close(self) -> None:
-        """Accept no more work and let the process end."""
+        """Accept no more requests and let the process end."""
         self._closed = True
         if self._process is not None and self._process.stdin is not None:
             self._process.stdin.close()
 
     @property
     def pid(self) -> int:
-        """The id of the process; 0 while there is none."""
+        """The id of the latest process; 0 before the first one has started."""
         return self._process.pid if self._process is not None else 0
 
     async def ready(self) -> None:
@@ -82,7 +82,7 @@
     async def _call(self, work: SealRequest | UnsealRequest) -> Sealed | Opened:
         await self.ready()
         if self._closed or self._process is None or self._process.stdin is None:
-            raise CryptoServiceError("there is no worker")
+            raise CryptoServiceError("no crypto worker is running")
         number = next(self._numbers)
         done: asyncio.Future[Sealed | Opened] = asyncio.get_running_loop().create_future()
         self._in_flight[number] = done
@@ -97,13 +97,13 @@
             try:
                 await self._run_process()
             except OSError as error:
-                log.error("as2 worker: %s", error)
+                log.error("AS2 crypto worker: %s", error)
             self._ready.clear()
             for done in self._in_flight.values():
                 if not done.done():
-                    done.set_exception(CryptoServiceError("the worker has ended"))
+                    done.set_exception(CryptoServiceError("the crypto worker ended before it answered"))
             if not self._closed:
-                log.error("the as2 worker has ended: another follows")
+                log.error("AS2 crypto worker has ended; starting another in %s s", RESTART_DELAY_S)
                 await asyncio.sleep(RESTART_DELAY_S)
 
     async def _run_process(self) -> None:
@@ -129,7 +129,7 @@
     def _on_response(self, response: Response) -> None:
         done = self._in_flight.get(response.number)
         if done is None or done.done():
-            return  # the caller was cancelled
+            return  # The caller was cancelled.
         if isinstance(response.result, Exception):
             done.set_exception(response.result)
         else:
--- a/emberlatch/as2/errors.py
+++ b/emberlatch/as2/errors.py
@@ -19,10 +19,10 @@
 
 
 class As2Error(Exception):
-    """A message that can't be accepted: the modifier reported to its sender, and the cause for our log alone.
+    """A message that can't be accepted: the modifier for its sender, and the cause, which is never sent.
 
-    A signature that fails and a content that can't be decrypted are reported alike: the difference would be
-    a padding oracle (RFC 8551, 6).
+    An invalid signature and a content that can't be decrypted are reported with the same modifier: two
+    modifiers would be a padding oracle (RFC 8551, 6).
     """
 
     def __init__(self, modifier: Modifier, cause: str) -> None:
@@ -34,7 +34,7 @@
 
 
 class MimeError(As2Error):
-    """What can't be read as MIME."""
+    """Data that can't be read as MIME."""
 
     def __init__(self, cause: str) -> None:
         super().__init__(Modifier.UNEXPECTED, cause)
--- a/emberlatch/as2/evaluation.py
+++ b/emberlatch/as2/evaluation.py
@@ -1,9 +1,9 @@
-"""What an attempt over AS2 resulted in, by the answer or the receipt: without sockets, clocks or keys.
+"""Evaluates what an HTTP answer or a receipt proves of a message; uses no sockets, clocks or keys.
 
-Three things can be known of a message: the partner processed it, the partner rejected it before it could
-have an effect, or neither. Only a receipt that speaks for this message, is authenticated as the partner's
-profile asks, and has the MIC of its content, proves that it was processed; only a disposition that says that
-the content was never reached proves that it was not.
+There are three cases: the partner processed the message, the partner rejected it before it could have an
+effect, or neither is proved. A receipt proves that the message was processed only if it refers to this
+message, is authenticated as the partner's profile requires, and has the MIC of its content. A receipt proves
+that the message was rejected only if its disposition says that the content was never reached.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class ProcessingStatus(StrEnum):
-    """What a receipt or an answer proves of a message. The values are stored and shown."""
+    """What a receipt or an answer proves of a message. The values are stored and shown to operators."""
 
     PROCESSED = "processed"
     REJECTED = "refused"  # certainly not processed
@@ -36,15 +36,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What is proved, and the reason for a dispute; empty for none."""
+    """What is proved, and the reason for a dispute; the reason is empty if there is no dispute."""
 
     status: ProcessingStatus
     dispute: str = ""
 
 
-# Errors that say that the content was never reached (RFC 4130, 7.5.3 and 7.5.4; RFC 5402, 6). A failure in
-# processing (`unexpected-processing-error`) may come after an effect, and so may what is not known here.
-NEVER_REACHED = frozenset(
+# Errors which prove that the partner never read the content (RFC 4130, 7.5.3 and 7.5.4; RFC 5402, 6). An
+# `unexpected-processing-error` may occur after the message had an effect, and so may any error not listed.
+ERRORS_BEFORE_CONTENT = frozenset(
     {
         Modifier.AUTHENTICATION,
         Modifier.DECRYPTION,
@@ -54,20 +54,23 @@
         Modifier.SAME_PARTY,
     }
 )
-UNSUPPORTED = frozenset({"unsupported format", "unsupported mic-algorithms"})
+UNSUPPORTED_TEXTS = frozenset({"unsupported format", "unsupported mic-algorithms"})
 
-# Statuses that a server gives by the head of a request alone. A 503 of a proxy may come after the partner's
-# work, and so may any 5xx; a 400 or 403 may be the application's own.
+# Statuses that a server returns after it has read only the head of a request. A proxy's 503, like any 5xx,
+# may be sent after the partner has processed the message; a 400 or 403 may come from the application itself.
 REJECTING_STATUSES = frozenset({401, 404, 405, 411, 413, 414, 415, 421, 426, 429, 431})
 
 
-def of_status(status: int) -> ProcessingStatus:
-    """What an HTTP status without a receipt proves."""
+def evaluate_status(status: int) -> ProcessingStatus:
+    """Return what an HTTP status without a receipt proves."""
     return ProcessingStatus.REJECTED if status in REJECTING_STATUSES else ProcessingStatus.UNKNOWN
 
 
-def of_receipt(expected: Expected, mdn: Mdn, signed: bool) -> Verdict:
-    """What a receipt proves of a message; `signed` if a signature of the partner holds."""
+def evaluate_receipt(expected: Expected, mdn: Mdn, signed: bool) -> Verdict:
+    """Return what a receipt proves of a message.
+
+    `signed` says whether the receipt has a valid signature of the partner.
+    """
     if mdn.message_id != expected.message_id:
         return Verdict(ProcessingStatus.UNKNOWN, f"receipt for another message: {mdn.message_id[:80]}")
     if expected.signed and not signed:
@@ -75,7 +78,8 @@
     if _is_rejection(mdn.disposition):
         return Verdict(ProcessingStatus.REJECTED)
     if mdn.disposition.type != "processed" or mdn.disposition.modifier not in ("", "warning"):
-        return Verdict(ProcessingStatus.UNKNOWN, f"told {mdn.disposition.plain}")  # stored: stays as it was
+        # The ledger stores this text: it must not change.
+        return Verdict(ProcessingStatus.UNKNOWN, f"told {mdn.disposition.plain}")
     if not mdn.digest:
         return Verdict(ProcessingStatus.UNKNOWN, "receipt without a MIC")
     if mdn.digest != expected.digest:
@@ -90,5 +94,7 @@
 def _is_rejection(disposition: Disposition) -> bool:
     text = disposition.text.lower()
     if disposition.type == "failed":
-        return disposition.modifier == "failure" and text in UNSUPPORTED
-    return disposition.type == "processed" and disposition.modifier == "error" and text in NEVER_REACHED
+        return disposition.modifier == "failure" and text in UNSUPPORTED_TEXTS
+    return (
+        disposition.type == "processed" and disposition.modifier == "error" and text in ERRORS_BEFORE_CONTENT
+    )
--- a/emberlatch/as2/evidence.py
+++ b/emberlatch/as2/evidence.py
@@ -1,4 +1,4 @@
-"""The ledger on disk: the messages sent, what receipts prove of them, and the receipts that are kept."""
+"""The ledger on disk: the messages sent, what receipts prove of them, and the receipts themselves."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 log = logging.getLogger(__name__)
 
 RECEIPT_SUFFIX = ".mdn"
-UNKNOWN_PREFIX = "?"  # of the keys of receipts for unknown messages
-MAX_UNKNOWN_RECEIPTS = 64  # receipts for unknown messages that are kept, the newest
+UNKNOWN_PREFIX = "?"  # prefix of the keys of receipts for unknown messages
+MAX_UNKNOWN_RECEIPTS = 64  # number of receipts for unknown messages that are kept; the oldest are deleted
 MAX_UNKNOWN_KEY_CHARACTERS = 300
-MAX_RECEIPT_BYTES = 64 * 1024  # of a receipt that are kept
-EXPIRY_BATCH = 200  # records that are checked for their expiry in one call
+MAX_RECEIPT_BYTES = 64 * 1024  # length to which a stored receipt is truncated
+EXPIRY_BATCH = 200  # number of records that one call checks for expiry
 
 
 class Dispute(TypedDict, total=False):
     """A dispute in its stored form: a `Record` by its stored keys, or a receipt for an unknown message."""
 
-    original: str  # the Message-ID; with the partner's name before it where the message is not known
+    original: str  # the Message-ID, preceded by the partner's name if the message is unknown
     partner: str
     disputes: list[str]
     receipts: list[str]  # names of the stored receipts
@@ -38,12 +38,12 @@
 class Evidence:
     """Stores a record of each message sent and the receipts for it.
 
-    `retention_s` is for how long a receipt may still arrive; `max_bytes` bounds the disk, half for the ledger
-    and half for the receipts.
+    `retention_s` is the time after a message's final state in which a receipt may still arrive; `max_bytes`
+    limits the disk space, half for the ledger and half for the receipts.
     """
 
     def __init__(self, files: Files, max_bytes: int, retention_s: float) -> None:
-        """Raises ValueError if the limit is too small."""
+        """Raises ValueError if `max_bytes` is too small."""
         self._files, self._retention_s = files, retention_s
         self._store, self._max_receipt_bytes = StateLog(files, max_bytes // 2), max_bytes // 2
         self._receipt_sizes: dict[str, int] = {}  # by name, oldest first
@@ -71,7 +71,7 @@
         self._store.load_read_only()
 
     def find(self, message_id: str) -> Record | None:
-        """The record of the message with a Message-ID."""
+        """Return the record of the message with a Message-ID; None if there is none."""
         state = self._store.states.get(message_id)
         return ledger.read(state) if state is not None else None
 
@@ -92,17 +92,17 @@
         if not ledger.add_verdict(record, verdict, at, name if receipt else ""):
             return
         if name in record.receipts:
-            self._keep(name, receipt)
+            self._store_receipt(name, receipt)
         self._put(record)
 
     def record_unknown(self, partner: str, message_id: str, at: float, receipt: bytes) -> None:
-        """Record a receipt for a message that is not known, or not any more; raises OSError."""
+        """Record a receipt for a message that has no record or whose record was deleted; raises OSError."""
         name = _receipt_name(receipt, at)
         key = f"{UNKNOWN_PREFIX}{partner} {message_id}"[:MAX_UNKNOWN_KEY_CHARACTERS]
         if key not in self._unknown and len(self._unknown) >= MAX_UNKNOWN_RECEIPTS:
-            self._forget(next(iter(self._unknown)))
+            self._delete(next(iter(self._unknown)))
         self._unknown[key] = None
-        self._keep(name, receipt)
+        self._store_receipt(name, receipt)
         text = f"receipt for a message that is not known: {message_id[:80]}"
         self._store.put(key, {"partner": partner, "at": at, "disputes": [text], "receipts": [name]})
 
@@ -115,34 +115,34 @@
         ledger.set_final_state(record, state, at)
         try:
             self._put(record)
-        except OSError as error:  # the final state itself is durable in the journal
+        except OSError as error:  # The final state itself is durable in the journal.
             log.error("the ledger cannot be written: %s", error)
 
     def expire(self, now: float) -> None:
-        """Delete records that have expired, checking a few in each call; raises OSError."""
+        """Delete records that have expired, checking at most EXPIRY_BATCH in each call; raises OSError."""
         if not self._expiry_queue:
             self._expiry_queue = [key for key in self._store.states if key not in self._unknown]
         for _ in range(min(EXPIRY_BATCH, len(self._expiry_queue))):
             record = self.find(self._expiry_queue.pop())
             if record is not None and ledger.is_expired(record, now, self._retention_s):
-                self._forget(record.message_id)
+                self._delete(record.message_id)
 
     def records(self) -> Iterator[Record]:
-        """All messages that are known, the longest unchanged first."""
+        """Yield all records, the least recently changed first."""
         for message_id in list(self._store.states):
             if not message_id.startswith(UNKNOWN_PREFIX):
                 yield ledger.read(self._store.states[message_id])
 
     def disputes(self) -> list[Dispute]:
-        """The stored states of all messages with a dispute, each with its Message-ID, for people."""
+        """Return, for operators, the stored states that have a dispute, each with its Message-ID."""
         return disputed(self._store.states)
 
     def receipt(self, name: str) -> bytes:
-        """A receipt as it arrived; raises OSError."""
+        """Read a stored receipt by its name; raises OSError."""
         return self._files.read(name)
 
     def close(self) -> None:
-        """Write no more."""
+        """Close the ledger: nothing is written afterwards."""
         self._store.close()
 
     def _put(self, record: Record) -> None:
@@ -152,13 +152,13 @@
             if ledger.is_unresolved(state):
                 log.warning("no space in the ledger: the record of %s is deleted", message_id)
 
-    def _forget(self, message_id: str) -> None:
+    def _delete(self, message_id: str) -> None:
         state = self._store.states.get(message_id, {})
         self._store.remove(message_id)
         self._unknown.pop(message_id, None)
         self._id_of_ref.pop(state.get("ref", -1), None)
 
-    def _keep(self, name: str, receipt: bytes) -> None:
+    def _store_receipt(self, name: str, receipt: bytes) -> None:
         if name in self._receipt_sizes:
             return
         data = receipt[:MAX_RECEIPT_BYTES]
@@ -178,12 +178,12 @@
 
 
 def _receipt_name(receipt: bytes, at: float) -> str:
-    """The name of a receipt's file: the milliseconds of its time, and a digest."""
+    """Return the name of a receipt's file: its time of arrival in milliseconds, and a digest."""
     return f"{round(at * 1000):014d}-{hashlib.sha256(receipt).hexdigest()[:16]}{RECEIPT_SUFFIX}"
 
 
 def disputed(states: Mapping[str, Mapping[str, object]]) -> list[Dispute]:
-    """The states of a ledger that hold a dispute, each with its Message-ID."""
+    """Return the states of a ledger that have a dispute, each with its Message-ID."""
     found: list[Dispute] = []
     for message_id, state in states.items():
         if state.get("disputes"):
--- a/emberlatch/as2/explain.py
+++ b/emberlatch/as2/explain.py
@@ -1,6 +1,6 @@
-"""A captured message layer by layer, for people: what it is, its algorithms, signers and disposition.
+"""Explains a captured message to operators, layer by layer: types, algorithms, signers and disposition.
 
-The outline needs no keys; with keys the layers are opened as the gateway opens them.
+`outline` needs no keys; `opened` removes the layers with keys, as the gateway does.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def outline(outer: Entity) -> Iterator[str]:
-    """The layers as far as they are visible without keys."""
+    """Describe the layers that are visible without keys, a line at a time."""
     for _ in range(MAX_LAYERS):
         yield f"{outer.type}, {len(outer.body)} bytes"
         if outer.type == "multipart/signed":
@@ -31,7 +31,7 @@
         elif outer.type in PKCS7_TYPES:
             der = outer.content()
             kind = cms.kind(der)
-            yield from _described(kind, der)
+            yield from _describe_pkcs7(kind, der)
             if kind != "compressed_data":
                 return
             outer = mime.entity(compression.decompress(der, MAX_DECOMPRESSED_BYTES))
@@ -40,7 +40,7 @@
     yield "and more layers than are looked at"
 
 
-def _described(kind: str, der: bytes) -> Iterator[str]:
+def _describe_pkcs7(kind: str, der: bytes) -> Iterator[str]:
     if kind == "signed_data":
         yield from _signature(der)
     elif kind in ("enveloped_data", "authenticated_enveloped_data"):
@@ -50,7 +50,7 @@
         ]
         yield f"  encrypted with {encrypted['content_encryption_algorithm']['algorithm'].native}"
         for recipient in data["recipient_infos"]:
-            yield f"  for {_identified(recipient.chosen, 'rid')}"
+            yield f"  for {_describe_identifier(recipient.chosen, 'rid')}"
     else:
         yield f"  {kind.replace('_', ' ')}"
 
@@ -59,11 +59,11 @@
     data = asn1.ContentInfo.load(der)["content"]
     for info in data["signer_infos"]:
         digest, method = info["digest_algorithm"]["algorithm"].native, info["signature_algorithm"]
-        yield f"  signed with {digest}, {method['algorithm'].native}, by {_identified(info, 'sid')}"
+        yield f"  signed with {digest}, {method['algorithm'].native}, by {_describe_identifier(info, 'sid')}"
     yield f"  {len(data['certificates'] or ())} certificates come along"
 
 
-def _identified(info: asn1.SignerInfo | asn1.KeyTransRecipientInfo, field: str) -> str:
+def _describe_identifier(info: asn1.SignerInfo | asn1.KeyTransRecipientInfo, field: str) -> str:
     identifier = info[field] if field in info._field_map else None
     if identifier is None or identifier.name != "issuer_and_serial_number":
         return "a key identifier" if identifier is not None else "another kind of recipient"
@@ -73,7 +73,7 @@
 
 
 def opened(outer: Entity, identity: Identity, trust: Trust, now: float, sha1: bool) -> Iterator[str]:
-    """The content, and whether it is valid, with our keys and a partner's certificates."""
+    """Open a message with our keys and a partner's certificates, and describe the content or the failure."""
     try:
         found: Opened = unseal(outer, identity, trust, Policy(False, False, sha1, True), now)
     except As2Error as error:
--- a/emberlatch/as2/final_state_observer.py
+++ b/emberlatch/as2/final_state_observer.py
@@ -1,4 +1,4 @@
-"""A notifier that reports each message's final state to an observer before it passes the notice on."""
+"""A completion notifier that reports each message's final state before it forwards the notice."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from emberlatch.engine import CompletionNotice, CompletionNotifier
 
 FINAL_STATES = {"delivered": "delivered", "bounced": "refused", "dead": "failed"}
-"""The state in the AS2 ledger for each result of a notice."""
+"""The final state in the AS2 ledger, by the result in a completion notice."""
 
 
 class FinalStateObserver:
-    """Wraps another notifier; `on_final_state` gets the message's number and its state."""
+    """Wraps another notifier; `on_final_state` is called with the message's `ref` and its final state."""
 
     def __init__(self, notifier: CompletionNotifier, on_final_state: Callable[[int, str], None]) -> None:
         self._notifier, self._on_final_state = notifier, on_final_state
         self.notifies_deliveries = notifier.notifies_deliveries
 
     def add(self, ref: int, notice: CompletionNotice) -> None:
-        """Report the state to the observer, then pass the notice on."""
+        """Report the final state, then forward the notice to the wrapped notifier."""
         self._on_final_state(ref, FINAL_STATES[notice["result"]])
         self._notifier.add(ref, notice)
 
     @property
     def pending(self) -> bool:
-        """Whether the wrapped notifier has notices that are not delivered."""
+        """Whether the wrapped notifier has undelivered notices."""
         return self._notifier.pending
--- a/emberlatch/as2/front.py
+++ b/emberlatch/as2/front.py
@@ -1,9 +1,12 @@
 """The AS2 front end: `POST /as2` accepts orders from partners, and receipts for the messages sent to them.
 
-An order is answered once the journal has it: with its receipt, or with 200 if the receipt is asynchronous or
-none is requested. One that can't be read is answered with a receipt that reports an error if a synchronous
-one is requested, else with 400. One whose receipt is to go to an address that is not agreed on gets 400, one
-from or to unknown names 403, one that can't be accepted at present 503 and Retry-After.
+An order is answered once it is in the journal: with its receipt, or with an empty 200 if the receipt is
+asynchronous or none is requested. Other answers:
+
+- a message that can't be accepted: an error receipt if a synchronous receipt is requested, else 400
+- a receipt requested at a URL other than the one in the partner's profile: 400
+- an unknown sender or recipient: 403
+- an order that can't be accepted at present: 503 and Retry-After
 """
 
 from __future__ import annotations
@@ -21,7 +24,7 @@
 from emberlatch.as2.mime import Entity
 from emberlatch.as2.order_log import OrderLog
 from emberlatch.as2.order_reply import BUSY_RETRY_AFTER_S, OrderReply, ReceiptRequest
-from emberlatch.as2.orders import Fate, Order
+from emberlatch.as2.orders import Classification, Order
 from emberlatch.as2.ports import PartnerDirectory, ReceiptHandler
 from emberlatch.as2.profile import Partner
 from emberlatch.as2.receipt_sender import ReceiptSender
@@ -34,7 +37,7 @@
 log = logging.getLogger(__name__)
 
 PATH = b"/as2"
-MAX_BODY_BYTES = MAX_CONTENT_BYTES + 64 * 1024  # base64 and signatures make a content larger
+MAX_BODY_BYTES = MAX_CONTENT_BYTES + 64 * 1024  # allows for the growth by base64 and signatures
 SINGLE_HEADERS = UNIQUE_HEADERS | {
     "as2-from",
     "as2-to",
@@ -48,14 +51,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpListener:
-    """The address on a machine where partners reach us, and how many connections they may have there."""
+    """The address at which partners connect to us, and the limit of their connections."""
 
     address: Address
     max_connections: int
     machine: Machine
 
     def make_server(self, submit: Callable[[Request, Reply], None], tasks: Tasks) -> Server:
-        """The server there, which passes each request to `submit`."""
+        """Create the server, which passes each request to `submit`."""
         return Server(
             self.address,
             submit,
@@ -70,7 +73,7 @@
 
 
 class As2Front:
-    """Submits orders, passes receipts on to their handler, and delivers our asynchronous receipts."""
+    """Submits orders to the engine, passes on partners' receipts, and delivers our asynchronous receipts."""
 
     def __init__(
         self,
@@ -86,20 +89,20 @@
         self._directory, self._order_log, self._receipt_handler = directory, order_log, receipt_handler
         self._server = listener.make_server(self._submit, core.tasks)
         self._receipts = ReceiptSender(station, order_log.retention_s)
-        self._in_progress: dict[str, OrderReply] = {}  # by the order's storage key
+        self._in_progress: dict[str, OrderReply] = {}  # orders being submitted, by storage key
         self._unseals = asyncio.Semaphore(MAX_CONCURRENT_UNSEALS)
 
     # Life cycle, called by the node.
 
     def start(self) -> None:
-        """Recover orders that were pending at a crash, and listen; raises OSError if that fails."""
+        """Recover orders that were pending at a crash, and listen; raises OSError if either fails."""
         for order in self._order_log.recover(self._engine.recovered_ids):
             self._tasks.spawn(self._deliver(order))
         self._server.start()
         self._tasks.spawn(self._expire())
 
     def stop(self) -> None:
-        """Close idle connections, and each other one after its answer."""
+        """Close idle connections at once, and busy ones after their answers."""
         self._server.stop()
 
     def close_listener(self) -> None:
@@ -133,7 +136,7 @@
             own = names.unquoted(headers.get("as2-to", ""))
             partner = self._parties.with_as2_name(sender)
             if partner is None or own != self._parties.own.name:
-                log.warning("message of %r to %r: no such partners", sender[:60], own[:60])
+                log.warning("message from %r to %r rejected: unknown AS2 name", sender[:60], own[:60])
                 reply.send(403)
                 return
             outer = mime.of(tuple(headers.items()), bytes(received.body))
@@ -145,7 +148,7 @@
         except CryptoServiceError as error:
             log.error("message %s: %s", received.headers.get("message-id", "")[:80], error)
             reply.send(503, BUSY_RETRY_AFTER_S)
-        except Exception:  # fails this message and nothing else
+        except Exception:  # The failure affects this message alone.
             log.exception("message %s failed", received.headers.get("message-id", "")[:80])
             if reply.data is None:
                 reply.send(500)
@@ -158,33 +161,39 @@
         receipt_request = self._receipt_request(partner, outer)
         try:
             opened = await self._crypto.unseal(outer, partner.inventory_name, partner.policy, self._now())
-            if mdn.is_receipt(opened.content):  # encrypted, which is never requested
+            if mdn.is_receipt(opened.content):  # an encrypted receipt, although none is ever requested
                 await self._handle_receipt(partner, outer, reply)
                 return
             order = self._new_order(partner, message_id, opened, receipt_request)
             await self._handle_order(partner, order, opened.content, receipt_request, reply)
         except (As2Error, BadMessageError) as error:
             rejection = error if isinstance(error, As2Error) else As2Error(Modifier.UNEXPECTED, str(error))
-            log.warning("message %s of %s: %s", message_id, partner.inventory_name, rejection.cause)
+            log.warning(
+                "message %s from %s rejected: %s", message_id, partner.inventory_name, rejection.cause
+            )
             await self._reject(partner, message_id, receipt_request, rejection, reply)
 
     async def _handle_order(
         self, partner: Partner, order: Order, content: Entity, receipt_request: ReceiptRequest, reply: Reply
     ) -> None:
-        """Submit a new order, and answer a repeated one; raises As2Error or BadMessageError."""
-        known = self._known(order)
+        """Submit a new order, or answer a repeated one; raises As2Error or BadMessageError."""
+        known = self._find_known(order)
         in_progress = self._in_progress.get(order.storage_key)
         busy = in_progress is not None and not in_progress.gone
-        match orders.fate(known, order.mic, order.digest, busy):
-            case Fate.BUSY:
+        match orders.classify(known, order.mic, order.digest, busy):
+            case Classification.BUSY:
                 reply.send(503, BUSY_RETRY_AFTER_S)
-            case Fate.DUPLICATE:
+            case Classification.DUPLICATE:
                 assert known is not None
                 await self._answer(known, receipt_request, reply)
-            case Fate.CONFLICT:
-                log.warning("dispute with %s: %s came with another content", order.partner, order.message_id)
-                raise As2Error(Modifier.UNEXPECTED, "another content under a Message-ID that was used")
-            case Fate.NEW:
+            case Classification.CONFLICT:
+                log.warning(
+                    "dispute with %s: %s was sent again with a different content",
+                    order.partner,
+                    order.message_id,
+                )
+                raise As2Error(Modifier.UNEXPECTED, "Message-ID was already used for a different content")
+            case Classification.NEW:
                 self._submit_order(partner, order, content, receipt_request, reply)
 
     def _new_order(
@@ -192,7 +201,7 @@
     ) -> Order:
         mic, digest = opened.mic(receipt_request.digest)
         own_id = orders.submission_id(partner.inventory_name, message_id)
-        receipt_digest = receipt_request.digest if receipt_request.is_wanted else ""
+        receipt_digest = receipt_request.digest if receipt_request.is_requested else ""
         received_at = round(self._now(), 3)
         return Order(
             message_id,
@@ -204,7 +213,7 @@
             receipt_digest=receipt_digest,
         )
 
-    def _known(self, order: Order) -> Order | None:
+    def _find_known(self, order: Order) -> Order | None:
         known = self._order_log.find(order)
         if (
             known is not None
@@ -236,10 +245,13 @@
             raise
 
     def _submission(self, partner: Partner, order: Order, content: Entity) -> Submission:
-        """Read an order's settings from its signed content, else from the profile; not from HTTP headers."""
+        """Build the submission of an order; its settings come from its signed content, else from the profile.
+
+        HTTP headers are not signed and never used.
+        """
         defaults = partner.order_defaults
         if defaults is None:
-            raise BadMessageError("no orders are agreed on with this partner")
+            raise BadMessageError(f"the profile of {partner.inventory_name} accepts no orders")
         envelope, timeout = content.get("envelope"), content.get("x-timeout-ms")
         address = envelope or (f"dest={defaults.destination}" if defaults.destination else "")
         return Submission(
@@ -258,14 +270,16 @@
         signed, digest = mdn.receipt_options(outer.get("disposition-notification-options"))
         url = outer.get("receipt-delivery-option").strip()
         if url and (partner.receipts is None or url != str(partner.receipts)):
-            raise As2Error(Modifier.UNEXPECTED, f"receipts to {url[:80]!r} are not agreed on")
+            raise As2Error(
+                Modifier.UNEXPECTED, f"receipt requested at {url[:80]!r}, expected {partner.receipts}"
+            )
         return ReceiptRequest(True, digest if signed else "", bool(url))
 
     async def _handle_receipt(self, partner: Partner, outer: Entity, reply: Reply) -> None:
         try:
             await self._receipt_handler.on_receipt(partner, outer)
         except OSError as error:
-            log.error("a receipt could not be recorded: %s", error)
+            log.error("receipt from %s could not be recorded: %s", partner.inventory_name, error)
             reply.send(503, BUSY_RETRY_AFTER_S)
             return
         reply.send(200)
@@ -273,9 +287,9 @@
     # Answers and receipts.
 
     def on_accepted(self, order: Order, receipt_request: ReceiptRequest, reply: Reply) -> None:
-        """The journal has an order: from here on it is answered alike however often it is sent.
+        """Answer an order that is in the journal; each repetition gets the same answer from now on.
 
-        An asynchronous receipt is posted for the first of them alone.
+        An asynchronous receipt is posted only once, not for each repetition.
         """
         order.accepted = True
         self._in_progress.pop(order.storage_key, None)
@@ -285,25 +299,25 @@
             self._tasks.spawn(self._deliver(order))
 
     def on_rejected(self, order: Order) -> None:
-        """The engine has rejected an order: it may be sent again as if it were new."""
+        """Delete an order that the engine has rejected; a repetition is handled as a new order."""
         self._in_progress.pop(order.storage_key, None)
         self._order_log.forget(order)
 
     def on_failed(self, order: Order, receipt_request: ReceiptRequest, reply: Reply) -> None:
-        """The engine has failed an order after it was submitted: its receipt reports an error."""
+        """Accept an order that the engine failed after its submission; its receipt reports an error."""
         disposition = mdn.error_disposition(Modifier.UNEXPECTED)
         order.disposition_type, order.modifier = disposition.type, disposition.modifier
         order.text = disposition.text
         self.on_accepted(order, receipt_request, reply)
 
     async def _answer(self, order: Order, receipt_request: ReceiptRequest, reply: Reply) -> None:
-        if receipt_request.asynchronous or not receipt_request.is_wanted:
+        if receipt_request.asynchronous or not receipt_request.is_requested:
             reply.send(200)
             return
         try:
             sealed = await self._receipts.seal_for(order, receipt_request.digest)
-        except Exception:  # it is accepted all the same, and the sender will repeat it
-            log.exception("a receipt for %s cannot be made", order.message_id)
+        except Exception:  # The order stays accepted, and the sender will send it again.
+            log.exception("receipt for %s cannot be sealed", order.message_id)
             reply.send(500)
             return
         headers = self._receipts.headers(order.partner, order.message_id, sealed)
@@ -318,7 +332,7 @@
         reply: Reply,
     ) -> None:
         """Answer a message that can't be accepted: with a receipt if one is requested, else with 400."""
-        if not receipt_request.is_wanted or receipt_request.asynchronous:
+        if not receipt_request.is_requested or receipt_request.asynchronous:
             reply.send(400)
             return
         disposition = mdn.error_disposition(error.modifier)
@@ -331,12 +345,12 @@
     async def _deliver(self, order: Order) -> None:
         await self._receipts.deliver(order)
         order.receipt_pending = False
-        if self._order_log.find(order) is not None:  # it may have expired meanwhile
+        if self._order_log.find(order) is not None:  # The order may have expired meanwhile.
             self._order_log.update(order, self._now())
 
 
 def _may_be_receipt(outer: Entity) -> bool:
-    """Whether a message is a receipt, by what is visible without opening it."""
+    """Whether a message is a receipt, as far as its unencrypted headers and first part show."""
     if mdn.is_receipt(outer):
         return True
     if outer.type != "multipart/signed":
--- a/emberlatch/as2/lab.py
+++ b/emberlatch/as2/lab.py
@@ -1,4 +1,4 @@
-"""For tests by operators: self-signed certificates, and a single message sent past the gateway."""
+"""Tools for tests by operators: self-signed certificates, and a test message that bypasses the gateway."""
 
 from __future__ import annotations
 
@@ -24,7 +24,10 @@
 
 
 def new_certificate(name: str, days: int) -> tuple[x509.Certificate, PrivateKey]:
-    """A 2048-bit key and its self-signed certificate, valid from an hour ago; ValueError for a bad name."""
+    """Create a 2048-bit RSA key and its self-signed certificate, valid from one hour ago.
+
+    Raises ValueError if the name can't be a common name.
+    """
     key = rsa.generate_private_key(65537, 2048)
     subject = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, name)])
     now = dt.datetime.now(dt.UTC)
@@ -38,7 +41,7 @@
 
 
 def to_pem(certificate: x509.Certificate, key: PrivateKey) -> tuple[bytes, bytes]:
-    """As PEM: the certificate, and the certificate with its key."""
+    """Encode as PEM: the certificate alone, and the certificate followed by its key."""
     own = certificate.public_bytes(serialization.Encoding.PEM)
     secret = key.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
@@ -63,7 +66,7 @@
     finally:
         connection.close()
     if not 200 <= response.status < 300:
-        return f"answered {response.status}: {evaluation.of_status(response.status)}"
+        return f"answered {response.status}: {evaluation.evaluate_status(response.status)}"
     if not response.body.strip():
         return "a receipt will come later" if partner.late_receipts else "unknown: no receipt in the answer"
     outer = mime.of(tuple(response.headers.items()), bytes(response.body))
@@ -73,7 +76,7 @@
     except As2Error as error:
         return f"unknown: receipt that does not hold: {error.cause}"
     expected = Expected(message_id, sealed.mic, sealed.digest, partner.signed_receipts)
-    verdict = evaluation.of_receipt(expected, receipt, bool(opened.signer))
+    verdict = evaluation.evaluate_receipt(expected, receipt, bool(opened.signer))
     dispute = f": {verdict.dispute}" if verdict.dispute else ""
     answered = names.message_id(receipt.message_id)
     return f"{verdict.status}{dispute} (disposition {receipt.disposition.plain}, {answered})"
--- a/emberlatch/as2/order_reply.py
+++ b/emberlatch/as2/order_reply.py
@@ -15,7 +15,7 @@
 class ReceiptRequest:
     """Which receipt a message requests."""
 
-    is_wanted: bool = False
+    is_requested: bool = False
     digest: str = ""  # of its signature; empty for an unsigned one
     asynchronous: bool = False  # on a connection of its own
 
--- a/emberlatch/as2/orders.py
+++ b/emberlatch/as2/orders.py
@@ -19,7 +19,7 @@
 """For people, in each positive receipt. Receipts of an order are alike over versions, so it never changes."""
 
 
-class Fate(Enum):
+class Classification(Enum):
     """How a received order is handled."""
 
     NEW = "new"
@@ -110,13 +110,13 @@
     return bool(document[STORED_KEYS["receipt_pending"]])
 
 
-def fate(known: Order | None, mic: str, digest: str, busy: bool) -> Fate:
+def classify(known: Order | None, mic: str, digest: str, busy: bool) -> Classification:
     """How to handle a received order, by what is known of the one with the same key."""
     if known is None or not (known.accepted or busy):
-        return Fate.NEW
+        return Classification.NEW
     if known.digest == digest and known.mic != mic:
-        return Fate.CONFLICT
-    return Fate.DUPLICATE if known.accepted else Fate.BUSY
+        return Classification.CONFLICT
+    return Classification.DUPLICATE if known.accepted else Classification.BUSY
 
 
 def resolved(order: Order, journaled: Container[str]) -> Order | None:
--- a/tests/as2/test_evaluation.py
+++ b/tests/as2/test_evaluation.py
@@ -8,7 +8,7 @@
 
 from emberlatch.as2 import ledger
 from emberlatch.as2.errors import Modifier
-from emberlatch.as2.evaluation import Expected, ProcessingStatus, Verdict, of_receipt, of_status
+from emberlatch.as2.evaluation import Expected, ProcessingStatus, Verdict, evaluate_receipt, evaluate_status
 from emberlatch.as2.ledger import Record
 from emberlatch.as2.mdn import DUPLICATE, PROCESSED, Disposition, Mdn, error_disposition
 
@@ -17,9 +17,9 @@
 
 
 def test_a_signed_receipt_with_the_mic_proves_that_it_ran() -> None:
-    assert of_receipt(EXPECTED, GOOD, signed=True) == Verdict(ProcessingStatus.PROCESSED)
+    assert evaluate_receipt(EXPECTED, GOOD, signed=True) == Verdict(ProcessingStatus.PROCESSED)
     again = replace(GOOD, disposition=DUPLICATE)
-    assert of_receipt(EXPECTED, again, signed=True) == Verdict(ProcessingStatus.PROCESSED)
+    assert evaluate_receipt(EXPECTED, again, signed=True) == Verdict(ProcessingStatus.PROCESSED)
 
 
 @pytest.mark.parametrize(
@@ -39,24 +39,25 @@
     ],
 )
 def test_anything_less_leaves_it_open_and_is_a_dispute(mdn: Mdn, signed: bool) -> None:
-    verdict = of_receipt(EXPECTED, mdn, signed)
+    verdict = evaluate_receipt(EXPECTED, mdn, signed)
     assert verdict.status is ProcessingStatus.UNKNOWN and verdict.dispute
 
 
 def test_an_unsigned_receipt_counts_where_no_signature_is_asked_for() -> None:
     assert (
-        of_receipt(replace(EXPECTED, signed=False), GOOD, signed=False).status is ProcessingStatus.PROCESSED
+        evaluate_receipt(replace(EXPECTED, signed=False), GOOD, signed=False).status
+        is ProcessingStatus.PROCESSED
     )
 
 
 @pytest.mark.parametrize("modifier", sorted(set(Modifier) - {Modifier.UNEXPECTED}))
 def test_errors_ahead_of_the_content_prove_that_it_never_ran(modifier: Modifier) -> None:
     receipt = Mdn("one@us", error_disposition(modifier))
-    assert of_receipt(EXPECTED, receipt, signed=True) == Verdict(ProcessingStatus.REJECTED)
+    assert evaluate_receipt(EXPECTED, receipt, signed=True) == Verdict(ProcessingStatus.REJECTED)
 
 
 def test_only_statuses_given_by_the_head_prove_that_it_never_ran() -> None:
-    assert {status for status in range(200, 600) if of_status(status) is ProcessingStatus.REJECTED} == {
+    assert {status for status in range(200, 600) if evaluate_status(status) is ProcessingStatus.REJECTED} == {
         *(401, 404, 405, 411, 413, 414, 415, 421, 426, 429, 431)
     }
 
--- a/tests/as2/test_seeded_runs.py
+++ b/tests/as2/test_seeded_runs.py
@@ -57,7 +57,7 @@
 
 def any_status_refuses() -> AbstractContextManager[Any]:
     """A 503 of a proxy is taken for the partner's word that nothing ran."""
-    return patch.object(evaluation, "of_status", lambda status: ProcessingStatus.REJECTED)
+    return patch.object(evaluation, "evaluate_status", lambda status: ProcessingStatus.REJECTED)
 
 
 def any_error_is_a_refusal() -> AbstractContextManager[Any]:
@@ -86,7 +86,7 @@
 
 
 def duplicates_are_new() -> AbstractContextManager[Any]:
-    return patch.object(As2Front, "_known", lambda self, order: None)
+    return patch.object(As2Front, "_find_known", lambda self, order: None)
 
 
 def late_proofs_are_dropped() -> AbstractContextManager[Any]:
