--- a/emberlatch/as2/evaluation.py
+++ b/emberlatch/as2/evaluation.py
@@ -31,7 +31,7 @@
     message_id: str
     mic: bytes
     digest: str
-    signed: bool  # whether it has to be signed
+    signed: bool  # whether the receipt has to be signed
 
 
 @dataclass(frozen=True, slots=True)
--- a/emberlatch/as2/evidence.py
+++ b/emberlatch/as2/evidence.py
@@ -46,7 +46,7 @@
         """Raises ValueError if `max_bytes` is too small."""
         self._files, self._retention_s = files, retention_s
         self._store, self._max_receipt_bytes = StateLog(files, max_bytes // 2), max_bytes // 2
-        self._receipt_sizes: dict[str, int] = {}  # by name, oldest first
+        self._receipt_sizes: dict[str, int] = {}  # sizes in bytes by file name, oldest first
         self._id_of_ref: dict[int, str] = {}
         self._unknown: dict[str, None] = {}  # keys of receipts for unknown messages, oldest first
         self._expiry_queue: list[str] = []
--- a/emberlatch/as2/ledger.py
+++ b/emberlatch/as2/ledger.py
@@ -1,8 +1,8 @@
-"""What is known of each message that was sent over AS2, until nothing more can be expected of it; no I/O.
+"""The record of each message sent over AS2, from its first attempt until no receipt is expected; no I/O.
 
-A message has at most one final state, which never changes. Receipts may arrive before it, after it, twice, or
-never, and may contradict it or each other: that is a dispute, for people to resolve with the partner, and
-never a second final state.
+A message has at most one final state, which never changes. Receipts may arrive before or after the final
+state, twice, or never. A receipt that contradicts the final state or another receipt causes a dispute, which
+operators resolve with the partner; it never changes the final state.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 from emberlatch.as2.evaluation import ProcessingStatus, Verdict
 
-MAX_DISPUTES = 8  # kept of one message
-MAX_RECEIPTS = 4  # kept of one message
+MAX_DISPUTES = 8  # number of disputes recorded for one message
+MAX_RECEIPTS = 4  # number of receipts recorded for one message
 CONFIRMED_RETENTION_S = 600.0
-"""For how long a message with a confirmed final state is remembered: a duplicate receipt may arrive."""
+"""How long the record of a confirmed final state is kept, as a duplicate receipt may still arrive."""
 
 FAILED_YET_PROCESSED = "ended {}, yet the partner processed it"
 DELIVERED_YET_REJECTED = "ended delivered, yet the partner refused it"
@@ -25,26 +25,26 @@
 
 @dataclass(slots=True)
 class Record:
-    """One message; times are Unix time in seconds."""
+    """The record of one message; times are Unix time in seconds."""
 
-    message_id: str  # without angle brackets
+    message_id: str  # Message-ID without angle brackets
     ref: int
-    message: str  # the id that its client gave it
+    message: str  # the id assigned by the client
     partner: str
-    mic: str  # in hexadecimal digits
+    mic: str  # hexadecimal digits
     digest: str
     first_sent_at: float
-    attempts: list[tuple[int, str]] = field(default_factory=list)  # number and endpoint of each
-    status: str = ""  # the first that was proved, see `ProcessingStatus`
+    attempts: list[tuple[int, str]] = field(default_factory=list)  # number and endpoint of each attempt
+    status: str = ""  # what receipts and answers prove, a `ProcessingStatus`; empty if nothing is proved
     status_at: float = 0.0
-    final_state: str = ""  # delivered, refused, failed
+    final_state: str = ""  # `delivered`, `refused` or `failed`; empty if there is none yet
     ended_at: float = 0.0
     disputes: list[str] = field(default_factory=list)
     receipts: list[str] = field(default_factory=list)  # names of the stored receipts
 
     def document(self) -> dict[str, object]:
-        """The stored form, as plain values."""
-        # `asdict` would copy deeply, and take as long as all else.
+        """Encode the record as it is stored."""
+        # `dataclasses.asdict` makes a deep copy, which takes as long as the rest of a write.
         values = {key: getattr(self, name) for name, key in STORED_KEYS.items()}
         return values | {key: list(values[key]) for key in ("attempts", "disputes", "receipts")}
 
@@ -78,7 +78,7 @@
 
 
 def is_unresolved(document: Mapping[str, object]) -> bool:
-    """Whether a stored record holds a dispute, or nothing is proved of its message yet."""
+    """Whether a stored record has a dispute, or nothing is proved of its message yet."""
     return bool(document.get(STORED_KEYS["disputes"]) or not document.get(STORED_KEYS["status"]))
 
 
@@ -88,7 +88,7 @@
 
 
 def add_verdict(record: Record, verdict: Verdict, at: float, receipt_name: str = "") -> bool:
-    """Record what a receipt or an answer proves; whether it says anything new."""
+    """Record what a receipt or an answer proves; return whether that changes the record."""
     before = (record.status, len(record.disputes))
     if verdict.dispute:
         _add_dispute(record, verdict.dispute)
@@ -105,8 +105,8 @@
     if not record.status:
         record.status, record.status_at = status, at
     elif record.status != status:
-        # Rejected at first and processed at a repeat is no contradiction: each attempt has its receipt. The
-        # other way round is one, and so is either with a single attempt.
+        # A later attempt may be processed after an earlier one was rejected: that is no contradiction. A
+        # rejection after `processed` is one, and so are two different statuses of a single attempt.
         if status is ProcessingStatus.REJECTED or len(record.attempts) < 2:
             _add_dispute(record, CONTRADICTION.format(record.status, status))
         else:
@@ -121,7 +121,11 @@
 
 
 def is_expired(record: Record, now: float, retention_s: float) -> bool:
-    """Whether the record may be deleted: its message ended long ago, or a while ago as its receipt says."""
+    """Whether the record may be deleted.
+
+    A confirmed final state is kept for CONFIRMED_RETENTION_S, any other for `retention_s`; disputes never
+    expire.
+    """
     if not record.final_state or record.disputes:
         return False
     kept_for = min(CONFIRMED_RETENTION_S, retention_s) if is_confirmed(record) else retention_s
--- a/emberlatch/as2/mdn.py
+++ b/emberlatch/as2/mdn.py
@@ -1,4 +1,4 @@
-"""Receipts: message disposition notifications (RFC 8098, 3798) as AS2 has them (RFC 4130, 7)."""
+"""Receipts: message disposition notifications (RFC 8098, 3798) as AS2 uses them (RFC 4130, 7)."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 REPORT = "multipart/report"
 NOTIFICATION = "message/disposition-notification"
 ASKED = "signed-receipt-protocol=optional, pkcs7-signature; signed-receipt-micalg=optional, {}"
-"""Disposition-Notification-Options where a signed receipt is wanted."""
-MAX_TEXT_CHARACTERS = 1024  # kept of the part for people
+"""The Disposition-Notification-Options that request a signed receipt."""
+MAX_TEXT_CHARACTERS = 1024  # limit of the human-readable part of a receipt
 
 _DISPOSITION = re.compile(
     r"[A-Za-z-]{1,32}/[A-Za-z-]{1,32} ?; ?([A-Za-z-]{1,32})(?: ?/ ?([A-Za-z-]{1,32})(?: ?: ?(.{0,128}))?)?"
@@ -27,7 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Disposition:
-    """The result of a message: `processed` or `failed`; `error`, `failure` or `warning`, and which."""
+    """What became of a message.
+
+    `type` is `processed` or `failed`; `modifier` is `error`, `failure`, `warning` or empty; `text` names the
+    error or warning.
+    """
 
     type: str = "processed"
     modifier: str = ""
@@ -39,7 +43,7 @@
 
     @property
     def plain(self) -> str:
-        """For people and the ledger: `processed`, `failed/failure: unsupported format`."""
+        """The short form for operators and the ledger: `processed`, `failed/failure: unsupported format`."""
         return self.type + (f"/{self.modifier}: {self.text}" if self.modifier else "")
 
 
@@ -48,7 +52,7 @@
 
 
 def error_disposition(modifier: Modifier) -> Disposition:
-    """The disposition that reports an error."""
+    """Return the disposition that reports an error."""
     if modifier is Modifier.UNSUPPORTED:
         return Disposition("failed", "failure", modifier)
     return Disposition("processed", "error", modifier)
@@ -56,18 +60,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Mdn:
-    """A receipt as it was read; a MIC without a digest is none. `message_id` has no angle brackets."""
+    """The contents of a receipt; it has no valid MIC if `digest` is empty."""
 
-    message_id: str  # of the message that it answers
+    message_id: str  # Message-ID of the message that was received, without angle brackets
     disposition: Disposition
     mic: bytes = b""
     digest: str = ""
-    recipient: str = ""  # the AS2 name of the one that received
+    recipient: str = ""  # the AS2 name of the party that received the message
     text: str = ""
 
 
 def build(mdn: Mdn) -> bytes:
-    """The receipt as an entity; the same for the same receipt."""
+    """Encode a receipt as a MIME entity; equal receipts result in equal bytes."""
     lines = [
         "Reporting-UA: emberlatch",
         f"Original-Recipient: rfc822; {names.quoted(mdn.recipient)}",
@@ -80,19 +84,19 @@
             f"Received-Content-MIC: {base64.b64encode(mdn.mic).decode()}, {MICALG_NAMES[mdn.digest]}"
         )
     notification = "".join(f"{line}\r\n" for line in lines)
-    human = mime.compose((("Content-Type", "text/plain; charset=us-ascii"),), _plain(mdn.text))
+    human = mime.compose((("Content-Type", "text/plain; charset=us-ascii"),), _human_text(mdn.text))
     machine = mime.compose((("Content-Type", NOTIFICATION),), notification.encode("ascii", "replace"))
     boundary = f"elr-{hashlib.sha256(notification.encode()).hexdigest()[:40]}"
     kind = f'{REPORT}; report-type=disposition-notification; boundary="{boundary}"'
-    return mime.compose((("Content-Type", kind),), mime.joined([human, machine], boundary))
+    return mime.compose((("Content-Type", kind),), mime.join_parts([human, machine], boundary))
 
 
-def _plain(text: str) -> bytes:
+def _human_text(text: str) -> bytes:
     return (re.sub(r"[^ -~]", " ", text)[:MAX_TEXT_CHARACTERS] + "\r\n").encode("ascii")
 
 
 def is_receipt(content: Entity) -> bool:
-    """Whether a content is a receipt."""
+    """Whether an entity is a receipt."""
     return content.type == REPORT and content.param("report-type").lower() == "disposition-notification"
 
 
@@ -123,7 +127,7 @@
 
 
 def _mic(value: str) -> tuple[bytes, str]:
-    """The MIC that a receipt contains and its digest; one that can't be read is none."""
+    """Decode the MIC of a receipt and its digest; both are empty if the value can't be read."""
     encoded, _, name = value.rpartition(",")
     try:
         mic = base64.b64decode(encoded.strip(), validate=True)
@@ -134,7 +138,7 @@
 
 
 def receipt_options(options: str) -> tuple[bool, str]:
-    """Whether a signed receipt is asked for, and with which digest (RFC 4130, 7.3)."""
+    """Return whether a signed receipt is requested, and with which digest (RFC 4130, 7.3)."""
     parameters: dict[str, list[str]] = {}
     for each in options[: mime.MAX_VALUE_CHARACTERS].split(";"):
         name, _, values = each.partition("=")
--- a/emberlatch/as2/message.py
+++ b/emberlatch/as2/message.py
@@ -1,11 +1,11 @@
 """The layers of an AS2 message (RFC 4130, 4; RFC 5402; RFC 8551, 3).
 
-Sent messages are compressed, signed and encrypted as agreed with a partner; received ones are opened whatever
-the nesting.
+Messages to a partner are compressed, signed and encrypted as its profile says; received messages are opened
+whatever the order of their layers.
 
-The MIC, by which a receipt says what was received, is computed over what was signed; without a signature,
-over the content and its headers where it was encrypted or compressed, else over the content alone (RFC 4130,
-7.3.1; RFC 5402, 4).
+The MIC in a receipt identifies the received content. It is computed over the signed bytes; without a
+signature, over the content with its headers if the message was encrypted or compressed, else over the content
+without its headers (RFC 4130, 7.3.1; RFC 5402, 4).
 """
 
 from __future__ import annotations
@@ -18,29 +18,29 @@
 from emberlatch.as2.errors import As2Error, MimeError, Modifier
 from emberlatch.as2.mime import Entity
 
-MAX_CONTENT_BYTES = 128 * 1024  # of a content, also once it is decompressed
+MAX_CONTENT_BYTES = 128 * 1024  # limit of a content, after decompression
 MAX_LAYERS = 5
 PKCS7_TYPES = ("application/pkcs7-mime", "application/x-pkcs7-mime")
 SIGNATURE_TYPES = ("application/pkcs7-signature", "application/x-pkcs7-signature")
 MICALG_NAMES = {"sha1": "sha1", "sha256": "sha-256", "sha384": "sha-384", "sha512": "sha-512"}
-"""Digests as `micalg` and receipts name them (RFC 5751, 3.4.3.2)."""
+"""The names of digests in `micalg` and in receipts (RFC 5751, 3.4.3.2)."""
 
 
 @dataclass(frozen=True, slots=True)
 class Format:
-    """The layers of the messages to a partner: a digest to sign with and a cipher, each empty for none."""
+    """The layers of messages to a partner; an empty `sign` or `encrypt` means that there is no such layer."""
 
-    sign: str = "sha256"
-    encrypt: str = "aes256_cbc"
+    sign: str = "sha256"  # digest
+    encrypt: str = "aes256_cbc"  # cipher
     compress: bool = False
 
 
-PLAIN = Format("", "", False)
+NO_LAYERS = Format("", "", False)
 
 
 @dataclass(frozen=True, slots=True)
 class Sealed:
-    """A message as it is sent, and the MIC that its receipt must have; a MIC without a digest is none."""
+    """A message as it is sent, with the MIC that its receipt must have and the MIC's digest."""
 
     headers: tuple[tuple[str, str], ...]
     body: bytes
@@ -60,24 +60,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Opened:
-    """A message without its layers: its MIC is computed over `mic_input`, with the signature's `digest`."""
+    """A message without its layers. Its MIC is computed over `mic_input`."""
 
     content: Entity
     mic_input: bytes
-    digest: str
-    signer: str  # described for people; empty for none
+    digest: str  # the digest of the signature; empty for an unsigned message
+    signer: str  # description of the certificate, for operators; empty for an unsigned message
     layers: tuple[str, ...]
 
     def mic(self, digest: str = "") -> tuple[bytes, str]:
-        """The MIC and its digest: that of the signature, else the one asked for."""
+        """Return the MIC and its digest: the signature's, else the requested one, else SHA-256."""
         name = self.digest or digest or "sha256"
         return cms.digest(name, self.mic_input), name
 
 
 def seal(content: bytes, layers: Format, identity: Identity, trust: Trust, now: float) -> Sealed:
-    """Apply the layers to an entity in canonical form, at a Unix time.
+    """Apply the layers to an entity in canonical form; raises CertificateError or As2Error.
 
-    Raises CertificateError or As2Error.
+    `now` is Unix time in seconds.
     """
     inner, name = content, layers.sign or "sha256"
     if layers.compress:
@@ -105,7 +105,8 @@
 
 
 def _multipart_signed(inner: bytes, signature: bytes, name: str) -> bytes:
-    # Derived from the content's digest: no content can contain it, and a repeat has the same bytes.
+    # The boundary is derived from the digest of the content: the content can't contain the boundary, and a
+    # repeated attempt has the same bytes.
     boundary = f"el-{hashlib.sha256(inner).hexdigest()[:40]}"
     headers = (
         ("Content-Type", 'application/pkcs7-signature; name="smime.p7s"'),
@@ -116,12 +117,12 @@
         f'multipart/signed; protocol="application/pkcs7-signature"; '
         f'micalg={MICALG_NAMES[name]}; boundary="{boundary}"'
     )
-    body = mime.joined([inner, mime.compose(headers, signature)], boundary)
+    body = mime.join_parts([inner, mime.compose(headers, signature)], boundary)
     return mime.compose((("Content-Type", kind),), body)
 
 
 class _Opening:
-    """The state of opening one message: the layers that were removed so far."""
+    """Removes the layers of one message and records them."""
 
     def __init__(self, identity: Identity, trust: Trust, policy: Policy, now: float) -> None:
         self.identity, self.trust, self.policy, self.now = identity, trust, policy, now
@@ -130,11 +131,11 @@
 
     @property
     def encrypted(self) -> bool:
-        """Whether a layer was decrypted."""
+        """Whether one of the removed layers was encryption."""
         return any(layer.startswith("encrypted") for layer in self.layers)
 
     def content(self, outer: Entity) -> Entity:
-        """The content inside all layers; raises As2Error."""
+        """Remove all layers and return the content; raises As2Error."""
         while (inner := self._remove_layer(outer)) is not None:
             if len(self.layers) > MAX_LAYERS:
                 raise As2Error(Modifier.UNSUPPORTED, f"over {MAX_LAYERS} layers")
@@ -147,7 +148,7 @@
         return outer
 
     def _remove_layer(self, outer: Entity) -> Entity | None:
-        """Remove one layer; None where there is none left."""
+        """Remove the outermost layer; return None if the entity has no layer."""
         if outer.type == "multipart/signed":
             return self._open_detached(outer)
         if outer.type not in PKCS7_TYPES:
@@ -182,8 +183,8 @@
         try:
             return cms.verify(der, content, self.trust, self.now, self.policy.sha1)
         except As2Error:
-            # Some senders sign the canonical form of a content that they send with bare line feeds.
-            if (canonical := mime.canonical(content)) == content:
+            # Some senders sign the canonical form of a content but send it with bare line feeds.
+            if (canonical := mime.canonicalize(content)) == content:
                 raise
             return cms.verify(der, canonical, self.trust, self.now, self.policy.sha1)
 
@@ -195,14 +196,14 @@
 
 
 def unseal(outer: Entity, identity: Identity, trust: Trust, policy: Policy, now: float) -> Opened:
-    """Remove the layers; raises As2Error, also where a layer is missing that the policy requires."""
+    """Remove all layers; raises As2Error, also if a layer that the policy requires is missing."""
     opening = _Opening(identity, trust, policy, now)
     try:
         current = opening.content(outer)
     except As2Error as error:
         if opening.encrypted and opening.signed is None:
-            # What was decrypted may be noise, from a wrong key or a modified ciphertext: whatever it looks
-            # like, the sender must not learn how far we got with it (a padding oracle).
+            # With a wrong key or a modified ciphertext, decryption may return random bytes. The sender must
+            # not learn at which step such bytes were rejected: that would be a padding oracle.
             raise As2Error(Modifier.AUTHENTICATION, str(error)) from error
         raise
     signed = opening.signed
--- a/emberlatch/as2/mime.py
+++ b/emberlatch/as2/mime.py
@@ -1,7 +1,7 @@
-"""MIME entities as AS2 needs them (RFC 2045, 2046): the bytes stay as received, for signatures and MICs are
-computed over them.
+"""MIME entities as AS2 uses them (RFC 2045, 2046).
 
-Everything is bounded: headers in number and bytes, parts in number, parameters in length.
+The received bytes are kept unchanged, since signatures and MICs are computed over them. The number and the
+size of headers, the number of parts and the length of parameters are limited.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 MAX_HEADERS = 64
 MAX_HEAD_BYTES = 16 * 1024
-MAX_VALUE_CHARACTERS = 1024  # of a header that has parameters
+MAX_VALUE_CHARACTERS = 1024  # limit of a header value with parameters
 MAX_PARTS = 16
 
 _BLANK = re.compile(rb"\r?\n\r?\n")
@@ -31,14 +31,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Entity:
-    """Headers, and a body as it was transferred; `raw` is both with the blank line between, as received."""
+    """Headers, and a body with its transfer encoding.
+
+    `raw` is the whole entity as received; empty if the headers were received apart from the body.
+    """
 
     headers: tuple[tuple[str, str], ...]
     body: bytes
     raw: bytes
 
     def get(self, name: str) -> str:
-        """The first header of a name, unfolded; empty if there is none."""
+        """Return the first header with a lower-case name, unfolded; empty if there is none."""
         return next((value for header, value in self.headers if header.lower() == name), "")
 
     @property
@@ -47,11 +50,11 @@
         return self.get("content-type").partition(";")[0].strip().lower() or "text/plain"
 
     def param(self, name: str, header: str = "content-type") -> str:
-        """A parameter of a header; empty if there is none."""
+        """Return a parameter of a header; empty if there is none. Raises MimeError if it can't be read."""
         return parameter(self.get(header), name)
 
     def content(self) -> bytes:
-        """The body with its transfer encoding undone; raises MimeError."""
+        """Return the body without its transfer encoding; raises MimeError."""
         encoding = self.get("content-transfer-encoding").strip().lower()
         if encoding in ("", "7bit", "8bit", "binary"):
             return self.body
@@ -66,7 +69,7 @@
 
 
 def parameter(value: str, name: str) -> str:
-    """A parameter of a header's value; empty if there is none. Raises MimeError if it can't be read."""
+    """Return a parameter of a header's value; empty if there is none. Raises MimeError if unreadable."""
     if len(value) > MAX_VALUE_CHARACTERS:
         raise MimeError(f"a header of {len(value)} characters with parameters")
     message = Message()
@@ -79,7 +82,7 @@
 
 
 def entity(raw: bytes) -> Entity:
-    """Read an entity; raises MimeError."""
+    """Parse an entity; raises MimeError."""
     if raw.startswith((b"\r\n", b"\n")):  # no headers
         return Entity((), raw[2 if raw.startswith(b"\r") else 1 :], raw)
     blank = _BLANK.search(raw, 0, MAX_HEAD_BYTES)
@@ -89,7 +92,7 @@
 
 
 def of(headers: Headers, body: bytes) -> Entity:
-    """An entity whose headers are given apart from its body, as those of HTTP are."""
+    """Create an entity from headers and a body that were received apart, as with HTTP."""
     return Entity(tuple(headers), body, b"")
 
 
@@ -106,20 +109,20 @@
 
 
 def compose(headers: Headers, body: bytes) -> bytes:
-    """An entity as bytes, in canonical form: lines of the head end in CRLF."""
+    """Encode an entity in canonical form: the lines of its headers end in CRLF."""
     head = "".join(f"{name}: {value}\r\n" for name, value in headers)
     return head.encode("ascii") + b"\r\n" + body
 
 
-def canonical(raw: bytes) -> bytes:
-    """The form in which text is signed: every line ends in CRLF (RFC 8551, 3.1.1)."""
+def canonicalize(raw: bytes) -> bytes:
+    """Convert text to the form in which it is signed: every line ends in CRLF (RFC 8551, 3.1.1)."""
     return _BREAKS.sub(b"\r\n", raw)
 
 
 def parts(multipart: Entity) -> list[bytes]:
-    """The parts of a multipart body, each as received; raises MimeError.
+    """Split a multipart body into its parts, each as received; raises MimeError.
 
-    The line break ahead of a delimiter belongs to the delimiter (RFC 2046, 5.1.1). The preamble and
+    The line break before a delimiter belongs to the delimiter (RFC 2046, 5.1.1). The preamble and
     the epilogue are ignored.
     """
     boundary = multipart.param("boundary")
@@ -139,10 +142,10 @@
 
 
 def _delimiters(body: bytes, delimiter: bytes) -> Iterator[tuple[int, int, bool]]:
-    """Where each delimiter's line begins (with the line break ahead) and ends, and whether it is the last.
+    """Yield the start and the end of each delimiter line, and whether the delimiter is the last.
 
-    A line break between two delimiters belongs to both. A pattern made of the boundary would be compiled for
-    every message, and took ten times as long.
+    A line starts with the line break before the delimiter; a line break between two delimiters belongs to
+    both. No regular expression is used: it would be compiled for each boundary, which took ten times as long.
     """
     at = body.find(delimiter)
     while at >= 0:
@@ -159,7 +162,7 @@
         at = body.find(delimiter, at + 1)
 
 
-def joined(parts_of: Sequence[bytes], boundary: str) -> bytes:
-    """A multipart body."""
+def join_parts(parts_of: Sequence[bytes], boundary: str) -> bytes:
+    """Build a multipart body from its parts."""
     delimiter = f"--{boundary}".encode("ascii")
     return b"".join(b"%b\r\n%b\r\n" % (delimiter, part) for part in parts_of) + delimiter + b"--\r\n"
--- a/emberlatch/as2/names.py
+++ b/emberlatch/as2/names.py
@@ -7,7 +7,7 @@
 from emberlatch.as2.errors import MimeError
 
 MAX_NAME_CHARACTERS = 128
-MAX_MESSAGE_ID_CHARACTERS = 255  # the recommended limit; longer ones are rejected
+MAX_MESSAGE_ID_CHARACTERS = 255  # the recommended limit; longer Message-IDs are rejected
 
 _ATOM = re.compile(r"[\x21\x23-\x5b\x5d-\x7e]{1,128}")
 _QUOTED = re.compile(r'"((?:[\x20\x21\x23-\x5b\x5d-\x7e]|\\["\\])+)"')
@@ -15,7 +15,7 @@
 
 
 def quoted(name: str) -> str:
-    """A name as written in AS2-From and AS2-To; ValueError if it can't be one."""
+    """Encode a name for AS2-From and AS2-To; raises ValueError if it is no valid AS2 name."""
     if _ATOM.fullmatch(name):
         return name
     if not 1 <= len(name) <= MAX_NAME_CHARACTERS or not all(" " <= c <= "~" for c in name):
@@ -24,7 +24,7 @@
 
 
 def unquoted(text: str) -> str:
-    """The name in a header; raises MimeError."""
+    """Decode the name in AS2-From or AS2-To; raises MimeError."""
     text = text.strip()
     if _ATOM.fullmatch(text):
         return text
@@ -36,7 +36,7 @@
 
 
 def message_id(text: str) -> str:
-    """A Message-ID without its angle brackets, some senders leave them out; raises MimeError."""
+    """Return a Message-ID without angle brackets, which some senders omit; raises MimeError."""
     match = _MESSAGE_ID.fullmatch(text.strip()) if len(text) <= MAX_MESSAGE_ID_CHARACTERS + 64 else None
     if match is None:
         raise MimeError(f"no Message-ID: {text[:40]!r}")
--- a/emberlatch/as2/order_reply.py
+++ b/emberlatch/as2/order_reply.py
@@ -1,4 +1,4 @@
-"""What the engine answers to an order that a partner sent, passed on to the front end that submitted it."""
+"""Forwards the engine's answer to a partner's order to the front end that submitted the order."""
 
 from __future__ import annotations
 
@@ -8,33 +8,34 @@
 from emberlatch.as2.orders import Order
 from emberlatch.net.server import Reply
 
-BUSY_RETRY_AFTER_S = 1.0  # where the same order is being accepted, or the order can't be stored
+BUSY_RETRY_AFTER_S = 1.0
+"""Retry-After while the same order is being submitted, or the order can't be accepted or stored."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReceiptRequest:
-    """Which receipt a message requests."""
+    """The receipt that a message requests."""
 
     is_requested: bool = False
-    digest: str = ""  # of its signature; empty for an unsigned one
-    asynchronous: bool = False  # on a connection of its own
+    digest: str = ""  # the digest of the receipt's signature; empty for an unsigned receipt
+    asynchronous: bool = False  # whether the receipt is sent on a separate connection
 
 
 class OrderObserver(Protocol):
-    """What submitted an order."""
+    """The submitter of an order, which is notified of the engine's answer."""
 
     def on_accepted(self, order: Order, receipt_request: ReceiptRequest, reply: Reply) -> None:
-        """The journal has the order."""
+        """The order is in the journal."""
 
     def on_rejected(self, order: Order) -> None:
-        """The engine has rejected the order: it may be sent again as if it were new."""
+        """The engine has rejected the order, and a repetition counts as a new order."""
 
     def on_failed(self, order: Order, receipt_request: ReceiptRequest, reply: Reply) -> None:
         """The engine has failed the order after it was submitted."""
 
 
 class OrderReply:
-    """Receives the engine's answer to an order."""
+    """Receives the engine's answer to one order."""
 
     def __init__(
         self, observer: OrderObserver, order: Order, receipt_request: ReceiptRequest, reply: Reply
@@ -48,19 +49,19 @@
         return self._reply.gone
 
     def accepted(self) -> None:
-        """The journal has the order."""
+        """Report that the order is in the journal."""
         self._observer.on_accepted(self._order, self._receipt_request, self._reply)
 
     def rejected(self, retry_after: float) -> None:
-        """The order is over a limit."""
+        """Report that the order exceeds a limit, and answer 503."""
         self._observer.on_rejected(self._order)
         self._reply.send(503, retry_after)
 
     def unavailable(self, retry_after: float | None = None) -> None:
-        """The engine can't accept orders at present."""
+        """Report that the engine can't accept orders at present, and answer 503."""
         self._observer.on_rejected(self._order)
         self._reply.send(503, retry_after if retry_after is not None else BUSY_RETRY_AFTER_S)
 
     def failed(self) -> None:
-        """The engine has failed the order."""
+        """Report that the engine has failed the order."""
         self._observer.on_failed(self._order, self._receipt_request, self._reply)
--- a/emberlatch/as2/orders.py
+++ b/emberlatch/as2/orders.py
@@ -1,7 +1,7 @@
-"""Orders received over AS2, identified by sender and Message-ID: whether one is new, and its receipt.
+"""Orders received over AS2: recognizes repeated orders by sender and Message-ID, and builds receipts.
 
-Without I/O: states are plain values, stored by the front end. An order is pending from before it is submitted
-to the engine until the engine has accepted it, and accepted from then on.
+The module does no I/O; `OrderLog` stores the orders. An order is pending from just before it is submitted to
+the engine until the engine accepts it, and accepted from then on.
 """
 
 from __future__ import annotations
@@ -16,46 +16,49 @@
 from emberlatch.as2.mdn import Disposition, Mdn
 
 RECEIPT_TEXT = "The message is taken on; its end is told as agreed."
-"""For people, in each positive receipt. Receipts of an order are alike over versions, so it never changes."""
+"""The human-readable text of each positive receipt.
+
+It never changes, since all receipts of an order must be equal, also from different versions of this program.
+"""
 
 
 class Classification(Enum):
-    """How a received order is handled."""
+    """How a received order is to be handled."""
 
     NEW = "new"
-    BUSY = "busy"  # the same order is being accepted just now
-    DUPLICATE = "again"  # it was accepted: answered as before, but an asynchronous receipt is not posted anew
-    CONFLICT = "other"  # another content under a Message-ID that was used
+    BUSY = "busy"  # the same order is being submitted
+    DUPLICATE = "again"  # already accepted: gets the same answer, but no second asynchronous receipt
+    CONFLICT = "other"  # a different content with a Message-ID that was already used
 
 
 @dataclass(slots=True)
 class Order:
-    """One order; `received_at` is Unix time in seconds, `mic` in hexadecimal digits."""
+    """One order; `received_at` is Unix time in seconds, `mic` hexadecimal digits."""
 
-    message_id: str  # without angle brackets
+    message_id: str  # Message-ID without angle brackets
     partner: str
-    id: str  # its id in the engine
+    id: str  # the id in the engine
     mic: str
     digest: str
     received_at: float
     accepted: bool = False
-    disposition_type: str = "processed"  # of its receipt, as are modifier and text
+    disposition_type: str = "processed"  # part of the receipt's disposition, as are modifier and text
     modifier: str = ""
     text: str = ""
-    receipt_digest: str = ""  # of the signature that the receipt is to have; empty for none
-    receipt_pending: bool = False  # an asynchronous receipt that is not delivered yet
+    receipt_digest: str = ""  # the digest of the receipt's signature; empty for an unsigned receipt
+    receipt_pending: bool = False  # whether an asynchronous receipt is undelivered
 
     @property
     def storage_key(self) -> str:
-        """The key under which it is stored, see `key`."""
+        """The key under which the order is stored, see `key`."""
         return key(self.partner, self.message_id)
 
     def document(self) -> dict[str, object]:
-        """The stored form, as plain values."""
+        """Encode the order as it is stored."""
         return {key: getattr(self, name) for name, key in STORED_KEYS.items()}
 
     def receipt(self, recipient: str) -> Mdn:
-        """The receipt of the order: the same however often it is asked for."""
+        """Build the receipt of the order; each call returns an equal receipt."""
         disposition = Disposition(self.disposition_type, self.modifier, self.text)
         is_positive = disposition == mdn.PROCESSED
         mic = bytes.fromhex(self.mic) if is_positive else b""
@@ -82,12 +85,15 @@
 
 
 def key(partner: str, message_id: str) -> str:
-    """The key under which an order is stored."""
+    """Return the key under which an order is stored."""
     return f"{partner}\n{message_id}"
 
 
 def submission_id(partner: str, message_id: str) -> str:
-    """The id of an order in the engine: the same for the same order, and never that of another sender's."""
+    """Return the id of an order in the engine; it depends on the sender and the Message-ID alone.
+
+    Orders of different senders never have the same id.
+    """
     return f"as2-{hashlib.sha256(key(partner, message_id).encode()).hexdigest()[:32]}"
 
 
@@ -106,12 +112,15 @@
 
 
 def has_pending_receipt(document: Mapping[str, object]) -> bool:
-    """Whether an asynchronous receipt of a stored order is not delivered yet."""
+    """Whether an asynchronous receipt of a stored order is undelivered."""
     return bool(document[STORED_KEYS["receipt_pending"]])
 
 
 def classify(known: Order | None, mic: str, digest: str, busy: bool) -> Classification:
-    """How to handle a received order, by what is known of the one with the same key."""
+    """Classify a received order by the stored order with the same key.
+
+    `busy` says whether the stored order is being submitted.
+    """
     if known is None or not (known.accepted or busy):
         return Classification.NEW
     if known.digest == digest and known.mic != mic:
@@ -119,8 +128,8 @@
     return Classification.DUPLICATE if known.accepted else Classification.BUSY
 
 
-def resolved(order: Order, journaled: Container[str]) -> Order | None:
-    """An order that was pending at a crash, accepted if the journal holds its id; else None."""
+def resolve_pending(order: Order, journaled: Container[str]) -> Order | None:
+    """Return a stored order, accepted if it was pending at a crash and the journal has its id; else None."""
     if order.accepted:
         return order
     if order.id not in journaled:
@@ -130,5 +139,5 @@
 
 
 def is_expired(order: Order, now: float, retention_s: float) -> bool:
-    """Whether its Message-ID may be forgotten."""
+    """Whether an order may be deleted, after which a repetition is not recognized."""
     return now - order.received_at > retention_s
--- a/emberlatch/as2/ports.py
+++ b/emberlatch/as2/ports.py
@@ -1,4 +1,4 @@
-"""What the AS2 parts use of the gateway that they belong to, and of each other."""
+"""The interfaces through which the AS2 parts use the rest of the gateway and each other."""
 
 from __future__ import annotations
 
@@ -12,30 +12,31 @@
 
 
 class PartnerDirectory(Protocol):
-    """The inventory's partners and endpoints, as far as AS2 has to do with them."""
+    """Look-ups of partners and AS2 endpoints in the inventory."""
 
     def partner_of(self, target: Target) -> str | None:
-        """The name of the partner whose AS2 endpoint a target is; None if it is no such endpoint."""
+        """Return the name of the partner whose AS2 endpoint a target is; None if it is no AS2 endpoint."""
 
     def destination_number(self, partner: str) -> int | None:
-        """The number of the destination that a partner is; None if there is no such partner."""
+        """Return the destination number of a partner; None if there is no such partner."""
 
 
 class ReceiptHandler(Protocol):
-    """Handles the receipts that partners send on connections of their own."""
+    """Handles the asynchronous receipts that partners send."""
 
     async def on_receipt(self, partner: Partner, outer: Entity) -> None:
         """Handle one receipt.
 
-        Raises As2Error if it can't be read, and OSError if it can't be recorded: it must be sent again then.
+        Raises As2Error if it can't be read, and OSError if it can't be recorded, so that the partner has to
+        send it again.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class StateFolders:
-    """The two folders of a gateway's state that AS2 has: what a process writes there, the next one reads."""
+    """The two AS2 folders in a gateway's state folder; each process reads what the previous one wrote."""
 
     ledger: Files
-    """Of the messages sent, and the receipts for them."""
+    """The messages sent, and the receipts for them."""
     orders: Files
-    """Of the orders received."""
+    """The orders received."""
--- a/emberlatch/as2/profile.py
+++ b/emberlatch/as2/profile.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Own:
-    """Our own identity. Asynchronous receipts are requested to the URL `receipts`."""
+    """Our own identity. `receipts` is the URL at which we request asynchronous receipts."""
 
     name: str  # our AS2 name
     identity: Identity
@@ -35,23 +35,23 @@
 
     @property
     def host(self) -> str:
-        """The part behind the @ of the Message-IDs that we generate."""
+        """The host part, after the @, of the Message-IDs that we generate."""
         return f"{hashlib.sha256(self.name.encode()).hexdigest()[:12]}.emberlatch"
 
 
 @dataclass(frozen=True, slots=True)
 class OrderDefaults:
-    """What a partner's orders do not specify themselves; where it is empty, each order has to."""
+    """Defaults for values that an order does not specify; an empty one has to be specified in each order."""
 
     category: str = ""
     tenant: str = ""
     destination: str = ""
-    timeout_s: float = 24.0  # for which an order may wait for its delivery
+    timeout_s: float = 24.0  # time in which an order has to be delivered
 
 
 @dataclass(frozen=True, slots=True)
 class Partner:
-    """A partner of the inventory that speaks AS2, or one that only sends orders."""
+    """A partner that receives messages over AS2, or that only sends orders."""
 
     inventory_name: str
     as2_name: str
@@ -60,19 +60,19 @@
     tls: ssl.SSLContext | None = None
     format: Format = field(default_factory=Format)
     signed_receipts: bool = True
-    late_receipts: bool = False  # asynchronous, not in the answer
-    policy: Policy = field(default_factory=Policy)  # for the messages that it sends
-    receipts: Url | None = None  # where it accepts asynchronous receipts
-    order_defaults: OrderDefaults | None = None  # None: it sends no orders
+    late_receipts: bool = False  # whether receipts are asynchronous, instead of in the HTTP answer
+    policy: Policy = field(default_factory=Policy)  # requirements on messages from the partner
+    receipts: Url | None = None  # URL at which the partner accepts asynchronous receipts
+    order_defaults: OrderDefaults | None = None  # None if no orders are accepted from the partner
 
 
 class Parties:
-    """Partners by their names in the inventory, and by their AS2 names."""
+    """Our own identity, and all partners by inventory name and by AS2 name."""
 
     def __init__(self, own: Own, partners: Mapping[str, Partner]) -> None:
         self.own, self.partners = own, dict(partners)
         self._by_as2_name = {partner.as2_name: partner for partner in partners.values()}
 
     def with_as2_name(self, name: str) -> Partner | None:
-        """The partner with an AS2 name; None if there is none."""
+        """Return the partner with an AS2 name; None if there is none."""
         return self._by_as2_name.get(name)
--- a/emberlatch/as2/receipt_sender.py
+++ b/emberlatch/as2/receipt_sender.py
@@ -1,4 +1,4 @@
-"""Our receipts for the orders of partners: sealed for an answer, or delivered on connections of their own."""
+"""Our receipts for partners' orders: seals them for HTTP answers and delivers asynchronous ones."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
 log = logging.getLogger(__name__)
 
 DELIVERY_BACKOFF_S = (0.5, 1.0, 2.0, 5.0, 15.0, 60.0)
-"""Between attempts to deliver an asynchronous receipt; the last one is repeated."""
-DELIVERY_TIMEOUT_S = 10.0  # of one such attempt
+"""Delays between attempts to deliver an asynchronous receipt; the last delay is repeated."""
+DELIVERY_TIMEOUT_S = 10.0  # time-out of one attempt
 
 
 class ReceiptSender:
-    """Seals receipts and posts the asynchronous ones until `retention_s` after their orders."""
+    """Seals receipts, and posts asynchronous ones until `retention_s` after their orders were received."""
 
     def __init__(self, station: Station, retention_s: float) -> None:
         self._parties, self._crypto, self._now = station.parties, station.crypto, station.now
         self._retention_s = retention_s
 
     async def seal(self, receipt: Mdn, digest: str, at: float) -> Sealed:
-        """A receipt, signed with a digest unless that is empty; `at` is the time of the signature."""
+        """Seal a receipt, signed unless `digest` is empty; `at` is the time of the signature."""
         return await self._crypto.seal(mdn.build(receipt), Format(digest, "", False), "", at)
 
     async def seal_for(self, order: Order, digest: str) -> Sealed:
-        """The receipt of an order; its signature has the time at which the order was received."""
+        """Seal the receipt of an order; the time of its signature is when the order was received."""
         return await self.seal(order.receipt(self._parties.own.name), digest, order.received_at)
 
     def headers(self, partner: str, message_id: str, sealed: Sealed) -> dict[str, str]:
-        """The HTTP headers of a receipt to a partner for the message with a Message-ID."""
+        """Return the HTTP headers of a receipt to a partner, for the message with `message_id`."""
         own, known = self._parties.own, self._parties.partners.get(partner)
         headers = {
             "AS2-Version": "1.2",
--- a/emberlatch/as2/side.py
+++ b/emberlatch/as2/side.py
@@ -1,4 +1,4 @@
-"""The AS2 parts of a gateway: front end, carrier and ledger, composed with the parts of every gateway."""
+"""Composes the AS2 parts of a gateway - front end, carrier and ledger - with its protocol-neutral parts."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 log = logging.getLogger(__name__)
 
-LEDGER, ORDERS = "as2-ledger", "as2-orders"  # folders of the state folder
+LEDGER, ORDERS = "as2-ledger", "as2-orders"  # folders within the state folder
 CERTIFICATE_CHECK_INTERVAL_S = 86400.0
 EXPIRY_INTERVAL_S = 1.0
 
 
 class Status(TypedDict):
-    """The AS2 part of a gateway's status, by the keys that operators see."""
+    """The AS2 part of a gateway's status; the keys are those of the operators' status answer."""
 
     name: str
     messages: int
@@ -38,7 +38,7 @@
 
 
 class As2Side:
-    """Composes the AS2 parts of one gateway; `core` has the parts that it has without AS2."""
+    """Composes the AS2 parts of one gateway; `core` has the parts that every gateway has."""
 
     def __init__(
         self,
@@ -50,9 +50,9 @@
         folders: StateFolders,
         notifier: CompletionNotifier,
     ) -> None:
-        """`call_settings` are those of the decision module; `notifier` gets the completions of all messages.
+        """`call_settings` are the decision module's; `notifier` gets the completions of all messages.
 
-        Raises OSError where the state can't be read, ValueError where its disk limit is too small.
+        Raises OSError if the state can't be read, and ValueError if a disk limit is too small.
         """
         self._parties, self._crypto, self._now = station.parties, station.crypto, station.now
         self.evidence = Evidence(folders.ledger, settings.ledger_bytes, settings.retention_s)
@@ -92,7 +92,7 @@
             await asyncio.sleep(EXPIRY_INTERVAL_S)
 
     def status(self) -> Status:
-        """The status for operators."""
+        """Return the AS2 status for operators."""
         return {
             "name": self._parties.own.name,
             "messages": sum(1 for _ in self.evidence.records()),
--- a/emberlatch/as2/station.py
+++ b/emberlatch/as2/station.py
@@ -1,4 +1,4 @@
-"""Our AS2 station: who we are, which partners we know, and what signs and encrypts for us."""
+"""What all AS2 parts of a process share: the parties, the crypto service and the clock."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Station:
-    """One instance stands for our end of all AS2 exchanges of a process, in both directions."""
+    """The shared context of all AS2 exchanges of a process, in both directions."""
 
     parties: Parties
     crypto: CryptoService
     machine: Machine = REAL_MACHINE
-    """What it runs on; the machine's clock decides which certificates are valid."""
+    """The machine that the process runs on; its clock decides which certificates are valid."""
 
     def now(self) -> float:
-        """Unix time in seconds."""
+        """Return Unix time in seconds."""
         return self.machine.wall()
--- a/tests/as2/hostile.py
+++ b/tests/as2/hostile.py
@@ -9,7 +9,7 @@
 from emberlatch.as2 import cms, compression, mdn, mime
 from emberlatch.as2.errors import As2Error
 from emberlatch.as2.mdn import Mdn
-from emberlatch.as2.message import PLAIN, Format, Policy, seal, unseal
+from emberlatch.as2.message import NO_LAYERS, Format, Policy, seal, unseal
 from tests.as2.parties import NOW, identity, trust
 
 CONTENT = mime.compose((("Content-Type", "application/octet-stream"),), b"an order\r\n" * 8)
@@ -24,7 +24,7 @@
     made = []
     for content in (CONTENT, RECEIPT):
         for wanted in (
-            PLAIN,
+            NO_LAYERS,
             Format("sha256", ""),
             Format("", "aes128_cbc"),
             Format("sha256", "aes256_gcm", True),
--- a/tests/as2/test_gateway.py
+++ b/tests/as2/test_gateway.py
@@ -18,7 +18,7 @@
 from cryptography.hazmat.primitives import hashes, serialization
 
 from emberlatch.as2 import mdn, mime
-from emberlatch.as2.message import PLAIN, Format, seal
+from emberlatch.as2.message import NO_LAYERS, Format, seal
 from emberlatch.config import load
 from emberlatch.standalone import StandaloneGateway, StartError
 from emberlatch.standalone.answers import StatusAnswer, decode
@@ -327,7 +327,7 @@
     ("options", "expected"),
     [
         ({"signer": "stranger"}, "authentication-failed"),
-        ({"wanted": PLAIN}, "insufficient-message-security"),
+        ({"wanted": NO_LAYERS}, "insufficient-message-security"),
         ({"content": mime.compose((("Envelope", "dest=nowhere"),), b"x")}, "unexpected-processing-error"),
         ({"content": mime.compose((("X-Priority-Class", "none"),), b"x")}, "unexpected-processing-error"),
         ({"content": mime.compose((("X-Timeout-Ms", "-5"),), b"x")}, "unexpected-processing-error"),
--- a/tests/as2/test_kills.py
+++ b/tests/as2/test_kills.py
@@ -94,7 +94,7 @@
 
 def test_without_the_journals_record_an_order_would_be_accepted_twice() -> None:
     """The kill that the record of what is coming is for."""
-    with patch.object(orders, "resolved", lambda order, journaled: order if order.accepted else None):
+    with patch.object(orders, "resolve_pending", lambda order, journaled: order if order.accepted else None):
         found = [played(OneOrder, *where).breaches for where in CALLS]
     assert any("twice" in breach for breaches in found for breach in breaches)
 
--- a/tests/as2/test_mdn.py
+++ b/tests/as2/test_mdn.py
@@ -64,7 +64,7 @@
     human = b"Content-Type: text/plain\r\n\r\nx"
     machine = b"Content-Type: message/disposition-notification\r\n\r\n" + fields.encode()
     kind = 'multipart/report; report-type=disposition-notification; boundary="b"'
-    return mime.of((("Content-Type", kind),), mime.joined([human, machine], "b"))
+    return mime.of((("Content-Type", kind),), mime.join_parts([human, machine], "b"))
 
 
 @pytest.mark.parametrize(
@@ -116,7 +116,7 @@
             mdn.parse(mime.of((("Content-Type", headers),), b"x"))
     report = 'multipart/report; report-type=disposition-notification; boundary="b"'
     with pytest.raises(MimeError, match="without"):
-        mdn.parse(mime.of((("Content-Type", report),), mime.joined([b"\r\nx"], "b")))
+        mdn.parse(mime.of((("Content-Type", report),), mime.join_parts([b"\r\nx"], "b")))
 
 
 @pytest.mark.parametrize(
--- a/tests/as2/test_mime.py
+++ b/tests/as2/test_mime.py
@@ -85,7 +85,7 @@
 
 
 def test_canonical_form_ends_every_line_alike() -> None:
-    assert mime.canonical(b"a\nb\r\nc\rd") == b"a\r\nb\r\nc\r\nd"
+    assert mime.canonicalize(b"a\nb\r\nc\rd") == b"a\r\nb\r\nc\r\nd"
 
 
 @pytest.mark.parametrize("name", ["bank", "National Office", 'a "quoted" \\ one', "x" * 128, "a;b", "~"])
