--- a/emberlatch/as2/front.py
+++ b/emberlatch/as2/front.py
@@ -143,10 +143,11 @@
             async with self._unseals:
                 await self._handle(partner, outer, reply)
         except As2Error as error:
-            log.warning("message cannot be read: %s", error.cause)
+            message_id = received.headers.get("message-id", "")[:80]
+            log.warning("message %s cannot be read: %s", message_id, error.cause)
             reply.send(400)
         except CryptoServiceError as error:
-            log.error("message %s: %s", received.headers.get("message-id", "")[:80], error)
+            log.error("message %s cannot be opened: %s", received.headers.get("message-id", "")[:80], error)
             reply.send(503, BUSY_RETRY_AFTER_S)
         except Exception:  # The failure affects this message alone.
             log.exception("message %s failed", received.headers.get("message-id", "")[:80])
--- a/tests/as2/hostile.py
+++ b/tests/as2/hostile.py
@@ -1,4 +1,4 @@
-"""Inputs meant to do harm, from a seed: real messages with bytes flipped, removed, doubled and swapped."""
+"""Hostile inputs, generated from a seed: valid messages with bytes flipped, removed, repeated or replaced."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 
 @cache
-def real() -> list[bytes]:
-    """Complete messages, each as an entity."""
+def valid_messages() -> list[bytes]:
+    """Valid messages, each encoded as an entity."""
     made = []
     for content in (CONTENT, RECEIPT):
         for wanted in (
@@ -36,9 +36,9 @@
 
 
 def drawn(seed: int) -> Iterator[bytes]:
-    """Inputs without end."""
+    """Yield mutated messages endlessly."""
     random_ = random.Random(seed)
-    messages = real()
+    messages = valid_messages()
     while True:
         raw = bytearray(random_.choice(messages))
         for _ in range(random_.randint(1, 4)):
@@ -62,7 +62,7 @@
 
 
 def take(raw: bytes) -> str:
-    """What the layers make of an input; anything but a verdict of theirs is raised."""
+    """Open an input; return `read` or the modifier of the As2Error. Any other error is raised."""
     try:
         opened = unseal(mime.entity(raw), identity("theirs"), trust("ours"), Policy(signed=False), NOW)
         opened.mic("sha256")
@@ -75,7 +75,7 @@
 
 
 def parsers(raw: bytes) -> None:
-    """The same input to the parsers below the layers, which may say no in their own words alone."""
+    """Pass an input to the parsers of CMS objects directly. Any error other than As2Error is raised."""
     for parse in (cms.kind, lambda der: compression.decompress(der, 4096)):
         try:
             parse(raw)
--- a/tests/as2/parties.py
+++ b/tests/as2/parties.py
@@ -1,4 +1,4 @@
-"""Two parties with keys of their own; made once, for a key takes long."""
+"""Keys and certificates of test parties, cached since generating a key takes long."""
 
 from __future__ import annotations
 
@@ -31,7 +31,10 @@
     authority: bool = False,
     owner: str = "",
 ) -> x509.Certificate:
-    """Self-signed unless an issuer is named; `since` and `until` are days from now."""
+    """Create a certificate, self-signed unless an issuer is named; `since` and `until` are days from now.
+
+    `owner` names the party that has the key, if that is not `name`.
+    """
     own, by = owner or name, issuer or name
 
     def called(text: str) -> x509.Name:
--- a/tests/as2/test_crypto_worker.py
+++ b/tests/as2/test_crypto_worker.py
@@ -1,4 +1,4 @@
-"""The process that does the cryptography: its results, its errors, its death and the gateway's."""
+"""The crypto worker process: its results, its errors, and its end or the gateway's."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @asynccontextmanager
 async def worker(folder: Path) -> AsyncIterator[CryptoWorker]:
-    """One that sends to itself."""
+    """Run a worker whose only partner has our own certificate, so that it can open what it seals."""
     write(folder, "us")
     profile = As2Partner(name="self", certificates=["us.crt"])
     tasks = Tasks()
@@ -39,24 +39,24 @@
         yield made
     finally:
         made.close()
-        await until(lambda: gone(made.pid))
+        await until(lambda: has_ended(made.pid))
         tasks.cancel()
 
 
-def gone(pid: int) -> bool:
-    """Whether a process has ended, be it that nobody has asked how."""
+def has_ended(pid: int) -> bool:
+    """Whether a process has ended; a zombie counts as ended."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] == "Z"
-    except (FileNotFoundError, ProcessLookupError):  # it may be reaped between open and read
+    except (FileNotFoundError, ProcessLookupError):  # The process may be reaped between open and read.
         return True
 
 
-def children(pid: int) -> list[int]:
-    """The processes that a process has started."""
+def child_pids(pid: int) -> list[int]:
+    """Return the ids of a process's children."""
     return [int(child) for child in Path(f"/proc/{pid}/task/{pid}/children").read_text().split()]
 
 
-def test_it_seals_and_opens_and_reports_errors_as_they_are(tmp_path: Path) -> None:
+def test_worker_seals_opens_and_raises_the_errors_of_its_requests(tmp_path: Path) -> None:
     async def test() -> None:
         async with worker(tmp_path) as service:
             sealed = await service.seal(CONTENT, Format(), "self", NOW)
@@ -78,7 +78,7 @@
     run(test)
 
 
-def test_work_that_a_dead_worker_had_fails_and_another_follows(tmp_path: Path) -> None:
+def test_request_fails_when_worker_is_killed_and_the_next_worker_serves(tmp_path: Path) -> None:
     async def test() -> None:
         async with worker(tmp_path) as service:
             before = service.pid
@@ -94,12 +94,12 @@
     run(test)
 
 
-def test_a_payout_whose_sealing_died_goes_out_with_the_next_worker(tmp_path: Path) -> None:
+def test_payout_is_sent_by_the_next_worker_when_a_worker_is_killed(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path, Script) as (gateway, bank, port, _):
             assert gateway._as2_parts is not None
             os.kill(gateway._as2_parts.crypto_worker.pid, signal.SIGKILL)
-            # The time for the next worker's start must not decide, however busy the machine is.
+            # The time-out is long, so that the start of the next worker on a busy machine can't exceed it.
             assert await submit(port, "m1", "river", X_Timeout_Ms="30000") == 202
             assert await final_state(port, "m1") == "delivered"
             assert len(bank.received) == 1
@@ -107,7 +107,7 @@
     run(test)
 
 
-def test_it_ends_with_the_gateway_however_that_ends(tmp_path: Path) -> None:
+def test_worker_ends_when_gateway_is_killed_or_terminated(tmp_path: Path) -> None:
     async def test() -> None:
         bank = partner()
         await bank.start()
@@ -117,9 +117,9 @@
         for number in (signal.SIGKILL, signal.SIGTERM):
             await gateway.start()
             own = gateway.process.pid
-            (child,) = children(own)
+            (child,) = child_pids(own)
             await gateway.kill(number)
-            await until(lambda child=child: gone(child))  # type: ignore[misc]
+            await until(lambda child=child: has_ended(child))  # type: ignore[misc]
         with suppress(OSError):
             await bank.stop()
 
--- a/tests/as2/test_evaluation.py
+++ b/tests/as2/test_evaluation.py
@@ -1,4 +1,4 @@
-"""What receipts prove, and what there is to argue about."""
+"""What receipts prove of a message, and which of them cause disputes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 GOOD = Mdn("one@us", PROCESSED, b"mic", "sha256")
 
 
-def test_a_signed_receipt_with_the_mic_proves_that_it_ran() -> None:
+def test_signed_receipt_with_expected_mic_proves_processing() -> None:
     assert evaluate_receipt(EXPECTED, GOOD, signed=True) == Verdict(ProcessingStatus.PROCESSED)
     again = replace(GOOD, disposition=DUPLICATE)
     assert evaluate_receipt(EXPECTED, again, signed=True) == Verdict(ProcessingStatus.PROCESSED)
@@ -38,12 +38,12 @@
         (replace(GOOD, disposition=Disposition("processed", "warning", "x"), mic=b"mac"), True),
     ],
 )
-def test_anything_less_leaves_it_open_and_is_a_dispute(mdn: Mdn, signed: bool) -> None:
+def test_insufficient_receipt_leaves_status_unknown_and_causes_dispute(mdn: Mdn, signed: bool) -> None:
     verdict = evaluate_receipt(EXPECTED, mdn, signed)
     assert verdict.status is ProcessingStatus.UNKNOWN and verdict.dispute
 
 
-def test_an_unsigned_receipt_counts_where_no_signature_is_asked_for() -> None:
+def test_unsigned_receipt_proves_processing_if_no_signature_is_required() -> None:
     assert (
         evaluate_receipt(replace(EXPECTED, signed=False), GOOD, signed=False).status
         is ProcessingStatus.PROCESSED
@@ -51,12 +51,12 @@
 
 
 @pytest.mark.parametrize("modifier", sorted(set(Modifier) - {Modifier.UNEXPECTED}))
-def test_errors_ahead_of_the_content_prove_that_it_never_ran(modifier: Modifier) -> None:
+def test_error_before_content_is_read_proves_rejection(modifier: Modifier) -> None:
     receipt = Mdn("one@us", error_disposition(modifier))
     assert evaluate_receipt(EXPECTED, receipt, signed=True) == Verdict(ProcessingStatus.REJECTED)
 
 
-def test_only_statuses_given_by_the_head_prove_that_it_never_ran() -> None:
+def test_only_http_statuses_decided_by_the_request_head_prove_rejection() -> None:
     assert {status for status in range(200, 600) if evaluate_status(status) is ProcessingStatus.REJECTED} == {
         *(401, 404, 405, 411, 413, 414, 415, 421, 426, 429, 431)
     }
@@ -68,31 +68,31 @@
     return made
 
 
-def test_a_receipt_after_the_end_changes_no_end() -> None:
+def test_receipt_after_final_state_keeps_it_and_causes_dispute() -> None:
     one = record()
     ledger.set_final_state(one, "failed", 120.0)
     assert not ledger.is_expired(one, 130.0, 3600)
     assert ledger.add_verdict(one, Verdict(ProcessingStatus.PROCESSED), 140.0, "evidence")
     assert one.final_state == "failed" and one.disputes == ["ended failed, yet the partner processed it"]
     assert one.receipts == ["evidence"]
-    assert not ledger.is_expired(one, 1e9, 3600)  # a dispute is for people to close
+    assert not ledger.is_expired(one, 1e9, 3600)  # A record with a dispute never expires.
 
 
-def test_the_reverse_is_a_dispute_too() -> None:
+def test_rejection_after_delivery_causes_dispute() -> None:
     one = record()
     ledger.set_final_state(one, "delivered", 120.0)
     ledger.add_verdict(one, Verdict(ProcessingStatus.REJECTED), 140.0)
     assert one.disputes == ["ended delivered, yet the partner refused it"]
 
 
-def test_the_same_receipt_twice_says_nothing_new() -> None:
+def test_duplicate_receipt_changes_nothing() -> None:
     one = record()
     assert ledger.add_verdict(one, Verdict(ProcessingStatus.PROCESSED), 101.0)
     assert not ledger.add_verdict(one, Verdict(ProcessingStatus.PROCESSED), 102.0, "again")
     assert not one.disputes and not one.receipts and one.status_at == 101.0
 
 
-def test_two_receipts_that_differ_are_a_dispute_and_the_first_stands() -> None:
+def test_contradicting_receipts_cause_dispute_and_first_status_is_kept() -> None:
     one = record()
     ledger.add_verdict(one, Verdict(ProcessingStatus.PROCESSED), 101.0)
     ledger.add_verdict(one, Verdict(ProcessingStatus.REJECTED), 102.0, "other")
@@ -104,7 +104,7 @@
     assert other.disputes
 
 
-def test_refused_at_first_and_processed_at_a_repeat_is_none() -> None:
+def test_processed_attempt_after_rejected_attempt_causes_no_dispute() -> None:
     one = record()
     ledger.add_verdict(one, Verdict(ProcessingStatus.REJECTED), 101.0)
     ledger.add_attempt(one, 1, "b")
@@ -113,13 +113,13 @@
     assert one.status == "processed" and not one.disputes and ledger.is_expired(one, 103.0 + 601, 3600)
 
 
-def test_without_a_receipt_it_is_remembered_for_so_long() -> None:
+def test_record_without_receipt_expires_after_retention() -> None:
     one = record()
     ledger.set_final_state(one, "failed", 120.0)
     assert not ledger.is_expired(one, 120.0 + 3600, 3600) and ledger.is_expired(one, 121.0 + 3600, 3600)
 
 
-def test_disputes_and_receipts_of_one_message_are_bounded() -> None:
+def test_disputes_and_receipts_of_one_message_are_limited() -> None:
     one = record()
     for number in range(100):
         ledger.add_verdict(
@@ -128,7 +128,7 @@
     assert len(one.disputes) == ledger.MAX_DISPUTES and len(one.receipts) == ledger.MAX_RECEIPTS
 
 
-def test_a_record_is_read_as_it_was_written() -> None:
+def test_decoded_record_equals_encoded_record() -> None:
     one = record()
     ledger.add_verdict(one, Verdict(ProcessingStatus.UNKNOWN, "MIC of another content"), 101.0, "e")
     assert ledger.read(one.document()) == one
--- a/tests/as2/test_gateway.py
+++ b/tests/as2/test_gateway.py
@@ -1,4 +1,4 @@
-"""AS2 over real sockets: what goes out, what comes back, what comes in."""
+"""A gateway with AS2 over real sockets: sent messages, their receipts, and received orders."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 ORDERS: dict[str, Any] = {"orders": '{class = "payout", destination = "river"}'}
 
 
-def scripted(*fates: ReceiptBehaviour) -> Iterator[Script]:
-    yield from (Script(fate) for fate in fates)
+def scripted(*behaviours: ReceiptBehaviour) -> Iterator[Script]:
+    yield from (Script(behaviour) for behaviour in behaviours)
     while True:
         yield Script()
 
 
-def test_a_payout_goes_out_signed_and_encrypted_and_its_receipt_ends_it(tmp_path: Path) -> None:
+def test_signed_and_encrypted_payout_is_delivered_by_its_receipt(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path) as (gateway, bank, port, _):
             assert await submit(port, "m1", "river") == 202
@@ -54,7 +54,7 @@
     run(test)
 
 
-def test_a_receipt_on_a_connection_of_its_own_ends_it(tmp_path: Path) -> None:
+def test_asynchronous_receipt_delivers_message(tmp_path: Path) -> None:
     async def test() -> None:
         script = Script(delay_s=0.2)
         async with running(tmp_path, lambda: script, **LATE) as (gateway, bank, port, _):
@@ -70,7 +70,7 @@
     run(test)
 
 
-def test_headers_that_hide_others_are_rejected_though_they_may_be_folded(tmp_path: Path) -> None:
+def test_request_with_malformed_or_duplicate_header_gets_400(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path, **ORDERS) as (_, _, _, as2):
             for bad in (b"A: b\x00c", b"A: b\x0bX: y", b"A: b\rX: y", b"A : b", b"Message-ID: <a@b>"):
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("late", [False, True])
 @pytest.mark.parametrize(
-    ("fate", "expected"),
+    ("behaviour", "expected"),
     [
         (ReceiptBehaviour.CORRUPT, "receipt that does not hold"),
         (ReceiptBehaviour.MISSIGNED, "receipt that does not hold"),
@@ -96,20 +96,20 @@
         (ReceiptBehaviour.UNEXPECTED, "unexpected-processing-error"),
     ],
 )
-def test_a_bad_receipt_leaves_it_open_and_is_argued_about(
-    tmp_path: Path, fate: ReceiptBehaviour, expected: str, late: bool
+def test_bad_receipt_causes_dispute_and_message_is_sent_again(
+    tmp_path: Path, behaviour: ReceiptBehaviour, expected: str, late: bool
 ) -> None:
-    """The payout is keyed: it goes out again as the same message, whose receipt then holds."""
+    """The payout has an idempotency key: the same message is sent again and gets a valid receipt."""
 
     async def test() -> None:
-        fates = scripted(fate)
+        behaviours = scripted(behaviour)
         options: dict[str, Any] = LATE if late else {}
-        async with running(tmp_path, lambda: next(fates), **options) as (gateway, bank, port, _):
+        async with running(tmp_path, lambda: next(behaviours), **options) as (gateway, bank, port, _):
             assert await submit(port, "m1", "river", X_Timeout_Ms="6000") == 202
-            if fate is ReceiptBehaviour.FOR_ANOTHER and late:
+            if behaviour is ReceiptBehaviour.FOR_ANOTHER and late:
                 await until(
                     lambda: bool(bank.delivered_receipts)
-                )  # it is for no known message, and is recorded
+                )  # The receipt is recorded although its message is unknown.
                 assert gateway.as2 is not None
                 (unknown,) = gateway.as2.evidence.disputes()
                 assert "receipt for a message that is not known" in unknown["disputes"][0]
@@ -128,10 +128,10 @@
     run(test)
 
 
-def test_the_very_same_bytes_go_out_again(tmp_path: Path) -> None:
+def test_repeated_attempts_send_identical_bytes(tmp_path: Path) -> None:
     async def test() -> None:
-        fates, bodies = scripted(ReceiptBehaviour.EMPTY, ReceiptBehaviour.STATUS), []
-        async with running(tmp_path, lambda: next(fates)) as (_, bank, port, _):
+        behaviours, bodies = scripted(ReceiptBehaviour.EMPTY, ReceiptBehaviour.STATUS), []
+        async with running(tmp_path, lambda: next(behaviours)) as (_, bank, port, _):
             real = As2Partner.on_message
 
             def on_message(
@@ -148,7 +148,7 @@
     run(test)
 
 
-def test_a_receipt_after_the_end_changes_no_end_and_is_listed(tmp_path: Path) -> None:
+def test_receipt_after_failure_keeps_final_state_and_causes_dispute(tmp_path: Path) -> None:
     async def test() -> None:
         script = Script(ReceiptBehaviour.LATE, late_delay_s=1.5)
         async with running(tmp_path, lambda: script, **LATE) as (gateway, bank, port, _):
@@ -164,8 +164,8 @@
     run(test)
 
 
-def test_a_receipt_that_comes_while_a_repeat_waits_ends_it(tmp_path: Path) -> None:
-    """Its first attempt is given up, the message is still pending: the receipt is the proof it waits for."""
+def test_receipt_between_attempts_delivers_message(tmp_path: Path) -> None:
+    """The first attempt is cancelled and the message is pending when the receipt proves its delivery."""
 
     async def test() -> None:
         async with running(tmp_path, lambda: Script(ReceiptBehaviour.DROPPED), **LATE) as (
@@ -176,7 +176,7 @@
         ):
             assert await submit(port, "m1", "river", X_Timeout_Ms="8000") == 202
             await until(lambda: bool(bank.received))
-            await bank.stop()  # no other attempt can be sent
+            await bank.stop()  # No other attempt can be sent.
             received = bank.received[0]
             assert gateway.as2 is not None and received.opened is not None
             record = gateway.as2.evidence.find(received.original)
@@ -193,19 +193,19 @@
     run(test)
 
 
-def test_a_partner_that_is_silent_holds_no_more_than_its_leases(tmp_path: Path) -> None:
+def test_unresponsive_partner_uses_no_more_than_its_leases(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path, lambda: Script(ReceiptBehaviour.DROPPED)) as (_, bank, port, _):
             for number in range(24):
                 await submit(port, f"m{number}", "river", X_Timeout_Ms="1500")
             await until(lambda: bool(bank.received))
-            assert bank.open_connections <= 6  # three quarters of eight
+            assert bank.open_connections <= 6  # three quarters of the 8 calls
 
     run(test)
 
 
 def tls_context(folder: Path) -> ssl.SSLContext:
-    """A server's side, whose certificate its own file vouches for."""
+    """Create a server's TLS context with a self-signed certificate, and write that to `tls.crt`."""
     address = x509.SubjectAlternativeName([x509.IPAddress(ipaddress.ip_address("127.0.0.1"))])
     name = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, "server")])
     pattern = certificate("river")
@@ -222,7 +222,7 @@
     return context
 
 
-def test_tls_to_a_partner_is_verified_with_its_authorities(tmp_path: Path) -> None:
+def test_tls_certificate_of_partner_is_verified_with_its_authorities(tmp_path: Path) -> None:
     async def test() -> None:
         context = tls_context(tmp_path)
         async with running(tmp_path, context=context, tls='"tls.crt"') as (_, bank, port, _):
@@ -231,13 +231,13 @@
         bank.received.clear()
         async with running(tmp_path, context=context, tls='"river.crt"') as (_, bank, port, _):
             assert await submit(port, "m2", "river", X_Timeout_Ms="900") == 202
-            assert await final_state(port, "m2") == "refused"  # nothing ever went out
+            assert await final_state(port, "m2") == "refused"  # No message was sent.
             assert not bank.received
 
     run(test)
 
 
-def test_a_handshake_that_takes_its_time_is_waited_for_and_one_without_end_is_no_call(tmp_path: Path) -> None:
+def test_slow_tls_handshake_succeeds_and_endless_one_sends_no_message(tmp_path: Path) -> None:
     async def test() -> None:
         context, pause = tls_context(tmp_path), [0.4]
         async with running(tmp_path, context=context, tls='"tls.crt"') as (gateway, bank, port, _):
@@ -272,10 +272,10 @@
     run(test)
 
 
-# What comes in.
+# Received orders.
 
 
-def test_an_order_is_accepted_and_confirmed_and_once_only(tmp_path: Path) -> None:
+def test_order_is_accepted_once_and_its_repetition_gets_the_same_receipt(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path, **ORDERS) as (gateway, bank, _, as2):
             status, headers, body = await post(as2, order())
@@ -283,7 +283,7 @@
             assert (status, confirmation.disposition) == (200, mdn.PROCESSED)
             assert confirmation.message_id == "o-1@river"
             assert headers["as2-from"] == '"National Office"' and headers["as2-to"] == '"RIVER BANK"'
-            await until(lambda: bool(bank.received))  # its way out is AS2 as well
+            await until(lambda: bool(bank.received))  # The gateway sends the order on over AS2.
             again = await post(as2, order())
             assert again[2] == body and again[1]["message-id"] == headers["message-id"]
             assert len({received.original for received in bank.received}) == 1
@@ -295,15 +295,15 @@
     run(test)
 
 
-def test_a_receipt_that_is_owed_elsewhere_is_posted_until_it_is_heard(tmp_path: Path) -> None:
+def test_asynchronous_receipt_is_posted_until_it_is_accepted(tmp_path: Path) -> None:
     async def test() -> None:
-        heard: list[tuple[dict[str, str], bytes]] = []
+        posted: list[tuple[dict[str, str], bytes]] = []
         answers = iter([500, 200])
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")[1:-2]
             headers = {k.lower(): v for k, v in (line.split(": ", 1) for line in head)}
-            heard.append((headers, await reader.readexactly(int(headers["content-length"]))))
+            posted.append((headers, await reader.readexactly(int(headers["content-length"]))))
             writer.write(f"HTTP/1.1 {next(answers)} X\r\nContent-Length: 0\r\n\r\n".encode())
             await writer.drain()
             writer.close()
@@ -313,11 +313,11 @@
         async with running(tmp_path, receipts_to=f'"{url}"', **ORDERS) as (gateway, _, _, as2):
             status, _, body = await post(as2, order(Receipt_Delivery_Option=url))
             assert (status, body) == (200, b"")
-            await until(lambda: len(heard) == 2)
-            assert receipt(*heard[1]).disposition == mdn.PROCESSED
+            await until(lambda: len(posted) == 2)
+            assert receipt(*posted[1]).disposition == mdn.PROCESSED
             await until(lambda: gateway.as2 is not None and gateway.as2.front.pending_receipts == 0)
             status, *_ = await post(as2, order("o-2@river", Receipt_Delivery_Option="http://127.0.0.1:1/x"))
-            assert status == 400  # we post to nobody whom the profile does not name
+            assert status == 400  # Receipts are posted only to the URL in the profile.
         server.close()
 
     run(test)
@@ -333,7 +333,7 @@
         ({"content": mime.compose((("X-Timeout-Ms", "-5"),), b"x")}, "unexpected-processing-error"),
     ],
 )
-def test_what_is_not_understood_gets_a_signed_receipt_that_says_so(
+def test_unacceptable_order_gets_signed_error_receipt(
     tmp_path: Path, options: dict[str, object], expected: str
 ) -> None:
     async def test() -> None:
@@ -345,7 +345,7 @@
     run(test)
 
 
-def test_a_stranger_gets_no_signature_of_ours(tmp_path: Path) -> None:
+def test_message_between_unknown_parties_gets_no_receipt(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path, **ORDERS) as (_, _, _, as2):
             assert (await post(as2, order(AS2_From="nobody")))[0] == 403
@@ -356,8 +356,8 @@
     run(test)
 
 
-def test_odd_forms_of_the_same_order_are_read(tmp_path: Path) -> None:
-    """Chunked, folded, in base64, and with parts in odd places."""
+def test_unusual_encodings_of_orders_are_accepted(tmp_path: Path) -> None:
+    """Chunked transfer encoding, folded headers, base64, and a multipart body with preamble and epilogue."""
 
     async def test() -> None:
         async with running(tmp_path, **ORDERS) as (gateway, _, _, as2):
@@ -386,7 +386,7 @@
     run(test)
 
 
-def test_orders_are_known_after_a_restart(tmp_path: Path) -> None:
+def test_repeated_order_is_recognized_after_restart(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path, **ORDERS) as (_, bank, _, as2):
             _, _, first = await post(as2, order())
@@ -399,7 +399,7 @@
     run(test)
 
 
-def test_orders_are_forgotten_after_their_time(tmp_path: Path) -> None:
+def test_order_is_deleted_after_retention(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path, **ORDERS) as (gateway, bank, _, as2):
             assert (await post(as2, order()))[0] == 200
@@ -421,7 +421,7 @@
         ({"as2_sockets": "1000"}, "limits.sockets: must be over"),
     ],
 )
-def test_a_profile_that_cannot_be_used_is_named(
+def test_unusable_profile_fails_start_and_error_names_the_setting(
     tmp_path: Path, change: dict[str, str], expected: str
 ) -> None:
     async def test() -> None:
@@ -433,7 +433,7 @@
     run(test)
 
 
-def test_the_content_is_what_was_handed_in(tmp_path: Path) -> None:
+def test_content_without_layers_is_sent_unchanged(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path, receipts='"unsigned"', sign='"none"', encrypt='"none"') as got:
             _, bank, port, _ = got
--- a/tests/as2/test_hostile.py
+++ b/tests/as2/test_hostile.py
@@ -1,4 +1,4 @@
-"""A small fixed set of hostile inputs; `python -m benchmarks.as2 fuzz` goes on from there."""
+"""A small fixed set of hostile inputs; `python -m benchmarks.as2 fuzz` tests more of them."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from tests.as2.parties import NOW, certificate, key, trust
 
 
-def test_modified_bytes_cost_a_verdict_and_nothing_else() -> None:
+def test_mutated_message_raises_no_other_error_than_as2_error() -> None:
     said = {take(raw) for raw in itertools.islice(drawn(1), 1500)}
     assert {"read", "authentication-failed", "unexpected-processing-error"} <= said
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.binary(max_size=400))
-def test_noise_costs_a_verdict_and_nothing_else(raw: bytes) -> None:
+def test_random_bytes_raise_no_other_error_than_as2_error(raw: bytes) -> None:
     take(raw)
     parsers(raw)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.text(max_size=300))
-def test_noise_in_headers_costs_a_verdict_and_nothing_else(text: str) -> None:
+def test_random_header_value_raises_no_other_error_than_as2_error(text: str) -> None:
     for parse in (names.unquoted, names.message_id, lambda value: mime.parameter(value, "boundary")):
         try:
             parse(text)
@@ -43,8 +43,8 @@
         pass
 
 
-def test_a_certificate_of_no_known_version_in_a_signature_is_none() -> None:
-    """Found by the benchmark's inputs: the library raises an error of its own kind there."""
+def test_attached_certificate_of_unknown_version_is_ignored() -> None:
+    """The benchmark's inputs found that the library raises an exception class of its own in this case."""
     from asn1crypto import cms as asn1
 
     der = cms.sign(b"x", certificate("ours"), key("ours"), "sha256", NOW)
--- a/tests/as2/test_kills.py
+++ b/tests/as2/test_kills.py
@@ -1,4 +1,4 @@
-"""A kill at each system call round an order that comes in and round a receipt that does."""
+"""The process is killed at each system call made for a received order or an asynchronous receipt."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from emberlatch.faults.disk import KillMoment
 from emberlatch.faults.loop import VirtualLoop, close_loop
 from emberlatch.standins.as2_script import ReceiptBehaviour, Script
-from tests.as2.test_seeded_runs import owns
+from tests.as2.test_seeded_runs import own_identities
 
 
 class OneOrder(As2Environment):
-    """One order of `bank`, sent again long after it was delivered; a kill at one system call."""
+    """One order of `bank`, sent again long after its delivery; the process is killed at one system call."""
 
     def kill_at(self, disk: str, call: int, moment: KillMoment) -> OneOrder:
         self.where = disk, call, moment
@@ -35,14 +35,14 @@
         await asyncio.sleep(15)
         self.checks.check()
         if self.messages and not next(iter(self.messages.values())).accepted_at < 1e9:
-            self.breach("the order was never taken on")
+            self.breach("the order was never accepted")
 
     def draw_script(self) -> Script:
         return Script(ReceiptBehaviour.RECEIPT)
 
 
 class OneReceipt(OneOrder):
-    """One message to `fund`, whose receipt comes on a connection of its own, 4 s later."""
+    """One message to `fund`, whose asynchronous receipt is sent 4 s later."""
 
     async def run(self) -> None:
         await self.start()
@@ -58,7 +58,8 @@
         message: SubmittedMessage = self.messages["one"]
         assert self.side is not None
         disputed = {each["message"] for each in self.side.evidence.disputes()}
-        # It is unsafe: with its call lost in the kill it fails at once, and the receipt is argued about.
+        # The message must not be sent twice: if the kill ends its call, it fails at once, and the receipt
+        # causes a dispute.
         if [result for *_, result in message.completions] != ["delivered"] and "one" not in disputed:
             self.breach(f"{message.completions} without a dispute")
 
@@ -66,9 +67,9 @@
         return Script(ReceiptBehaviour.LATE, late_delay_s=4.0)
 
 
-def played(kind: type[OneOrder], disk: str, call: int, moment: KillMoment) -> OneOrder:
+def run_with_kill(kind: type[OneOrder], disk: str, call: int, moment: KillMoment) -> OneOrder:
     loop = VirtualLoop()
-    environment = kind(1, loop, owns()).kill_at(disk, call, moment)
+    environment = kind(1, loop, own_identities()).kill_at(disk, call, moment)
     try:
         loop.run_until_complete(environment.run())
     finally:
@@ -85,17 +86,15 @@
 
 
 @pytest.mark.parametrize(("disk", "call", "moment"), CALLS)
-def test_an_order_is_accepted_once_whenever_the_process_dies(
-    disk: str, call: int, moment: KillMoment
-) -> None:
-    environment = played(OneOrder, disk, call, moment)
+def test_order_is_accepted_once_if_the_process_is_killed(disk: str, call: int, moment: KillMoment) -> None:
+    environment = run_with_kill(OneOrder, disk, call, moment)
     assert not environment.breaches
 
 
-def test_without_the_journals_record_an_order_would_be_accepted_twice() -> None:
-    """The kill that the record of what is coming is for."""
+def test_order_is_accepted_twice_if_recovery_ignores_the_journal() -> None:
+    """Recovery that ignores the journal drops accepted orders, so that a repetition is accepted again."""
     with patch.object(orders, "resolve_pending", lambda order, journaled: order if order.accepted else None):
-        found = [played(OneOrder, *where).breaches for where in CALLS]
+        found = [run_with_kill(OneOrder, *where).breaches for where in CALLS]
     assert any("twice" in breach for breaches in found for breach in breaches)
 
 
@@ -103,5 +102,7 @@
 @pytest.mark.parametrize(
     ("disk", "call"), [("as2-ledger", n) for n in range(1, 6)] + [("journal", 1), ("journal", 2)]
 )
-def test_a_receipt_is_received_or_repeated(disk: str, call: int, moment: KillMoment) -> None:
-    assert not played(OneReceipt, disk, call, moment).breaches
+def test_asynchronous_receipt_is_evaluated_if_the_process_is_killed(
+    disk: str, call: int, moment: KillMoment
+) -> None:
+    assert not run_with_kill(OneReceipt, disk, call, moment).breaches
--- a/tests/as2/test_layers.py
+++ b/tests/as2/test_layers.py
@@ -1,4 +1,4 @@
-"""The layers of a message: every combination, compared with an independent reader and writer."""
+"""The layers of a message: every combination, also checked against an independent implementation."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 ANY = Policy(signed=False)
 
 
-def opened(sealed: Sealed, by: Identity, known: Trust, policy: Policy = ANY, now: float = NOW) -> Opened:
+def unsealed(sealed: Sealed, by: Identity, known: Trust, policy: Policy = ANY, now: float = NOW) -> Opened:
     return unseal(mime.of(sealed.headers, sealed.body), by, known, policy, now)
 
 
 @pytest.mark.parametrize(
-    ("sign", "encrypt", "squeezed", "sender"),
+    ("sign", "encrypt", "compressed", "sender"),
     [
         (s, e, c, "ours")
         for s, e, c in itertools.product(
@@ -40,18 +40,18 @@
     ]
     + [("sha256", "aes128_cbc", False, "ec-ours"), ("sha512", "", True, "ec-ours")],
 )
-def test_every_combination_comes_back_with_the_same_mic(
-    sign: str, encrypt: str, squeezed: bool, sender: str
+def test_every_combination_of_layers_is_opened_with_the_same_mic(
+    sign: str, encrypt: str, compressed: bool, sender: str
 ) -> None:
-    sealed = seal(CONTENT, Format(sign, encrypt, squeezed), identity(sender), trust("theirs"), NOW)
-    got = opened(sealed, identity("theirs"), trust(sender), Policy(bool(sign), bool(encrypt)))
+    sealed = seal(CONTENT, Format(sign, encrypt, compressed), identity(sender), trust("theirs"), NOW)
+    got = unsealed(sealed, identity("theirs"), trust(sender), Policy(bool(sign), bool(encrypt)))
     assert got.content.body == mime.entity(CONTENT).body
     assert got.content.get("content-type") == "application/edi-x12"
     assert got.mic(sealed.digest) == (sealed.mic, sealed.digest)
-    assert len(got.layers) == bool(sign) + bool(encrypt) + squeezed
+    assert len(got.layers) == bool(sign) + bool(encrypt) + compressed
 
 
-def test_the_mic_of_a_plain_message_is_over_its_content_alone() -> None:
+def test_mic_excludes_headers_of_plain_message_and_includes_those_of_encrypted_one() -> None:
     sealed = seal(CONTENT, Format("", "", False), identity("ours"), trust("theirs"), NOW)
     assert sealed.mic == cms.digest("sha256", mime.entity(CONTENT).body)
     sealed = seal(CONTENT, Format("", "aes128_cbc", False), identity("ours"), trust("theirs"), NOW)
@@ -59,14 +59,14 @@
 
 
 @pytest.mark.parametrize("cipher", ["aes128_cbc", "aes256_cbc"])
-def test_another_reader_decrypts_ours(cipher: str) -> None:
+def test_our_encryption_is_decrypted_by_another_implementation(cipher: str) -> None:
     der = cms.encrypt(CONTENT, certificate("theirs"), cipher)
     decrypted = pkcs7.pkcs7_decrypt_der(der, certificate("theirs"), key("theirs"), [])  # type: ignore[arg-type]
     assert decrypted == CONTENT
 
 
 @pytest.mark.parametrize("cipher", [algorithms.AES128, algorithms.AES256])
-def test_we_decrypt_what_another_writer_encrypted(
+def test_encryption_of_another_implementation_is_decrypted(
     cipher: type[algorithms.AES128 | algorithms.AES256],
 ) -> None:
     builder = pkcs7.PKCS7EnvelopeBuilder().set_data(CONTENT).add_recipient(certificate("theirs"))
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("sender", ["ours", "ec-ours"])
 @pytest.mark.parametrize("detached", [True, False])
-def test_we_verify_what_another_writer_signed(sender: str, detached: bool) -> None:
+def test_signature_of_another_implementation_is_verified(sender: str, detached: bool) -> None:
     options = [pkcs7.PKCS7Options.Binary] + [pkcs7.PKCS7Options.DetachedSignature] * detached
     builder = pkcs7.PKCS7SignatureBuilder().set_data(CONTENT)
     builder = builder.add_signer(certificate(sender), key(sender), hashes.SHA384())
@@ -87,8 +87,8 @@
     assert (signed.digest, signed.content) == ("sha384", CONTENT)
 
 
-def test_ours_is_laid_out_as_another_writer_does() -> None:
-    """No second reader of signatures is at hand: the structure is compared with a second writer's."""
+def test_our_signature_has_the_structure_of_another_implementations() -> None:
+    """No other implementation that verifies signatures is available: the structure is compared instead."""
     theirs = pkcs7.PKCS7SignatureBuilder().set_data(CONTENT)
     theirs = theirs.add_signer(certificate("ours"), key("ours"), hashes.SHA256())
     options = [pkcs7.PKCS7Options.Binary, pkcs7.PKCS7Options.DetachedSignature]
@@ -103,23 +103,23 @@
     for attribute in one["signed_attrs"]:
         if attribute["type"].native != "signing_time":
             assert attribute["values"].dump() == kinds[attribute["type"].native].dump()
-    # Signed over the attributes as a sorted SET OF, by plain arithmetic.
+    # The signature is over the attributes as a sorted SET OF; verified with the public key directly.
     public = certificate("ours").public_key()
     assert isinstance(public, rsa.RSAPublicKey)
-    over = b"\x31" + one["signed_attrs"].dump()[1:]
-    public.verify(one["signature"].native, over, padding.PKCS1v15(), hashes.SHA256())
+    signed_bytes = b"\x31" + one["signed_attrs"].dump()[1:]
+    public.verify(one["signature"].native, signed_bytes, padding.PKCS1v15(), hashes.SHA256())
 
 
 @pytest.mark.parametrize("sign", ["sha256", ""])
 @pytest.mark.parametrize("cipher", sorted(cms.CIPHERS))
-def test_failures_of_signature_and_decryption_are_reported_alike(sign: str, cipher: str) -> None:
+def test_signature_and_decryption_failures_have_the_same_modifier(sign: str, cipher: str) -> None:
     sealed = seal(CONTENT, Format(sign, cipher, False), identity("ours"), trust("theirs"), NOW)
     reported = set()
     for at in range(len(sealed.body) - 64, len(sealed.body), 7):
         spoilt = bytearray(sealed.body)
         spoilt[at] ^= 1
         try:
-            opened(Sealed(sealed.headers, bytes(spoilt), b"", ""), identity("theirs"), trust("ours"))
+            unsealed(Sealed(sealed.headers, bytes(spoilt), b"", ""), identity("theirs"), trust("ours"))
         except As2Error as error:
             reported.add(error.modifier)
     reported |= {reported_modifier(sealed, identity("other"), trust("ours"))}
@@ -132,11 +132,11 @@
     sealed: Sealed, by: Identity, known: Trust, policy: Policy = ANY, now: float = NOW
 ) -> Modifier:
     with pytest.raises(As2Error) as caught:
-        opened(sealed, by, known, policy, now)
+        unsealed(sealed, by, known, policy, now)
     return caught.value.modifier
 
 
-def test_what_lacks_a_layer_that_is_asked_for_is_rejected() -> None:
+def test_message_without_required_layer_is_rejected() -> None:
     plain = seal(CONTENT, Format("", "", False), identity("ours"), trust("theirs"), NOW)
     signed = seal(CONTENT, Format("sha256", "", False), identity("ours"), trust("theirs"), NOW)
     assert reported_modifier(plain, identity("theirs"), trust("ours"), Policy()) is Modifier.SECURITY
@@ -144,17 +144,17 @@
     assert reported_modifier(signed, identity("theirs"), trust("ours"), wanted) is Modifier.SECURITY
 
 
-def test_sha1_counts_only_where_it_is_allowed() -> None:
+def test_sha1_signature_is_accepted_only_if_allowed() -> None:
     sealed = seal(CONTENT, Format("sha1", "", False), identity("ours"), trust("theirs"), NOW)
     assert reported_modifier(sealed, identity("theirs"), trust("ours")) is Modifier.AUTHENTICATION
-    got = opened(sealed, identity("theirs"), trust("ours"), Policy(sha1=True))
+    got = unsealed(sealed, identity("theirs"), trust("ours"), Policy(sha1=True))
     assert got.mic() == (sealed.mic, "sha1")
 
 
-def test_a_bomb_is_not_unpacked() -> None:
+def test_decompression_bomb_is_rejected() -> None:
     packed, block = zlib.compressobj(9), bytes(1 << 20)
     first, other = (packed.compress(block) + packed.flush(zlib.Z_FULL_FLUSH) for _ in range(2))
-    data = first + 1023 * other  # behind a full flush the same bytes mean the same again
+    data = first + 1023 * other  # after a full flush, equal input is compressed to equal bytes
     assert len(data) < 1_100_000
     der = asn1.ContentInfo(
         {
@@ -174,7 +174,7 @@
     assert caught.value.modifier is Modifier.DECOMPRESSION
 
 
-def test_layers_without_end_are_rejected() -> None:
+def test_too_many_layers_are_rejected() -> None:
     inner = CONTENT
     for _ in range(12):
         inner = mime.compose(
@@ -185,29 +185,29 @@
         unseal(mime.entity(inner), identity("theirs"), trust("ours"), ANY, NOW)
 
 
-def test_a_certificate_that_ended_yesterday_signs_nothing_and_is_not_written_to() -> None:
-    over = certificate("old", since=-30.0, until=-1.0)
-    then = Identity(((over, key("old")),))
+def test_expired_certificate_is_not_used_to_sign_verify_or_encrypt() -> None:
+    expired = certificate("old", since=-30.0, until=-1.0)
+    then = Identity(((expired, key("old")),))
     sealed = seal(CONTENT, Format("sha256", "", False), then, trust("theirs"), NOW - 86400 * 5)
-    assert reported_modifier(sealed, identity("theirs"), Trust((over,))) is Modifier.AUTHENTICATION
+    assert reported_modifier(sealed, identity("theirs"), Trust((expired,))) is Modifier.AUTHENTICATION
     with pytest.raises(CertificateError):
-        seal(CONTENT, Format("", "aes128_cbc", False), identity("ours"), Trust((over,)), NOW)
+        seal(CONTENT, Format("", "aes128_cbc", False), identity("ours"), Trust((expired,)), NOW)
     with pytest.raises(CertificateError):
         seal(CONTENT, Format("sha256", "", False), then, trust("theirs"), NOW)
 
 
-def test_a_rollover_goes_through_both_certificates() -> None:
-    """The old one still opens and verifies; messages are encrypted to the new one once it is valid."""
+def test_rollover_accepts_both_certificates_and_encrypts_to_the_new_one() -> None:
+    """The old certificate still decrypts and verifies; a new one is encrypted to once it is valid."""
     both = identity("theirs", "theirs-new")
     sealed = seal(CONTENT, Format("sha256", "aes128_cbc", False), identity("ours"), trust("theirs"), NOW)
-    assert opened(sealed, both, trust("ours-new", "ours")).layers
+    assert unsealed(sealed, both, trust("ours-new", "ours")).layers
     old, new = certificate("theirs"), certificate("theirs-next", until=730.0)
     assert Trust((old, new)).recipient(NOW) is new
     later = certificate("theirs-later", since=5.0, until=900.0)
     assert Trust((old, later)).recipient(NOW) is old
 
 
-def test_a_chain_counts_where_an_authority_vouches_for_the_name() -> None:
+def test_certificate_chain_is_accepted_only_for_the_certified_name() -> None:
     root = certificate("root", authority=True)
     leaf = certificate("bank", issuer="root")
     other = certificate("stranger", issuer="root")
@@ -224,19 +224,19 @@
         cms.verify(alone, CONTENT, Trust((), (root,), "bank"), NOW)
 
 
-def test_a_certificate_that_comes_along_is_not_believed() -> None:
+def test_attached_certificate_is_not_trusted() -> None:
     der = cms.sign(CONTENT, certificate("other"), key("other"), "sha256", NOW)
     with pytest.raises(As2Error, match="no signer"):
         cms.verify(der, CONTENT, trust("ours"), NOW)
 
 
-def test_a_large_content_is_rejected() -> None:
+def test_content_over_size_limit_is_rejected() -> None:
     large = mime.of((("Content-Type", "text/plain"),), bytes(MAX_CONTENT_BYTES + 1))
     with pytest.raises(As2Error, match="over"):
         unseal(large, identity("theirs"), trust("ours"), ANY, NOW)
 
 
-def test_signatures_by_pss_are_verified() -> None:
+def test_pss_signature_is_verified() -> None:
     builder = pkcs7.PKCS7SignatureBuilder().set_data(CONTENT)
     builder = builder.add_signer(
         certificate("ours"),
@@ -252,7 +252,7 @@
 
 
 def enveloped(cipher: str, vector: bytes, hidden: bytes, transport: object, encrypted_key: bytes) -> bytes:
-    """Enveloped data by hand, of kinds that we do not write."""
+    """Build enveloped data with algorithms that `cms.encrypt` does not use."""
     info = asn1.KeyTransRecipientInfo(
         {
             "version": "v0",
@@ -278,31 +278,31 @@
     return bytes(asn1.ContentInfo({"content_type": "enveloped_data", "content": data}).dump())
 
 
-def hidden(algorithm: object, size: int, secret: bytes, vector: bytes) -> bytes:
+def encrypt_cbc(algorithm: object, size: int, secret: bytes, vector: bytes) -> bytes:
     padder = symmetric.PKCS7(size).padder()
     encryptor = Cipher(algorithm(secret), modes.CBC(vector)).encryptor()  # type: ignore[operator]
     return encryptor.update(padder.update(CONTENT) + padder.finalize()) + encryptor.finalize()
 
 
-def test_a_key_by_oaep_is_taken_in() -> None:
+def test_content_key_encrypted_with_oaep_is_decrypted() -> None:
     public, secret, vector = certificate("theirs").public_key(), bytes(range(16)), bytes(16)
     assert isinstance(public, rsa.RSAPublicKey)
     sealed = public.encrypt(secret, padding.OAEP(padding.MGF1(hashes.SHA256()), hashes.SHA256(), None))
     sha = {"algorithm": "sha256"}
     parameters = {"hash_algorithm": sha, "mask_gen_algorithm": {"algorithm": "mgf1", "parameters": sha}}
     transport = {"algorithm": "rsaes_oaep", "parameters": parameters}
-    der = enveloped("aes128_cbc", vector, hidden(algorithms.AES, 128, secret, vector), transport, sealed)
+    der = enveloped("aes128_cbc", vector, encrypt_cbc(algorithms.AES, 128, secret, vector), transport, sealed)
     assert cms.decrypt(der, identity("theirs")) == (CONTENT, "aes128_cbc")
 
 
-def test_triple_des_is_taken_in_only_where_it_is_allowed() -> None:
+def test_triple_des_is_decrypted_only_if_allowed() -> None:
     from cryptography.hazmat.decrepit.ciphers.algorithms import TripleDES
 
     public, secret, vector = certificate("theirs").public_key(), bytes(range(24)), bytes(8)
     assert isinstance(public, rsa.RSAPublicKey)
     sealed = public.encrypt(secret, padding.PKCS1v15())
     transport = {"algorithm": "rsaes_pkcs1v15"}
-    der = enveloped("tripledes_3key", vector, hidden(TripleDES, 64, secret, vector), transport, sealed)
+    der = enveloped("tripledes_3key", vector, encrypt_cbc(TripleDES, 64, secret, vector), transport, sealed)
     assert cms.decrypt(der, identity("theirs"), triple_des=True)[0] == CONTENT
     with pytest.raises(As2Error):
         cms.decrypt(der, identity("theirs"))
--- a/tests/as2/test_mdn.py
+++ b/tests/as2/test_mdn.py
@@ -1,4 +1,4 @@
-"""Receipts, ours and others'."""
+"""Receipts built by us and by other implementations."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from emberlatch.as2.errors import MimeError, Modifier
 from emberlatch.as2.mdn import Disposition, Mdn
 
-# After the example of RFC 4130, appendix A.2: folded fields, a MIC by `sha1`, several lines of prose.
+# Modelled on the example in RFC 4130, appendix A.2: folded fields, a SHA-1 MIC, several lines of text.
 EXAMPLE = b"""Content-Type: multipart/report;\r
  report-type=disposition-notification;\r
  boundary="----=_Part_336_6069110.1034887086496"\r
@@ -39,7 +39,7 @@
 """
 
 
-def test_a_receipt_laid_out_as_the_standards_example_is_read() -> None:
+def test_receipt_like_the_example_of_rfc_4130_is_parsed() -> None:
     read = mdn.parse(mime.entity(EXAMPLE))
     assert read.message_id == '200207310834482A70BF63@\\"~~foo~~\\"'
     assert read.disposition == Disposition("processed")
@@ -55,12 +55,12 @@
         *(Mdn("a@b", mdn.error_disposition(modifier), recipient="bank") for modifier in Modifier),
     ],
 )
-def test_ours_is_read_as_it_was_meant(receipt: Mdn) -> None:
+def test_built_receipt_is_parsed_to_an_equal_receipt(receipt: Mdn) -> None:
     assert mdn.parse(mime.entity(mdn.build(receipt))) == receipt
     assert mdn.build(receipt) == mdn.build(receipt)
 
 
-def notice(fields: str) -> mime.Entity:
+def notification(fields: str) -> mime.Entity:
     human = b"Content-Type: text/plain\r\n\r\nx"
     machine = b"Content-Type: message/disposition-notification\r\n\r\n" + fields.encode()
     kind = 'multipart/report; report-type=disposition-notification; boundary="b"'
@@ -76,8 +76,8 @@
         ("a/b;  processed / warning :  duplicate-document ", None),
     ],
 )
-def test_dispositions_as_people_spell_them(disposition: str, found: Disposition | None) -> None:
-    read = mdn.parse(notice(f"Original-Message-ID: <a@b>\r\nDisposition: {disposition}\r\n"))
+def test_unusual_spellings_of_dispositions_are_parsed(disposition: str, found: Disposition | None) -> None:
+    read = mdn.parse(notification(f"Original-Message-ID: <a@b>\r\nDisposition: {disposition}\r\n"))
     if found is not None:
         assert read.disposition == found
     else:
@@ -95,18 +95,18 @@
         "",
     ],
 )
-def test_a_notice_that_says_too_little_is_rejected(fields: str) -> None:
+def test_notification_with_missing_or_bad_fields_is_rejected(fields: str) -> None:
     with pytest.raises(MimeError):
-        mdn.parse(notice(fields))
+        mdn.parse(notification(fields))
 
 
 @pytest.mark.parametrize("mic", ["", "x", "AA==", "AA==, md5", "%%, sha256", ", sha256", "AA==, "])
-def test_a_mic_that_cannot_be_read_is_none(mic: str) -> None:
+def test_unreadable_mic_is_ignored(mic: str) -> None:
     fields = f"Original-Message-ID: <a@b>\r\nDisposition: a/b; processed\r\nReceived-Content-MIC: {mic}\r\n"
-    assert mdn.parse(notice(fields)).digest == ""
+    assert mdn.parse(notification(fields)).digest == ""
 
 
-def test_what_is_no_receipt_is_rejected() -> None:
+def test_entity_that_is_no_receipt_is_rejected() -> None:
     for headers in (
         "text/plain",
         "multipart/report; boundary=b",
@@ -128,10 +128,10 @@
         ("signed-receipt-protocol; =; ;;;", (False, "sha256")),
     ],
 )
-def test_what_is_asked_of_a_receipt(options: str, found: tuple[bool, str] | None) -> None:
+def test_receipt_options_are_parsed(options: str, found: tuple[bool, str] | None) -> None:
     assert mdn.receipt_options(options) == (found or (True, "sha512"))
 
 
-def test_text_for_people_cannot_write_headers() -> None:
+def test_human_readable_text_cannot_inject_headers() -> None:
     built = mdn.build(Mdn("a@b", mdn.PROCESSED, recipient="x", text="a\r\n\r\n--b\r\nX: y\x00ü"))
     assert mdn.parse(mime.entity(built)).text == "a    --b  X: y"
--- a/tests/as2/test_seeded_runs.py
+++ b/tests/as2/test_seeded_runs.py
@@ -1,4 +1,4 @@
-"""A few seeded runs with AS2 partners, and planted bugs that they catch."""
+"""A few seeded runs with AS2 partners, and planted bugs that the runs catch."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 Plant = Callable[[], AbstractContextManager[Any]]
 
 
-def owns() -> dict[str, Own]:
+def own_identities() -> dict[str, Own]:
     named = {name: Own(name, identity(name)) for name in ("bank", "fund", "stranger")}
     return named | {"us": Own("National Office", identity("us"), US)}
 
 
-def played(first: int, count: int) -> Iterator[As2Environment]:
+def run_seeds(first: int, count: int) -> Iterator[As2Environment]:
     for seed in range(first, first + count):
-        yield run_as2_seed(seed, owns())
+        yield run_as2_seed(seed, own_identities())
 
 
-def test_no_rule_is_broken_whatever_becomes_of_receipts() -> None:
+def test_seeded_runs_break_no_rule() -> None:
     completions = {"delivered": 0, "dead": 0, "bounced": 0}
     disputes = 0
-    for environment in played(0, 24):
+    for environment in run_seeds(0, 24):
         assert not environment.breaches, (environment.seed, environment.breaches)
         for message in environment.messages.values():
             for _, _, result in message.completions:
@@ -47,8 +47,8 @@
     )
 
 
-def test_a_run_is_the_same_each_time() -> None:
-    one, other = (run_as2_seed(3, owns()) for _ in range(2))
+def test_runs_of_the_same_seed_are_equal() -> None:
+    one, other = (run_as2_seed(3, own_identities()) for _ in range(2))
     assert one.loop.steps == other.loop.steps
     assert {n: t.completions for n, t in one.messages.items()} == {
         n: t.completions for n, t in other.messages.items()
@@ -56,17 +56,17 @@
 
 
 def any_status_refuses() -> AbstractContextManager[Any]:
-    """A 503 of a proxy is taken for the partner's word that nothing ran."""
+    """Every HTTP status, also a proxy's 503, counts as proof that the partner processed nothing."""
     return patch.object(evaluation, "evaluate_status", lambda status: ProcessingStatus.REJECTED)
 
 
 def any_error_is_a_refusal() -> AbstractContextManager[Any]:
-    """An error in the midst of processing is taken for one ahead of it."""
+    """An error during processing counts as one before the content was read."""
     return patch.object(evaluation, "_is_rejection", lambda disposition: disposition.modifier == "error")
 
 
 def no_receipt_is_no_run() -> AbstractContextManager[Any]:
-    """What is unknown counts as never run."""
+    """An unknown status counts as a rejection."""
     results = carrier.RESULT_OF_STATUS | {
         ProcessingStatus.UNKNOWN: carrier.RESULT_OF_STATUS[ProcessingStatus.REJECTED]
     }
@@ -129,6 +129,6 @@
 
 
 @pytest.mark.parametrize("plant", PLANTED, ids=lambda plant: plant.__name__)
-def test_a_planted_bug_is_caught(plant: Plant) -> None:
+def test_planted_bug_is_caught(plant: Plant) -> None:
     with plant():
-        assert any(environment.breaches for environment in played(0, 60))
+        assert any(environment.breaches for environment in run_seeds(0, 60))
--- a/tests/as2/world.py
+++ b/tests/as2/world.py
@@ -29,7 +29,7 @@
 
 
 def write(folder: Path, *names_: str) -> None:
-    """Certificates of parties, with their keys."""
+    """Write the certificates and keys of parties as PEM files."""
     for name in names_:
         own = certificate(name).public_bytes(PEM)
         secret = key(name).private_bytes(PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption())
@@ -38,7 +38,10 @@
 
 
 def configuration(folder: Path, listen: int, as2: int, endpoint: str, **more: str) -> Path:
-    """A gateway with the partner `river`; `more` goes into its profile, or with `as2_` into `[as2]`."""
+    """Write the configuration of a gateway with the partner `river`, and return its path.
+
+    `more` is added to the partner's profile; an option with the prefix `as2_` is added to `[as2]`.
+    """
     write(folder, "us", "river", "stranger")
     (folder / "inventory").mkdir(exist_ok=True)
     rows = f"id,address,partner,kind,wing,protocol\nriver-1,{endpoint},river,rural-bank,east-wing,as2\n"
@@ -63,7 +66,7 @@
 
 
 def partner(script: Callable[[], Script] = Script, duplicates: DuplicateFilter | None = None) -> As2Partner:
-    """The stand-in `river`."""
+    """Create the stand-in for the partner `river`."""
     us = Partner("us", US, trust("us"))
     own = Own(BANK, identity("river"))
     return As2Partner(own, us, duplicates or DuplicateFilter(), script, identity("stranger"), time.time)
@@ -73,7 +76,10 @@
 async def running(
     folder: Path, script: Callable[[], Script] = Script, context: ssl.SSLContext | None = None, **more: str
 ) -> AsyncIterator[tuple[StandaloneGateway, As2Partner, int, int]]:
-    """The gateway, its partner, and the ports of both of its fronts; `{as2}` stands for the second."""
+    """Run a gateway and its partner; yield both, the gateway's HTTP port and its AS2 port.
+
+    `{as2}` in an option is replaced by the AS2 port.
+    """
     bank = partner(script)
     await bank.start(context)
     listen, as2 = await free_port(), await free_port()
@@ -98,7 +104,7 @@
     signer: str = "river",
     **headers: str,
 ) -> tuple[list[tuple[str, str]], bytes]:
-    """An order of the bank, as headers and a body."""
+    """Create an order of the bank: HTTP headers and a body."""
     sealed = seal(content, wanted or Format(), identity(signer), trust("us"), NOW)
     fields = {
         "AS2-Version": "1.2",
@@ -113,7 +119,7 @@
 
 
 def receipt(headers: dict[str, str], body: bytes, signed: bool = True) -> Mdn:
-    """What a receipt of ours says."""
+    """Open and parse a receipt that the gateway sent."""
     outer = mime.of(tuple(headers.items()), body)
     opened = unseal(outer, identity("river"), trust("us"), Policy(signed=signed), time.time())
     return mdn.parse(opened.content)
@@ -125,6 +131,6 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for something that happens by itself."""
+    """Wait until a condition is true."""
     while not condition():
         await asyncio.sleep(0.01)
