--- a/emberlatch/as2/cms.py
+++ b/emberlatch/as2/cms.py
@@ -75,7 +75,7 @@
     return hasher.finalize()
 
 
-def kind(der: bytes) -> str:
+def content_type(der: bytes) -> str:
     """Return the content type of a CMS object: `signed_data`, `enveloped_data`, ...; raises As2Error."""
     try:
         return str(cms.ContentInfo.load(der, strict=True)["content_type"].native)
--- a/emberlatch/as2/evidence.py
+++ b/emberlatch/as2/evidence.py
@@ -26,7 +26,7 @@
 class Dispute(TypedDict, total=False):
     """A dispute in its stored form: a `Record` by its stored keys, or a receipt for an unknown message."""
 
-    original: str  # the Message-ID, preceded by the partner's name if the message is unknown
+    original: str  # the Message-ID; preceded by the partner's name if the message is unknown
     partner: str
     disputes: list[str]
     receipts: list[str]  # names of the stored receipts
@@ -52,7 +52,7 @@
         self._expiry_queue: list[str] = []
 
     def load(self) -> None:
-        """Read what an earlier process stored; raises OSError."""
+        """Read the ledger and the receipts of earlier processes; raises OSError."""
         self._store.load()
         for message_id, state in list(self._store.states.items()):
             if message_id.startswith(UNKNOWN_PREFIX):
@@ -67,7 +67,7 @@
             self._receipt_sizes[name] = len(self._files.read(name))
 
     def load_read_only(self) -> None:
-        """Read what another process writes, without the receipts and without changing it; raises OSError."""
+        """Read the ledger of another process, without its receipts and without writing; raises OSError."""
         self._store.load_read_only()
 
     def find(self, message_id: str) -> Record | None:
@@ -76,7 +76,7 @@
         return ledger.read(state) if state is not None else None
 
     def record_attempt(self, record: Record, attempt: int, target: str) -> Record:
-        """Record that a message is about to be sent; raises OSError, and then it must not be sent."""
+        """Record that a message is about to be sent; if this raises OSError, the message must not be sent."""
         known = self.find(record.message_id) or record
         ledger.add_attempt(known, attempt, target)
         self._put(known)
@@ -135,7 +135,7 @@
 
     def disputes(self) -> list[Dispute]:
         """Return, for operators, the stored states that have a dispute, each with its Message-ID."""
-        return disputed(self._store.states)
+        return filter_disputes(self._store.states)
 
     def receipt(self, name: str) -> bytes:
         """Read a stored receipt by its name; raises OSError."""
@@ -182,7 +182,7 @@
     return f"{round(at * 1000):014d}-{hashlib.sha256(receipt).hexdigest()[:16]}{RECEIPT_SUFFIX}"
 
 
-def disputed(states: Mapping[str, Mapping[str, object]]) -> list[Dispute]:
+def filter_disputes(states: Mapping[str, Mapping[str, object]]) -> list[Dispute]:
     """Return the states of a ledger that have a dispute, each with its Message-ID."""
     found: list[Dispute] = []
     for message_id, state in states.items():
--- a/emberlatch/as2/explain.py
+++ b/emberlatch/as2/explain.py
@@ -30,7 +30,7 @@
             outer = mime.entity(found[0])
         elif outer.type in PKCS7_TYPES:
             der = outer.content()
-            kind = cms.kind(der)
+            kind = cms.content_type(der)
             yield from _describe_pkcs7(kind, der)
             if kind != "compressed_data":
                 return
--- a/emberlatch/as2/front.py
+++ b/emberlatch/as2/front.py
@@ -92,7 +92,7 @@
         self._in_progress: dict[str, OrderReply] = {}  # orders being submitted, by storage key
         self._unseals = asyncio.Semaphore(MAX_CONCURRENT_UNSEALS)
 
-    # Life cycle, called by the node.
+    # The life cycle of an ingress, see `engine.ports`.
 
     def start(self) -> None:
         """Recover orders that were pending at a crash, and listen; raises OSError if either fails."""
@@ -116,7 +116,7 @@
 
     @property
     def pending_receipts(self) -> int:
-        """The number of asynchronous receipts that are not delivered yet."""
+        """The number of undelivered asynchronous receipts."""
         return self._order_log.pending_receipts
 
     async def _expire(self) -> None:
@@ -332,7 +332,7 @@
         error: As2Error,
         reply: Reply,
     ) -> None:
-        """Answer a message that can't be accepted: with a receipt if one is requested, else with 400."""
+        """Answer a rejected message: an error receipt if a synchronous one is requested, else 400."""
         if not receipt_request.is_requested or receipt_request.asynchronous:
             reply.send(400)
             return
--- a/emberlatch/as2/mdn.py
+++ b/emberlatch/as2/mdn.py
@@ -101,7 +101,7 @@
 
 
 def parse(content: Entity) -> Mdn:
-    """Read a receipt whose layers are removed; raises MimeError."""
+    """Parse a receipt without layers; raises MimeError."""
     if not is_receipt(content):
         raise MimeError(f"no receipt but {content.type[:60]!r}")
     found = [mime.entity(part) for part in mime.parts(content)]
--- a/emberlatch/as2/message.py
+++ b/emberlatch/as2/message.py
@@ -154,7 +154,7 @@
         if outer.type not in PKCS7_TYPES:
             return None
         der = outer.content()
-        kind = cms.kind(der)
+        kind = cms.content_type(der)
         if kind == "signed_data":
             self._add_signature(cms.verify(der, None, self.trust, self.now, self.policy.sha1))
             assert self.signed is not None
--- a/emberlatch/as2/order_reply.py
+++ b/emberlatch/as2/order_reply.py
@@ -31,7 +31,7 @@
         """The engine has rejected the order, and a repetition counts as a new order."""
 
     def on_failed(self, order: Order, receipt_request: ReceiptRequest, reply: Reply) -> None:
-        """The engine has failed the order after it was submitted."""
+        """The engine has failed the order after its submission."""
 
 
 class OrderReply:
--- a/emberlatch/as2/orders.py
+++ b/emberlatch/as2/orders.py
@@ -50,8 +50,8 @@
 
     @property
     def storage_key(self) -> str:
-        """The key under which the order is stored, see `key`."""
-        return key(self.partner, self.message_id)
+        """The key under which the order is stored, see `make_storage_key`."""
+        return make_storage_key(self.partner, self.message_id)
 
     def document(self) -> dict[str, object]:
         """Encode the order as it is stored."""
@@ -84,7 +84,7 @@
 _FIELD_OF_KEY = {key: name for name, key in STORED_KEYS.items()}
 
 
-def key(partner: str, message_id: str) -> str:
+def make_storage_key(partner: str, message_id: str) -> str:
     """Return the key under which an order is stored."""
     return f"{partner}\n{message_id}"
 
@@ -94,7 +94,7 @@
 
     Orders of different senders never have the same id.
     """
-    return f"as2-{hashlib.sha256(key(partner, message_id).encode()).hexdigest()[:32]}"
+    return f"as2-{hashlib.sha256(make_storage_key(partner, message_id).encode()).hexdigest()[:32]}"
 
 
 def read(document: Mapping[str, object]) -> Order:
--- a/tests/as2/hostile.py
+++ b/tests/as2/hostile.py
@@ -76,7 +76,7 @@
 
 def parsers(raw: bytes) -> None:
     """Pass an input to the parsers of CMS objects directly. Any error other than As2Error is raised."""
-    for parse in (cms.kind, lambda der: compression.decompress(der, 4096)):
+    for parse in (cms.content_type, lambda der: compression.decompress(der, 4096)):
         try:
             parse(raw)
         except As2Error:
--- a/tests/as2/test_mime.py
+++ b/tests/as2/test_mime.py
@@ -24,7 +24,7 @@
     [
         (b"ahead\r\n--b\r\n\r\nx\r\n--b--", [b"\r\nx"]),
         (b"--b \t\r\n\r\nx\r\n--b-- ", [b"\r\nx"]),
-        (b"--b\r\n\r\nx--b\r\n--b--", [b"\r\nx--b"]),  # not at the start of a line
+        (b"--b\r\n\r\nx--b\r\n--b--", [b"\r\nx--b"]),  # the delimiter is not at the start of a line
         (b"--b\r\n\r\n--bee\r\n--b--", [b"\r\n--bee"]),  # the line is longer than the delimiter
         (b"--b\r\n\r\nx\r\n\r\n--b--", [b"\r\nx\r\n"]),  # the first line break belongs to the content
         (b"--b\r\n\r\nx\r--b\r\n--b--", [b"\r\nx\r--b"]),
