--- a/emberlatch/as2/mime.py
+++ b/emberlatch/as2/mime.py
@@ -41,7 +41,7 @@
     raw: bytes
 
     def get(self, name: str) -> str:
-        """Return the first header with a lower-case name, unfolded; empty if there is none."""
+        """Return the first header named `name` (lower case), unfolded; empty if there is none."""
         return next((value for header, value in self.headers if header.lower() == name), "")
 
     @property
