--- a/emberlatch/simulation/__init__.py
+++ b/emberlatch/simulation/__init__.py
@@ -1,7 +1,7 @@
-"""Test machinery: clusters of the shipped code in one process, on a simulated network, disk and clock.
+"""Simulated clusters: the production code in one process, on a simulated network, disk and clock.
 
-Nothing in this package is part of the service. It plays days of a cluster, faults included, and checks what
-clients, targets and operators saw against the rules of the users' pages.
+Nothing in this package is part of the service. Each simulated day runs a cluster with traffic and faults, and
+checks what clients, targets and operators observed against the rules of the user documentation.
 """
 
 from emberlatch.simulation.cluster import SimulatedCluster
--- a/emberlatch/simulation/cluster.py
+++ b/emberlatch/simulation/cluster.py
@@ -1,4 +1,4 @@
-"""A simulated deployment: machines in zones, each with the real `Node`, on one virtual clock and network."""
+"""A simulated deployment: machines in zones, each running the real `Node`, on a virtual clock and network."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from emberlatch.simulation.plan import Plan
 from emberlatch.simulation.target import SimulatedTarget
 
-SEEDS = 3  # stores whose addresses every node is given
+SEED_COUNT = 3  # number of stores whose control addresses every node is given
 TARGET_PORT = 9000
 
 
 class SimulatedCluster(Environment):
     """The machines and targets of a plan. Nothing runs until the nodes are started on its `loop`.
 
-    A cluster owns a folder with the files of all disks: `close` it.
+    A cluster owns a temporary folder with the files of all disks; `close` removes it.
     """
 
     def __init__(self, plan: Plan) -> None:
@@ -33,7 +33,7 @@
         random.seed(plan.seed)
         self.loop = VirtualLoop()
         self.folder = Path(tempfile.mkdtemp(prefix="emberlatch-"))
-        self._zones: dict[str, str] = {}  # by host
+        self._zones: dict[str, str] = {}  # zone name by host
         self.network = SimulatedNetwork(self.loop, plan.seed, lambda host: self._zones.get(host, ""))
         self.first_start = True
         self.nodes: dict[str, SimulatedNode] = {}
@@ -55,19 +55,19 @@
         return sorted({node.zone for node in self.nodes.values()})
 
     def run_in(self, process: Process, work: Coroutine[object, object, Result]) -> asyncio.Task[Result]:
-        """Run a coroutine as part of a process: it ends when that is killed."""
+        """Run a coroutine as a task of `process`; the task ends when the process is killed."""
         context = contextvars.copy_context()
         context.run(current_process.set, process)
         task: asyncio.Task[Result] = self.loop.create_task(work, context=context)
         return task
 
     def call_later(self, delay_s: float, callback: Callable[[], None]) -> None:
-        """Call something outside of all processes, after so many seconds."""
+        """Call `callback` outside of all processes after `delay_s` seconds."""
         self.network.call_later(delay_s, callback)
 
     def seed_addresses(self) -> tuple[tuple[str, int], ...]:
         """The control addresses that every node is given at its start."""
-        return tuple((node.host, CONTROL_PORT) for node in self.nodes.values() if node.is_store)[:SEEDS]
+        return tuple((node.host, CONTROL_PORT) for node in self.nodes.values() if node.is_store)[:SEED_COUNT]
 
     def control_addresses(self) -> list[tuple[str, int]]:
         """The control addresses of all stores, shuffled."""
@@ -76,7 +76,7 @@
         return found
 
     def pick_forwarder(self, zone: str, chance: random.Random) -> tuple[str, int] | None:
-        """A forwarder that reports that it is ready, of this zone if there is one."""
+        """The address of a random ready forwarder, of this zone if it has one; None if none is ready."""
         ready = [
             node
             for node in self.nodes.values()
@@ -91,7 +91,7 @@
     async def add_target(
         self, service: str, zone: str, address: tuple[str, int] | None = None
     ) -> SimulatedTarget:
-        """Start a new incarnation of a target; on a host of its own unless an address is given."""
+        """Start a new incarnation of a target, at `address` if given, otherwise on a new host."""
         number = self.next_number()
         address = address or (f"10.{zone[1:]}.64.{number}", TARGET_PORT)
         self._zones[address[0]] = zone
@@ -101,7 +101,7 @@
         return target
 
     def add_store(self, name: str, zone: str) -> SimulatedNode:
-        """Start another store, with an empty disk."""
+        """Start an additional store with an empty disk."""
         host = f"10.{zone[1:]}.1.{100 + len(self.nodes)}"
         self._zones[host] = zone
         node = self.nodes[name] = SimulatedNode(self, name, zone, host, True)
@@ -109,7 +109,7 @@
         return node
 
     def partition(self, one: str, other: str, duration_s: float) -> None:
-        """Two machines do not reach each other for so many seconds."""
+        """Prevent two machines from reaching each other for `duration_s` seconds."""
         self.network.partition(self.nodes[one].host, self.nodes[other].host, duration_s)
 
     def close(self) -> None:
--- a/emberlatch/simulation/configuration.py
+++ b/emberlatch/simulation/configuration.py
@@ -1,4 +1,4 @@
-"""The configurations that a simulated operator sends. The keys are those of the users' pages."""
+"""The configurations that a simulated operator sends. The keys are those of the user documentation."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Configuration(TypedDict):
-    """A version of the configuration, as the control interface takes it."""
+    """One revision of the configuration, in the form that the control interface accepts."""
 
     revision: int
     route_entries: list[dict[str, object]]
@@ -29,9 +29,9 @@
 def build_configuration(
     revision: int, routes: Iterable[Route], services: Iterable[str], rate_limit_per_s: float
 ) -> Configuration:
-    """A configuration of these routes; versions differ in their guard timers.
+    """Build a configuration with these routes; revisions differ in their guard timers.
 
-    With a rate limit other than 0 there is a service with a fixed endpoint besides.
+    With a rate limit other than 0, there is also a service with a fixed endpoint, to which the limit applies.
     """
     service_entries: list[dict[str, object]] = [{"name": name, "max_connections": 60} for name in services]
     if rate_limit_per_s:
