--- a/emberlatch/simulation/control_cost.py
+++ b/emberlatch/simulation/control_cost.py
@@ -1,7 +1,7 @@
-"""What a change of the control state costs: `python -m emberlatch.simulation.control_cost VOTERS/STORES...`.
+"""Measures what a control change costs: `python -m emberlatch.simulation.control_cost VOTERS/STORES...`.
 
-Operators, one or several at once, send configurations one after the other to machines that are drawn. What
-the calm cluster sends in the same time is taken off. Times are those of the simulated links and disks.
+One or more operators send configurations, one after the other, to random control addresses. The traffic that
+the idle cluster sends in the same time is subtracted. Times are those of the simulated links and disks.
 """
 
 from __future__ import annotations
@@ -24,15 +24,18 @@
 from emberlatch.simulation.traffic import method_traffic
 
 FIRST_REVISION = 100
-PAUSE_S = 0.5  # seconds between two changes
-POLL_S = 0.002  # seconds between two looks whether a change is in force everywhere
-LONGEST_S = 20.0  # seconds after which a change that is not in force everywhere is a fault
+PAUSE_S = 0.5  # seconds between two rounds of changes
+POLL_S = 0.002  # seconds between two checks whether a change is active on all nodes
+CHANGE_TIMEOUT_S = 20.0  # seconds within which a change has to be active on all nodes
 REPLACE_PATH = "/api/configuration/replace"
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What is measured; the settings ask for `voters` by the losses that they name."""
+    """The deployment and load to measure.
+
+    The settings have no number of voters: `voters` follows from the tolerated losses, `(voters - 1) // 2`.
+    """
 
     voters: int
     stores: int
@@ -40,26 +43,26 @@
     zones: int = 3
     routes: int = 3
     operators: int = 1
-    rounds: int = 100  # each operator sends one change in each
+    rounds: int = 100  # in each round, every operator sends one change
 
     @property
     def changes(self) -> int:
-        """All that are confirmed."""
+        """The number of changes that all operators send; each is confirmed."""
         return self.rounds * self.operators
 
 
 @dataclass
 class MethodCost:
-    """Of one change: what goes between processes for one method, answers included."""
+    """The traffic between processes for one method, per change; responses are included."""
 
     frames: float = 0.0
     bytes: float = 0.0
-    bytes_over: float = 0.0  # over zones' borders
+    bytes_over: float = 0.0  # bytes sent from one zone to another
 
 
 @dataclass
 class ControlCost:
-    """Of one change. Each file is synced, and its folder too: two syncs."""
+    """The cost of one change. Each file that is written takes two syncs: its own and its folder's."""
 
     deployment: Deployment
     text_bytes: int = 0
@@ -67,16 +70,16 @@
     confirm_p99_s: float = 0.0
     everywhere_median_s: float = 0.0
     everywhere_p99_s: float = 0.0
-    asked_again: int = 0  # requests without a clear answer, of all changes
-    files: float = 0.0  # of all machines
-    files_busiest: float = 0.0  # of the machine that writes most
+    asked_again: int = 0  # requests of all changes that were not confirmed, and so were repeated
+    files: float = 0.0  # files written on all machines
+    files_busiest: float = 0.0  # files written on the machine that writes most
     file_bytes_busiest: float = 0.0
     methods: dict[str, MethodCost] = field(default_factory=dict)
 
 
 @dataclass
 class _Totals:
-    """Counts since the start: by method, and files by machine."""
+    """Counters since the start: traffic by method, files by machine."""
 
     frames: Counter[str] = field(default_factory=Counter)
     bytes: Counter[str] = field(default_factory=Counter)
@@ -86,8 +89,8 @@
 
 
 def measure(deployment: Deployment, seed: int = 1) -> ControlCost:
-    """Play it."""
-    found = ControlCost(deployment)
+    """Measure the cost of a change in a simulated cluster."""
+    cost = ControlCost(deployment)
     plan = Plan(
         seed, zones=deployment.zones, forwarders=deployment.forwarders, stores=deployment.stores,
         tolerated_losses=(deployment.voters - 1) // 2, targets=2,
@@ -98,20 +101,20 @@
         _add_routes(cluster, deployment.routes)
         await scenario.start()
         _check_voters(cluster, deployment.voters)
-        found.text_bytes = len(cluster.configuration_body(FIRST_REVISION, 800))
-        start, began = _totals(cluster), cluster.loop.time()
-        await _send_all(cluster, found)
-        end, took = _totals(cluster), cluster.loop.time() - began
-        await asyncio.sleep(took)
-        _sum_up(found, start, end, _totals(cluster))
+        cost.text_bytes = len(cluster.configuration_body(FIRST_REVISION, 800))
+        start, started_at = _totals(cluster), cluster.loop.time()
+        await _send_changes(cluster, cost)
+        end, duration_s = _totals(cluster), cluster.loop.time() - started_at
+        await asyncio.sleep(duration_s)
+        _set_change_costs(cost, start, end, _totals(cluster))
 
     _, breaches = play(plan, steps)
     assert not breaches, str(breaches[0])
-    return found
+    return cost
 
 
 def _add_routes(cluster: SimulatedCluster, routes: int) -> None:
-    """Make the configuration as long as that many routes."""
+    """Add routes until the configuration has `routes` of them."""
     for number in range(routes - len(cluster.routes)):
         cluster.services.append(f"service-{number}")
         cluster.routes.append(Route(f"service-{number}", "c.example", f"/{number}/"))
@@ -121,49 +124,55 @@
     for node in cluster.nodes.values():
         if node.program is not None and node.program.control is not None:
             state = node.program.control.service.state
-            assert len(state.voters) == voters, f"{node.name}: {state.voters}"
+            assert len(state.voters) == voters, (
+                f"{node.name}: expected {voters} voters, got {len(state.voters)}: {state.voters}"
+            )
 
 
-async def _send_all(cluster: SimulatedCluster, found: ControlCost) -> None:
-    loop, deployment = cluster.loop, found.deployment
-    confirmed, everywhere = list[float](), list[float]()
+async def _send_changes(cluster: SimulatedCluster, cost: ControlCost) -> None:
+    loop, deployment = cluster.loop, cost.deployment
+    confirmation_times, activation_times = list[float](), list[float]()
     for first in range(FIRST_REVISION, FIRST_REVISION + deployment.changes, deployment.operators):
-        began = loop.time()
+        started_at = loop.time()
         revisions = range(first, first + deployment.operators)
-        sending = [loop.create_task(_send(cluster, revision, found)) for revision in revisions]
-        await _in_force(cluster, revisions[-1])
-        everywhere.append(loop.time() - began)
-        confirmed += await asyncio.gather(*sending)
+        sending = [loop.create_task(_send_change(cluster, revision, cost)) for revision in revisions]
+        await _wait_until_active(cluster, revisions[-1])
+        activation_times.append(loop.time() - started_at)
+        confirmation_times += await asyncio.gather(*sending)
         await asyncio.sleep(PAUSE_S)
-    found.confirm_median_s, found.confirm_p99_s = _median_and_p99(confirmed)
-    found.everywhere_median_s, found.everywhere_p99_s = _median_and_p99(everywhere)
+    cost.confirm_median_s, cost.confirm_p99_s = _median_and_p99(confirmation_times)
+    cost.everywhere_median_s, cost.everywhere_p99_s = _median_and_p99(activation_times)
 
 
-async def _send(cluster: SimulatedCluster, revision: int, found: ControlCost) -> float:
-    """Seconds until an operator has its change confirmed."""
-    began, body = cluster.loop.time(), cluster.configuration_body(revision, 800)
+async def _send_change(cluster: SimulatedCluster, revision: int, cost: ControlCost) -> float:
+    """Send a change until it is confirmed; return the seconds that this took."""
+    started_at, body = cluster.loop.time(), cluster.configuration_body(revision, 800)
     while True:
         for control in cluster.control_addresses():
             try:
                 if (
                     await send_request(control, "POST", REPLACE_PATH, body, {"Host": "c"}, 1.0)
                 ).status == 200:
-                    return cluster.loop.time() - began
+                    return cluster.loop.time() - started_at
             except (OSError, NoResponseError, TimeoutError):
                 pass
-            found.asked_again += 1
-            assert cluster.loop.time() < began + LONGEST_S, f"revision {revision} was not confirmed"
+            cost.asked_again += 1
+            assert cluster.loop.time() < started_at + CHANGE_TIMEOUT_S, (
+                f"revision {revision} was not confirmed within {CHANGE_TIMEOUT_S:g} s"
+            )
 
 
-async def _in_force(cluster: SimulatedCluster, revision: int) -> None:
-    until = cluster.loop.time() + LONGEST_S
+async def _wait_until_active(cluster: SimulatedCluster, revision: int) -> None:
+    until = cluster.loop.time() + CHANGE_TIMEOUT_S
     while any(
         node.program.active_configuration.revision < revision
         for node in cluster.nodes.values()
         if node.program
     ):
         await asyncio.sleep(POLL_S)
-        assert cluster.loop.time() < until, f"revision {revision} did not get everywhere"
+        assert cluster.loop.time() < until, (
+            f"revision {revision} was not active on all nodes within {CHANGE_TIMEOUT_S:g} s"
+        )
 
 
 def _median_and_p99(seconds: list[float]) -> tuple[float, float]:
@@ -182,23 +191,28 @@
     return totals
 
 
-def _sum_up(found: ControlCost, start: _Totals, end: _Totals, calm: _Totals) -> None:
-    """What the changes added: from `start` to `end` less from there to `calm`, which took as long."""
+def _set_change_costs(cost: ControlCost, start: _Totals, end: _Totals, idle: _Totals) -> None:
+    """Set what the changes added: the growth from `start` to `end` minus that from `end` to `idle`.
+
+    Both periods have the same length; in the second one no change was sent.
+    """
 
-    def added(sums: str) -> Counter[str]:
-        before, after, later = (getattr(totals, sums) for totals in (start, end, calm))
+    def added(counter: str) -> Counter[str]:
+        before, after, later = (getattr(totals, counter) for totals in (start, end, idle))
         return Counter({key: 2 * after[key] - before[key] - later[key] for key in after})
 
-    changes = found.deployment.changes
-    frames, size, over = added("frames"), added("bytes"), added("bytes_over")
+    changes = cost.deployment.changes
+    frames, size, cross_zone = added("frames"), added("bytes"), added("bytes_over")
     for method in sorted(frames, key=lambda method: -size[method]):
         if frames[method] >= changes / 10:
-            cost = MethodCost(frames[method] / changes, size[method] / changes, over[method] / changes)
-            found.methods[method] = cost
+            method_cost = MethodCost(
+                frames[method] / changes, size[method] / changes, cross_zone[method] / changes
+            )
+            cost.methods[method] = method_cost
     files = added("files")
-    found.files = files.total() / changes
-    found.files_busiest = max(files.values()) / changes
-    found.file_bytes_busiest = max(added("file_bytes").values()) / changes
+    cost.files = files.total() / changes
+    cost.files_busiest = max(files.values()) / changes
+    cost.file_bytes_busiest = max(added("file_bytes").values()) / changes
 
 
 def _parser() -> argparse.ArgumentParser:
@@ -210,7 +224,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Measure each size; a JSON object a line."""
+    """Measure each size and print one JSON object per line."""
     logging.disable(logging.CRITICAL)
     options = vars(_parser().parse_args(arguments))
     for size in options.pop("sizes"):
--- a/emberlatch/simulation/control_disk.py
+++ b/emberlatch/simulation/control_disk.py
@@ -1,7 +1,7 @@
 """A simulated disk for the control state, with the files and the order of writes of `RecordStorage`.
 
-A write that a loss of power or a kill cuts off may have put in place none, some or all of its files; one
-that has returned is durable, unless the disk itself is lost.
+A write that a kill or a loss of power interrupts may have put in place none, some or all of its files. A
+write that has returned is durable unless the disk itself is lost.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from emberlatch.cluster.consensus.proposal import Proposal
 from emberlatch.cluster.consensus.state import Ballot, ControlState, Voter
 
-SHARE_WRITTEN_THOUGH_FAILED = 0.3  # of the writes that fail: the data was written, its sync failed
+WRITTEN_DESPITE_FAILURE_SHARE = 0.3  # share of failing writes whose data is written: only the sync fails
 
 
-class _WriteCutOffError(Exception):
-    """The machine is gone in the middle of a write."""
+class _WriteInterruptedError(Exception):
+    """The process ended in the middle of a write."""
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who the disk is."""
+    """The identity of a disk; a seed's also has the address that stands for it until the group is founded."""
 
     identity: str
     founding_address: str | None
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """What was promised and accepted about one version."""
+    """The ballot that was promised and the proposal that was accepted for one version."""
 
     version: int
     promised: Ballot | None
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class Files:
-    """The files on the disk; None for a missing one."""
+    """The files on a disk; None for a missing file."""
 
     identity: Identity | None = None
     state: ControlState | None = None
@@ -54,33 +54,34 @@
 
     rng: random.Random
     files: Files = field(default_factory=Files)
-    failing: bool = False  # every write fails
-    sync_s: float = 0.001  # seconds that a write takes
+    failing: bool = False  # whether every write fails
+    sync_s: float = 0.001  # mean duration of a write in seconds
     stalled_until: float = 0.0
     in_flight: list[Callable[[], None]] = field(default_factory=list)
 
     def lose(self) -> None:
-        """Everything on it is gone."""
+        """Lose all files."""
         self.files = Files()
 
-    def delay(self, now: float) -> float:
-        """Seconds that a write which begins now takes."""
+    def draw_write_duration(self, now: float) -> float:
+        """Draw the duration in seconds of a write that begins now."""
         return max(0.0, self.stalled_until - now) + self.sync_s * self.rng.uniform(0.5, 1.5)
 
-    def cut_off(self) -> None:
-        """The machine's process is gone: each write that was under way got to some point."""
+    def interrupt_writes(self) -> None:
+        """Interrupt each write in flight at a random point, because the process has ended."""
         in_flight, self.in_flight = self.in_flight, []
         for write in in_flight:
             write()
 
 
 class SimulatedStorage:
-    """`RecordStorage` on a simulated disk, for one incarnation of a process."""
+    """A substitute for `RecordStorage` on a simulated disk, for one incarnation of a process."""
 
     def __init__(self, disk: SimulatedDisk, node: str) -> None:
         self._disk, self._node = disk, node
         self._state_on_disk: ControlState | None = None
-        self.files_left: int | None = None  # until the machine is gone; None: it stays
+        # Files that are still written before the write is interrupted; None if it is not interrupted:
+        self.files_until_interruption: int | None = None
 
     def load(self) -> AcceptorRecord | None:
         """The record of an earlier incarnation; None if there is no valid one."""
@@ -100,8 +101,8 @@
         return AcceptorRecord(me, founding_address, files.state, vote.promised, vote.accepted)
 
     def create(self, state: ControlState, founding_address: str | None) -> AcceptorRecord:
-        """A new identity on an empty disk; OSError if it can't be written."""
-        self._check()
+        """Create a record with a new identity on an empty disk; OSError if it can't be written."""
+        self._raise_if_failing()
         identity = Identity(f"{self._disk.rng.getrandbits(64):016x}", founding_address)
         self._disk.files = Files(identity, state)
         self._state_on_disk = state
@@ -109,43 +110,43 @@
         return AcceptorRecord(me, None if founding_address is None else Voter(founding_address, ""), state)
 
     def write(self, record: AcceptorRecord) -> None:
-        """Write a record, synced; OSError if that fails, though it may have been written."""
+        """Write and sync a record; OSError if that fails, although the record may have been written."""
         if not self._disk.failing:
             return self._write_files(record)
-        if self._disk.rng.random() < SHARE_WRITTEN_THOUGH_FAILED:
+        if self._disk.rng.random() < WRITTEN_DESPITE_FAILURE_SHARE:
             self._write_files(record)
             self._state_on_disk = None
-        self._check()
+        self._raise_if_failing()
         return None
 
     def _write_files(self, record: AcceptorRecord) -> None:
         if record.state != self._state_on_disk:
             self._state_on_disk = None
-            self._put()
+            self._count_file()
             self._disk.files.state = record.state
             self._state_on_disk = record.state
         if record.promised is None and record.accepted is None:
             return
-        self._put()
+        self._count_file()
         self._disk.files.vote = Vote(record.state.version + 1, record.promised, record.accepted)
 
-    def _check(self) -> None:
+    def _raise_if_failing(self) -> None:
         if self._disk.failing:
-            raise OSError(errno.EIO, "the disk does not write")
+            raise OSError(errno.EIO, "the simulated disk fails all writes")
 
-    def _put(self) -> None:
-        if self.files_left is None:
+    def _count_file(self) -> None:
+        if self.files_until_interruption is None:
             return
-        if self.files_left == 0:
-            raise _WriteCutOffError
-        self.files_left -= 1
+        if self.files_until_interruption == 0:
+            raise _WriteInterruptedError
+        self.files_until_interruption -= 1
 
-    def write_until_cut_off(self, work: Callable[[], None]) -> None:
-        """Do a write of a process that is gone, up to a drawn point."""
-        self.files_left = self._disk.rng.randrange(3)
+    def write_interrupted(self, work: Callable[[], None]) -> None:
+        """Run a write of a process that has ended, up to a random point."""
+        self.files_until_interruption = self._disk.rng.randrange(3)
         try:
             work()
-        except (_WriteCutOffError, OSError):
+        except (_WriteInterruptedError, OSError):
             pass
         finally:
-            self.files_left = None
+            self.files_until_interruption = None
--- a/emberlatch/simulation/control_machine.py
+++ b/emberlatch/simulation/control_machine.py
@@ -1,4 +1,4 @@
-"""A simulated machine of the control plane: a disk that stays, and one process after another that uses it."""
+"""A simulated machine of the control plane: a persistent disk, and the successive processes that use it."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 )
 from emberlatch.simulation.control_peers import MachineFacts, PeerTable, PeerTransport, PeerView
 
-HEARTBEAT_S = (0.35, 0.5)  # seconds between two heartbeats, drawn
-RESTART_S = 0.5  # seconds after which a process that could not start is started again
+HEARTBEAT_INTERVAL_S = (0.35, 0.5)  # range of the random interval between two heartbeats, in seconds
+RESTART_DELAY_S = 0.5  # seconds after which a process that could not start is started again
 OPERATION_TIMEOUT_S = 2.0
-MAX_DRIFT = 0.02  # share by which a machine's timers are fast or slow
+MAX_DRIFT = 0.02  # largest share by which a machine's timers run fast or slow
 
 
 @dataclass(frozen=True)
-class Environment:
+class ControlEnvironment:
     """What all machines of a day share. `state_learned` is called with every state that a process learns."""
 
     loop: DriftingLoop
     network: ControlNetwork
-    losses: FaultTolerance
+    tolerance: FaultTolerance
     founding_voters: tuple[Voter, ...]
     seed: int
     state_learned: Callable[[str, ControlState], None]
@@ -48,25 +48,25 @@
 
 @dataclass(frozen=True, slots=True)
 class StateObserver:
-    """Passes the states that a machine's register learns to whoever checks them."""
+    """Passes each state that a machine's register learns to `state_learned`."""
 
     name: str
     state_learned: Callable[[str, ControlState], None]
 
     def state_changed(self, state: ControlState) -> None:
-        """A newer state is known."""
+        """Report a newer state."""
         self.state_learned(self.name, state)
 
     def disk_changed(self, error: OSError | None) -> None:
-        """Nothing is checked of it."""
+        """Ignore disk errors: they are not checked."""
 
 
 class ProcessIncarnation:
-    """One process on a machine, from its start to its end."""
+    """One process on a machine, from its start to its end, and the control service that it runs."""
 
     def __init__(
         self,
-        environment: Environment,
+        environment: ControlEnvironment,
         machine: ControlMachine,
         record: AcceptorRecord,
         storage: SimulatedStorage,
@@ -86,30 +86,30 @@
             storage,
             RegisterPorts(self._offload, self._transport, StateObserver(name, environment.state_learned)),
             f"{name}-{number}",
-            environment.losses.machines + 1,
+            environment.tolerance.machines + 1,
             rng,
         )
         self._peers = PeerView(facts, self.service, table)
         self.state_client = ControlStateClient(self.service, OPERATION_TIMEOUT_S)
-        self._maintenance = MaintenanceLoop(self.service, self._peers, environment.losses, rng)
+        self._maintenance = MaintenanceLoop(self.service, self._peers, environment.tolerance, rng)
         self._rng = rng
         self.run(self._maintenance.run())
         self.run(self._send_heartbeats())
 
     def run(self, work: Coroutine[object, object, None]) -> asyncio.Task[None]:
-        """Run something in this process."""
+        """Run a coroutine as a task of this process."""
         return self._environment.loop.create_task(work, context=self.context.copy())
 
     async def _offload(self, work: Callable[[], None]) -> None:
-        """Run a write as a thread would: once begun it goes on, even if its caller is cancelled."""
+        """Run a write as in a thread: once begun, it is completed even if its caller is cancelled."""
         loop, disk = self._environment.loop, self._machine.disk
         done: asyncio.Future[None] = loop.create_future()
-        cut_off = functools.partial(self._storage.write_until_cut_off, work)
+        interrupted_write = functools.partial(self._storage.write_interrupted, work)
 
         def finish() -> None:
             if not self.process.alive:
                 return
-            disk.in_flight.remove(cut_off)
+            disk.in_flight.remove(interrupted_write)
             error = _error_of(work)
             if done.done():
                 return
@@ -118,17 +118,17 @@
             else:
                 done.set_exception(error)
 
-        disk.in_flight.append(cut_off)
-        loop.call_at(loop.time() + disk.delay(loop.time()), finish, context=ENVIRONMENT_CONTEXT)
+        disk.in_flight.append(interrupted_write)
+        loop.call_at(loop.time() + disk.draw_write_duration(loop.time()), finish, context=ENVIRONMENT_CONTEXT)
         await done
 
     async def _send_heartbeats(self) -> None:
         while True:
             self._environment.network.broadcast(self._machine.others(), self._peers.heartbeat())
-            await asyncio.sleep(self._rng.uniform(*HEARTBEAT_S))
+            await asyncio.sleep(self._rng.uniform(*HEARTBEAT_INTERVAL_S))
 
     def receive(self, frame: Frame) -> None:
-        """A frame of another machine."""
+        """Handle a frame from another machine."""
         match frame:
             case Heartbeat():
                 self._peers.receive_heartbeat(frame)
@@ -153,9 +153,9 @@
 
 @dataclass
 class ControlMachine:
-    """See the module. `others` tells the names of all other machines."""
+    """A machine and its current process, if any. `others` returns the names of all other machines."""
 
-    environment: Environment
+    environment: ControlEnvironment
     name: str
     zone: str
     is_seed: bool
@@ -164,31 +164,31 @@
     timer_rate: float
     incarnation: ProcessIncarnation | None = None
     start_count: int = 0
-    first_start: bool = True  # the system is started for the first time, and this machine with it
+    first_start: bool = True  # whether its next start is its first, and part of the system's first start
     powered_off: bool = False
-    removed: bool = False  # it never comes back, nor does its disk
-    lost_until: float = field(default=0.0)  # until then it counts as one that lost its disk
+    removed: bool = False  # removed permanently, together with its disk
+    lost_until: float = field(default=0.0)  # loop time until which it counts as having lost its disk
 
     @property
     def address(self) -> str:
-        """By which the seeds are named before the group is founded."""
+        """The address; it stands for a seed's identity until the group is founded."""
         return f"{self.name}.address"
 
     @property
-    def up(self) -> bool:
-        """Whether its process runs, stopped or not."""
+    def has_process(self) -> bool:
+        """Whether it has a process, frozen or not."""
         return self.incarnation is not None
 
     def start(self) -> None:
-        """Start its process, if it has power and none runs."""
-        if self.up or self.powered_off or self.removed:
+        """Start a process if the machine is present and has power, and if no process runs."""
+        if self.has_process or self.powered_off or self.removed:
             return
         self.start_count += 1
         storage = SimulatedStorage(self.disk, self.name)
         try:
             record = storage.load() or self._create(storage)
         except OSError:
-            self.later(RESTART_S, self.start)
+            self.call_later(RESTART_DELAY_S, self.start)
             return
         self.first_start = False
         self.incarnation = ProcessIncarnation(self.environment, self, record, storage)
@@ -199,50 +199,50 @@
         return storage.create(ControlState(), None)
 
     def kill(self) -> None:
-        """The process ends at once; its writes in flight got to some point."""
+        """Kill the process; each of its writes in flight is interrupted at a random point."""
         incarnation, self.incarnation = self.incarnation, None
         if incarnation is not None:
             incarnation.process.kill()
-            self.disk.cut_off()
+            self.disk.interrupt_writes()
             self.environment.loop.rates.pop(incarnation.process, None)
 
     def power_off(self, seconds: float | None) -> None:
-        """Power off for so many seconds; permanently, and with its disk lost, if None."""
+        """Power off for `seconds`; if None, remove the machine permanently, together with its disk."""
         self.kill()
         self.powered_off = True
         if seconds is None:
             self.removed = True
             self.disk.lose()
         else:
-            self.later(seconds, self.power_on)
+            self.call_later(seconds, self.power_on)
 
     def power_on(self) -> None:
-        """The power is back."""
+        """Restore the power and start the process."""
         self.powered_off = False
         self.start()
 
     def freeze(self, seconds: float) -> None:
-        """The process stands still; what comes meanwhile arrives afterwards, all at once."""
+        """Suspend the process for `seconds`; what becomes due meanwhile runs all at once when it resumes."""
         if self.incarnation is not None:
             self.incarnation.process.suspend()
-            self.later(seconds, functools.partial(self._thaw, self.incarnation))
+            self.call_later(seconds, functools.partial(self._thaw, self.incarnation))
 
     def _thaw(self, incarnation: ProcessIncarnation) -> None:
         if incarnation.process.alive and incarnation.process.suspended_callbacks is not None:
             incarnation.process.resume(self.environment.loop)
 
     def thaw(self) -> None:
-        """The process goes on, if it stands still."""
+        """Resume the process if it is frozen."""
         if self.incarnation is not None:
             self._thaw(self.incarnation)
 
-    def later(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Something outside of all processes, after a while."""
+    def call_later(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Call `callback` outside of all processes after `seconds`."""
         loop = self.environment.loop
         loop.call_at(loop.time() + seconds, callback, context=ENVIRONMENT_CONTEXT)
 
     def enter(self, callback: Callable[[ProcessIncarnation], None]) -> None:
-        """Run a callback in the process: not at all if there is none, on resuming if it is frozen."""
+        """Run a callback in the process: on resuming if it is frozen, not at all if there is no process."""
         incarnation = self.incarnation
         if incarnation is None:
             return
@@ -252,5 +252,5 @@
             incarnation.context.run(callback, incarnation)
 
     def receive(self, frame: Frame) -> None:
-        """A frame arrives."""
+        """Pass a frame to the process."""
         self.enter(lambda incarnation: incarnation.receive(frame))
--- a/emberlatch/simulation/control_network.py
+++ b/emberlatch/simulation/control_network.py
@@ -1,4 +1,4 @@
-"""Frames between simulated machines: delayed, lost, duplicated, late, or cut off, one way or both."""
+"""The network of simulated machines: frames may be delayed, lost, duplicated or blocked, one way or both."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 _ResultT = TypeVar("_ResultT")
 
-MIN_TASKS_KEPT = 1000
-HEARTBEAT_SHARE = 0.5  # heartbeats are lost, duplicated and late less often than requests
+MIN_TASKS_TO_PRUNE = 1000  # number of tasks from which on ended tasks are removed from the list
+HEARTBEAT_FAULT_FACTOR = 0.5  # heartbeats are lost, duplicated and late half as often as other frames
 
 
 @dataclass(frozen=True, slots=True)
 class LinkConditions:
-    """How the links behave: shares of the frames (0 to 1), and seconds."""
+    """The latency of the links in seconds, and the shares (0 to 1) of frames with each fault."""
 
     latency_s: float = 0.002
     loss_share: float = 0.0
@@ -38,14 +38,14 @@
     identity: str
     address: str
     zone: str
-    version: int  # of the state on its disk
+    version: int  # version of the state on the sender's disk
     cluster: str
-    unreachable_s: dict[str, float]  # seconds since the last heartbeat of these nodes
+    unreachable_s: dict[str, float]  # seconds since the last heartbeat of each unreachable node
 
 
 @dataclass(frozen=True, slots=True)
 class RequestFrame:
-    """A request of one process to another; `incarnation` and `number` identify the call."""
+    """A request from one process to another; `incarnation` and `number` identify the call."""
 
     sender: str
     incarnation: int
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyFrame:
-    """The reply to the call of that incarnation and number."""
+    """The reply to the call that `incarnation` and `number` identify."""
 
     sender: str
     incarnation: int
@@ -72,23 +72,23 @@
     def __init__(self) -> None:
         super().__init__()
         self.rates: dict[Process, float] = {}
-        self._prune_at = MIN_TASKS_KEPT
+        self._prune_at = MIN_TASKS_TO_PRUNE
 
     def create_task(
         self,
         coro: Coroutine[object, object, _ResultT] | Generator[object, None, _ResultT],
         **options: object,
     ) -> asyncio.Task[_ResultT]:
-        """Tasks that have ended are not kept: a long day has very many."""
+        """Create a task, and at intervals remove ended tasks from `tasks`: a long day has very many."""
         if len(self.tasks) >= self._prune_at:
             self.tasks = [task for task in self.tasks if not task.done()]
-            self._prune_at = max(MIN_TASKS_KEPT, 2 * len(self.tasks))
+            self._prune_at = max(MIN_TASKS_TO_PRUNE, 2 * len(self.tasks))
         return super().create_task(coro, **options)
 
     def call_at(
         self, when: float, callback: Callable[..., object], *args: object, context: Context | None = None
     ) -> asyncio.TimerHandle:
-        """Schedule a callback; the clock of a process may run fast or slow (`rates`)."""
+        """Schedule a callback; its delay is scaled by the clock rate of its process (`rates`)."""
         rate = self.rates.get(self._process_of(context), 1.0)
         now = self.time()
         return super().call_at(now + (when - now) * rate, callback, *args, context=context)
@@ -103,68 +103,70 @@
 
 @dataclass
 class ControlNetwork:
-    """All links. `deliver` hands a frame to the machine of a name, whichever incarnation of it runs."""
+    """All links. `deliver` passes a frame to the machine of a name, whichever incarnation of it runs."""
 
     loop: DriftingLoop
     rng: random.Random
     link_conditions: LinkConditions
     deliver: Callable[[str, Frame], None]
-    cuts: dict[tuple[str, str], float] = field(default_factory=dict)  # (from, to) -> until when
+    blocked_until: dict[tuple[str, str], float] = field(default_factory=dict)  # time by (sender, receiver)
 
-    def cut(self, senders: Iterable[str], receivers: Iterable[str], until: float) -> None:
-        """Frames from these senders to those receivers are dropped until then."""
-        ends = list(receivers)
+    def block(self, senders: Iterable[str], receivers: Iterable[str], until: float) -> None:
+        """Drop all frames from `senders` to `receivers` until the loop time `until`."""
+        receiver_list = list(receivers)
         for sender in senders:
-            for receiver in ends:
+            for receiver in receiver_list:
                 if sender != receiver:
-                    self.cuts[sender, receiver] = max(until, self.cuts.get((sender, receiver), 0.0))
+                    self.blocked_until[sender, receiver] = max(
+                        until, self.blocked_until.get((sender, receiver), 0.0)
+                    )
 
     def heal(self) -> None:
-        """All links are up, and lose nothing."""
-        self.cuts.clear()
+        """Restore all links and end all faults of frames; the latency stays as it is."""
+        self.blocked_until.clear()
         self.link_conditions = LinkConditions(self.link_conditions.latency_s)
 
     def send(self, receiver: str, frame: RequestFrame | ReplyFrame) -> None:
-        """A frame leaves."""
+        """Send a frame, which may be dropped, late or duplicated."""
         link_conditions, rng = self.link_conditions, self.rng
-        if self._is_cut(frame.sender, receiver) or rng.random() < link_conditions.loss_share:
+        if self._is_blocked(frame.sender, receiver) or rng.random() < link_conditions.loss_share:
             return
-        self._arrive_after(self._delay(link_conditions.late_share), [receiver], frame)
+        self._deliver_after(self._draw_delay(link_conditions.late_share), [receiver], frame)
         if rng.random() < link_conditions.duplicate_share:
-            self._arrive_after(self._delay(link_conditions.late_share), [receiver], frame)
+            self._deliver_after(self._draw_delay(link_conditions.late_share), [receiver], frame)
 
     def broadcast(self, receivers: Iterable[str], heartbeat: Heartbeat) -> None:
-        """A heartbeat leaves to all others: at once to most, which costs one event alone."""
+        """Send a heartbeat to all receivers; those that get it promptly share one event of the loop."""
         link_conditions, rng = self.link_conditions, self.rng
         prompt = []
         for receiver in receivers:
-            if self._is_cut(heartbeat.sender, receiver):
+            if self._is_blocked(heartbeat.sender, receiver):
                 continue
-            if rng.random() < link_conditions.loss_share * HEARTBEAT_SHARE:
+            if rng.random() < link_conditions.loss_share * HEARTBEAT_FAULT_FACTOR:
                 continue
-            if rng.random() < link_conditions.late_share * HEARTBEAT_SHARE:
-                self._arrive_after(self._delay(1.0), [receiver], heartbeat)
+            if rng.random() < link_conditions.late_share * HEARTBEAT_FAULT_FACTOR:
+                self._deliver_after(self._draw_delay(1.0), [receiver], heartbeat)
                 continue
             prompt.append(receiver)
-            if rng.random() < link_conditions.duplicate_share * HEARTBEAT_SHARE:
-                self._arrive_after(self._delay(link_conditions.late_share), [receiver], heartbeat)
+            if rng.random() < link_conditions.duplicate_share * HEARTBEAT_FAULT_FACTOR:
+                self._deliver_after(self._draw_delay(link_conditions.late_share), [receiver], heartbeat)
         if prompt:
-            self._arrive_after(self._delay(0.0), prompt, heartbeat)
+            self._deliver_after(self._draw_delay(0.0), prompt, heartbeat)
 
-    def _is_cut(self, sender: str, receiver: str) -> bool:
-        return self.cuts.get((sender, receiver), 0.0) > self.loop.time()
+    def _is_blocked(self, sender: str, receiver: str) -> bool:
+        return self.blocked_until.get((sender, receiver), 0.0) > self.loop.time()
 
-    def _delay(self, late: float) -> float:
+    def _draw_delay(self, late_share: float) -> float:
         delay = self.link_conditions.latency_s * self.rng.uniform(0.5, 1.5)
-        if self.rng.random() < late:
+        if self.rng.random() < late_share:
             delay += self.rng.uniform(0.0, self.link_conditions.max_late_s)
         return delay
 
-    def _arrive_after(self, delay: float, receivers: list[str], frame: Frame) -> None:
+    def _deliver_after(self, delay: float, receivers: list[str], frame: Frame) -> None:
         self.loop.call_at(
-            self.loop.time() + delay, self._arrive, receivers, frame, context=ENVIRONMENT_CONTEXT
+            self.loop.time() + delay, self._deliver_to_all, receivers, frame, context=ENVIRONMENT_CONTEXT
         )
 
-    def _arrive(self, receivers: list[str], frame: Frame) -> None:
+    def _deliver_to_all(self, receivers: list[str], frame: Frame) -> None:
         for receiver in receivers:
             self.deliver(receiver, frame)
--- a/emberlatch/simulation/control_operators.py
+++ b/emberlatch/simulation/control_operators.py
@@ -14,23 +14,23 @@
 from emberlatch.simulation.control_network import DriftingLoop
 from emberlatch.simulation.operator_history import CallKind, OperatorCall, OperatorHistory
 
-INVALID = b"invalid"  # a text that begins so is refused by the first machine that sees it
+INVALID_PREFIX = b"invalid"  # prefix of texts that every machine refuses without proposing them
 INVALID_STATUS = 400
-STATUSES = {
+STATUS_BY_OUTCOME = {
     CommitOutcome.COMMITTED: 200,
     CommitOutcome.CONFLICT: 409,
     CommitOutcome.FORGOTTEN: 410,
     CommitOutcome.UNDECIDED: 503,
 }
 ANSWER_TIMEOUT_S = 2.5
-LATENCY_S = 0.002
-RESENDS = 3
-RECENT_TEXTS = 6
+LATENCY_S = 0.002  # one-way latency between an operator and a machine
+MAX_RESENDS = 3
+RECENT_TEXT_COUNT = 6
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationText:
-    """A configuration under its revision."""
+    """The text of a configuration and its revision."""
 
     revision: int
     content: bytes
@@ -38,24 +38,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a machine answers; a read tells the revision and the digest of what it read."""
+    """A machine's answer; that to a read has the revision and the digest of the text that was read."""
 
-    status: int | None  # None: there is no answer
+    status: int | None  # None if there was no answer
     revision: int
     digest: str
 
 
 async def answer_replace(incarnation: ProcessIncarnation, text: ConfigurationText) -> Answer:
-    """A machine's answer to a change."""
+    """Return a machine's answer to a change."""
     digest = text_digest(text.content)
-    if text.content.startswith(INVALID):
+    if text.content.startswith(INVALID_PREFIX):
         return Answer(INVALID_STATUS, text.revision, digest)
     outcome = await incarnation.state_client.commit_configuration(text.revision, text.content)
-    return Answer(STATUSES[outcome], text.revision, digest)
+    return Answer(STATUS_BY_OUTCOME[outcome], text.revision, digest)
 
 
 async def answer_retrieve(incarnation: ProcessIncarnation) -> Answer:
-    """A machine's answer to a read."""
+    """Return a machine's answer to a read."""
     state = await incarnation.state_client.read()
     if state is None:
         return Answer(503, -1, "")
@@ -64,98 +64,98 @@
 
 
 @dataclass
-class Orders:
-    """What all operators of a day have sent, and the answers."""
+class SentConfigurations:
+    """The texts that all operators of a day have sent, the confirmed revisions, and the calls."""
 
     history: OperatorHistory = field(default_factory=OperatorHistory)
     texts: list[ConfigurationText] = field(default_factory=list)
     confirmed: set[int] = field(default_factory=set)
-    highest: int = 0
+    highest_revision: int = 0
 
-    def new(self, revision: int, author: str) -> ConfigurationText:
-        """A text that nobody has sent before."""
+    def new_text(self, revision: int, author: str) -> ConfigurationText:
+        """Create a text that no operator has sent before."""
         text = ConfigurationText(revision, f"{revision} by {author} {len(self.texts)}".encode())
         self.texts.append(text)
-        self.highest = max(self.highest, revision)
+        self.highest_revision = max(self.highest_revision, revision)
         return text
 
 
 @dataclass
 class Operator:
-    """One operator. `loss_share`: the share of requests and of answers that do not arrive."""
+    """One operator. `loss_share` is the share of requests, and of answers, that are lost."""
 
     name: str
     loop: DriftingLoop
     rng: random.Random
-    orders: Orders
+    sent: SentConfigurations
     machines: Callable[[], list[ControlMachine]]
     loss_share: float
 
     async def run(self, pause_s: float) -> None:
-        """Work until cancelled."""
+        """Make random calls until cancelled."""
         while True:
             await asyncio.sleep(self.rng.expovariate(1 / pause_s))
-            await self._act()
+            await self._make_random_call()
 
-    async def _act(self) -> None:
-        kind = self.rng.random()
-        if kind < 0.25:
-            await self.retrieve(self._machine())
+    async def _make_random_call(self) -> None:
+        drawn = self.rng.random()
+        if drawn < 0.25:
+            await self.retrieve(self._random_machine())
             return
-        await self._order(self._text(kind))
+        await self._send(self._draw_text(drawn))
         if self.rng.random() < 0.3:
-            await self.retrieve(self._machine())
-
-    def _text(self, kind: float) -> ConfigurationText:
-        orders, rng = self.orders, self.rng
-        if kind < 0.4 and orders.texts:  # a race, or a late use of a revision that is taken
-            recent = orders.texts[-RECENT_TEXTS:] if rng.random() < 0.8 else orders.texts
-            return orders.new(rng.choice(recent).revision, self.name)
-        if kind < 0.55 and orders.texts:
-            return rng.choice(orders.texts)
-        if kind < 0.57:
-            return ConfigurationText(orders.highest + 1, INVALID + self.name.encode())
-        return orders.new(orders.highest + rng.randrange(1, 4), self.name)
-
-    async def _order(self, text: ConfigurationText) -> None:
-        """Send a text, again where there was no clear answer, sometimes."""
-        for _ in range(1 + RESENDS):
-            status = await self.replace(self._machine(), text)
+            await self.retrieve(self._random_machine())
+
+    def _draw_text(self, drawn: float) -> ConfigurationText:
+        sent, rng = self.sent, self.rng
+        if drawn < 0.4 and sent.texts:  # another text under a used revision, recent or old
+            recent = sent.texts[-RECENT_TEXT_COUNT:] if rng.random() < 0.8 else sent.texts
+            return sent.new_text(rng.choice(recent).revision, self.name)
+        if drawn < 0.55 and sent.texts:
+            return rng.choice(sent.texts)
+        if drawn < 0.57:
+            return ConfigurationText(sent.highest_revision + 1, INVALID_PREFIX + self.name.encode())
+        return sent.new_text(sent.highest_revision + rng.randrange(1, 4), self.name)
+
+    async def _send(self, text: ConfigurationText) -> None:
+        """Send a text; while there is no clear answer, send it again with some probability."""
+        for _ in range(1 + MAX_RESENDS):
+            status = await self.replace(self._random_machine(), text)
             if status not in (None, 503) or self.rng.random() < 0.3:
                 return
             await asyncio.sleep(self.rng.uniform(0.05, 0.5))
 
-    def _machine(self) -> ControlMachine:
+    def _random_machine(self) -> ControlMachine:
         return self.rng.choice(self.machines())
 
     async def replace(self, machine: ControlMachine, text: ConfigurationText) -> int | None:
-        """Send a text to a machine; the status of its answer, None if there was none."""
+        """Send a text to a machine; return the status of its answer, None if there was none."""
         start, answer = self.loop.time(), None
         try:
             answer = await self._call(machine, lambda incarnation: answer_replace(incarnation, text))
-        finally:  # an operator who is called away has sent it all the same
-            asked = Answer(None, text.revision, text_digest(text.content))
-            self._note(CallKind.REPLACE, machine, start, answer or asked)
+        finally:  # a cancelled call is recorded too, since its request may have been sent
+            unanswered = Answer(None, text.revision, text_digest(text.content))
+            self._record(CallKind.REPLACE, machine, start, answer or unanswered)
         if answer is not None and answer.status == 200:
-            self.orders.confirmed.add(text.revision)
+            self.sent.confirmed.add(text.revision)
         return None if answer is None else answer.status
 
     async def retrieve(self, machine: ControlMachine) -> Answer | None:
-        """Read from a machine; None if nothing was read."""
+        """Read the configuration from a machine; None if nothing was read."""
         start = self.loop.time()
         answer = await self._call(machine, answer_retrieve)
-        self._note(CallKind.RETRIEVE, machine, start, answer or Answer(None, -1, ""))
+        self._record(CallKind.RETRIEVE, machine, start, answer or Answer(None, -1, ""))
         return answer if answer is not None and answer.status == 200 else None
 
-    def _note(self, kind: CallKind, machine: ControlMachine, start: float, answer: Answer) -> None:
+    def _record(self, kind: CallKind, machine: ControlMachine, start: float, answer: Answer) -> None:
         end = None if answer.status is None else self.loop.time()
         call = OperatorCall(kind, machine.name, start, end, answer.status, answer.revision, answer.digest)
-        self.orders.history.add(call)
+        self.sent.history.add(call)
 
     async def _call(
         self, machine: ControlMachine, work: Callable[[ProcessIncarnation], Awaitable[Answer]]
     ) -> Answer | None:
-        """One exchange with a machine; the request, or its answer, may be lost."""
+        """Send a request to a machine and wait for its answer; either may be lost."""
         loop = self.loop
         answered: asyncio.Future[Answer] = loop.create_future()
         await asyncio.sleep(LATENCY_S)
--- a/emberlatch/simulation/control_peers.py
+++ b/emberlatch/simulation/control_peers.py
@@ -1,4 +1,4 @@
-"""What one incarnation of a simulated machine knows of its peers, and its transport to them."""
+"""The view that one incarnation of a simulated machine has of its peers, and its transport to them."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 )
 
 REACHABLE_S = 1.5  # seconds after a heartbeat for which a machine counts as reachable
-UNREACHABLE_AFTER_S = 1.0  # seconds after which a machine is reported as unreachable
+UNREACHABLE_AFTER_S = 1.0  # seconds without a heartbeat after which a machine is reported as unreachable
 REGION = "region"
 
 
 @dataclass(frozen=True, slots=True)
 class MachineFacts:
-    """What stays the same for one incarnation of a machine."""
+    """The facts that do not change during one incarnation of a machine."""
 
     name: str
     incarnation: int
@@ -42,7 +42,7 @@
 
 
 class PeerTable:
-    """The newest heartbeat of each peer, and when it came."""
+    """The newest heartbeat of each peer, and the time when it was received."""
 
     def __init__(self, facts: MachineFacts, loop: DriftingLoop) -> None:
         self._loop, self._started_at = loop, loop.time()
@@ -50,11 +50,11 @@
         self._nodes_by_address = {facts.address: facts.name}
 
     def now(self) -> float:
-        """Seconds of the loop's clock."""
+        """The time of the loop's clock in seconds."""
         return self._loop.time()
 
     def update(self, heartbeat: Heartbeat) -> bool:
-        """Take a heartbeat; False if a later incarnation of its sender is known."""
+        """Store a heartbeat; False if a later incarnation of its sender is known."""
         known = self._peers.get(heartbeat.sender)
         if known is not None and known.heartbeat.incarnation > heartbeat.incarnation:
             return False
@@ -83,7 +83,7 @@
     def seconds_unreachable(self, expected: Iterable[str]) -> dict[str, float]:
         """Seconds since the last heartbeat of each unreachable peer; since the start if there was none.
 
-        `expected` are nodes that count as peers although no heartbeat has come.
+        `expected` are nodes that count as peers even if they have sent no heartbeat.
         """
         now = self.now()
         unreachable = {node: now - peer.received_at for node, peer in self._peers.items()}
@@ -111,7 +111,7 @@
         return voter.node if voter.identity else self._table.node_at(voter.node)
 
     def lost_voters(self, voters: Iterable[Voter]) -> frozenset[Voter]:
-        """Those whose machine reports another identity: its disk was lost."""
+        """The voters whose machine reports another identity, because its disk was lost."""
         return frozenset(voter for voter in voters if voter.identity and self._has_other_disk(voter))
 
     def _has_other_disk(self, voter: Voter) -> bool:
@@ -138,10 +138,10 @@
     def _expire(self, number: int) -> None:
         reply = self._pending.get(number)
         if reply is not None and not reply.done():
-            reply.set_exception(UnreachableError("no reply in time"))
+            reply.set_exception(UnreachableError(f"no reply to request {number} in time"))
 
     def receive_reply(self, frame: ReplyFrame) -> None:
-        """A reply has come; one to an earlier incarnation, or that comes late or twice, is dropped."""
+        """Complete the call of a reply; drop a late or duplicate one, and one to an earlier incarnation."""
         if frame.incarnation != self._facts.incarnation:
             return
         reply = self._pending.get(frame.number)
@@ -150,14 +150,14 @@
 
 
 class PeerView:
-    """`MembershipView` of the maintenance loop, by what the peers' heartbeats report."""
+    """The `MembershipView` of the maintenance loop, from the heartbeats of the peers."""
 
     def __init__(self, facts: MachineFacts, service: ControlService, table: PeerTable) -> None:
         self._facts, self._service, self._table = facts, service, table
         self._reports = UnreachabilityReports()
 
     def heartbeat(self) -> Heartbeat:
-        """What this machine reports to all others now."""
+        """The heartbeat that this machine sends to all others now."""
         record = self._service.register.record
         assert record is not None
         facts = self._facts
@@ -177,20 +177,20 @@
         return [voter.node for voter in voters if voter.identity and voter.node != self._facts.name]
 
     def receive_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """A peer's heartbeat has come; one of an earlier incarnation is ignored."""
+        """Process a peer's heartbeat; one of an earlier incarnation is ignored."""
         if self._table.update(heartbeat):
             self._reports.report(heartbeat.sender, heartbeat.unreachable_s, self.now())
 
     def now(self) -> float:
-        """Seconds of the loop's clock."""
+        """The time of the loop's clock in seconds."""
         return self._table.now()
 
     def founding_voters(self) -> tuple[Voter, ...]:
-        """The seeds."""
+        """The seeds, which are the voters until the group is founded."""
         return self._facts.founding_voters
 
     def reports(self) -> Mapping[str, MemberReport]:
-        """Every machine that has sent a heartbeat, and every voter, by its node."""
+        """A report on every machine that has sent a heartbeat and on every voter, by node name."""
         own, heartbeats = self.heartbeat(), self._table.heartbeats()
         self._reports.report(self._facts.name, own.unreachable_s, self.now())
         unreachable_s = self._seconds_unreachable_by_majority([own, *heartbeats])
@@ -205,7 +205,7 @@
         return reports
 
     def _seconds_unreachable_by_majority(self, heartbeats: Iterable[Heartbeat]) -> dict[str, float]:
-        """For how long a majority of the voters has not reached each machine that any of them reports."""
+        """Seconds for which a majority of voters has not reached a machine, by each reported machine."""
         now = self.now()
         voters = [voter.node for voter in self._service.state.voters]
         nodes = {node for heartbeat in heartbeats for node in heartbeat.unreachable_s}
--- a/emberlatch/simulation/operator_history.py
+++ b/emberlatch/simulation/operator_history.py
@@ -1,7 +1,7 @@
-"""Operators' calls and their answers, verified as a register of the highest confirmed revision. Pure.
+"""Checks that operators' calls are linearizable for a register of the highest revision. Performs no I/O.
 
-A change is confirmed by 200. It is refused for good by most answers of 4xx; everything else, no answer
-among it, leaves open whether the change took effect, or ever will. A read counts if it was answered 200.
+Status 200 confirms a change, and most statuses 4xx refuse it for good. After any other status, or without an
+answer, the change may have taken effect, or may do so later. A read counts only if its status was 200.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-NO_REVISION = -1  # what is read before any change took effect, with an empty digest
+NO_REVISION = -1  # the revision read before any change has taken effect, with an empty digest
 OK = 200
-UNCLEAR_STATUSES = frozenset({408, 410, 429})  # of 4xx: the change may stand, or may be sent again
+UNCLEAR_STATUSES = frozenset({408, 410, 429})  # 4xx: the change may be in force, or may be resent
 
 
 class CallKind(Enum):
-    """What an operator asked for."""
+    """The kind of an operator's call."""
 
     REPLACE = "replace"
     RETRIEVE = "retrieve"
@@ -25,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorCall:
-    """One call and its answer; `status` and `end` are None if there was none.
+    """One call and its answer; `status` and `end` are None if there was no answer.
 
-    Of a change, `revision` and `digest` tell what was sent; of a read, what was read.
+    `revision` and `digest` are those of the text that a change sent, or that a read returned.
     """
 
     kind: CallKind
@@ -40,7 +40,7 @@
 
     @property
     def confirmed(self) -> bool:
-        """Whether the answer says that the change stands, or what was read."""
+        """Whether the answer confirms the change, or returns what was read."""
         return self.status == OK
 
     @property
@@ -52,7 +52,7 @@
 
 
 class Rule(Enum):
-    """What a history can break."""
+    """The rules that a history can violate."""
 
     TWO_TEXTS = "two texts were confirmed under one revision"
     STALE_READ = "a read is older than what was confirmed before it began"
@@ -73,28 +73,28 @@
 
 
 @dataclass(slots=True)
-class _Floor:
-    """The highest revision of the calls that had ended by a moment."""
+class _HighestEnded:
+    """For any moment, the call with the highest revision among those that had ended."""
 
     ends: list[float] = field(default_factory=list)
     highest: list[OperatorCall] = field(default_factory=list)
 
     @staticmethod
-    def of(calls: Iterable[OperatorCall]) -> _Floor:
-        floor = _Floor()
-        for end, call in sorted(_ended(calls), key=lambda entry: entry[0]):
-            before = floor.highest[-1] if floor.highest else call
-            floor.ends.append(end)
-            floor.highest.append(call if call.revision > before.revision else before)
-        return floor
+    def of(calls: Iterable[OperatorCall]) -> _HighestEnded:
+        ended = _HighestEnded()
+        for end, call in sorted(_with_end(calls), key=lambda entry: entry[0]):
+            previous = ended.highest[-1] if ended.highest else call
+            ended.ends.append(end)
+            ended.highest.append(call if call.revision > previous.revision else previous)
+        return ended
 
     def before(self, moment: float) -> OperatorCall | None:
-        """The highest of those that ended earlier than this."""
+        """The call with the highest revision that ended before `moment`; None if none had."""
         count = bisect_left(self.ends, moment)
         return self.highest[count - 1] if count else None
 
 
-def _ended(calls: Iterable[OperatorCall]) -> Iterator[tuple[float, OperatorCall]]:
+def _with_end(calls: Iterable[OperatorCall]) -> Iterator[tuple[float, OperatorCall]]:
     return ((call.end, call) for call in calls if call.end is not None)
 
 
@@ -105,15 +105,15 @@
         self.calls = list(calls)
 
     def add(self, call: OperatorCall) -> None:
-        """Note a call once its answer, or the lack of one, is known."""
+        """Add a call once its answer has come or its time limit is over."""
         self.calls.append(call)
 
     def violations(self) -> tuple[Violation, ...]:
-        """All that is wrong; nothing if the confirmed calls are linearizable.
+        """All violations; none if the confirmed calls are linearizable.
 
-        For a register whose value only grows, these rules together are linearizability: let each revision
-        take effect as late as the confirmed calls allow, and each read finds its value in force at some
-        moment between its start and its end.
+        For a register whose value only grows, these rules together are equivalent to linearizability: if each
+        revision takes effect as late as the confirmed calls allow, the value of each read is in force at some
+        moment between the start and the end of the read.
         """
         changes = [call for call in self.calls if call.kind is CallKind.REPLACE]
         confirmed = [call for call in changes if call.confirmed]
@@ -122,12 +122,12 @@
             *_two_texts(confirmed),
             *_losers_confirmed(confirmed, reads),
             *_confirmed_and_rejected(changes),
-            *_old_reads(confirmed, reads),
-            *_foreign_reads(changes, confirmed, reads),
+            *_outdated_reads(confirmed, reads),
+            *_unjustified_reads(changes, confirmed, reads),
         )
 
 
-def _by_revision(calls: Iterable[OperatorCall]) -> dict[int, OperatorCall]:
+def _first_by_revision(calls: Iterable[OperatorCall]) -> dict[int, OperatorCall]:
     """The first call of each revision."""
     first: dict[int, OperatorCall] = {}
     for call in calls:
@@ -136,50 +136,50 @@
 
 
 def _two_texts(confirmed: list[OperatorCall]) -> Iterator[Violation]:
-    first = _by_revision(confirmed)
+    first = _first_by_revision(confirmed)
     for call in confirmed:
         if call.digest != first[call.revision].digest:
             yield Violation(Rule.TWO_TEXTS, (first[call.revision], call))
 
 
 def _losers_confirmed(confirmed: list[OperatorCall], reads: list[OperatorCall]) -> Iterator[Violation]:
-    first_reads = _by_revision(reads)
+    first_reads = _first_by_revision(reads)
     for read in reads:
         if read.digest != first_reads[read.revision].digest:
             yield Violation(Rule.TWO_TEXTS, (first_reads[read.revision], read))
     for call in confirmed:
-        seen = first_reads.get(call.revision)
-        if seen is not None and seen.digest != call.digest:
-            yield Violation(Rule.LOSER_CONFIRMED, (seen, call))
+        first_read = first_reads.get(call.revision)
+        if first_read is not None and first_read.digest != call.digest:
+            yield Violation(Rule.LOSER_CONFIRMED, (first_read, call))
 
 
 def _confirmed_and_rejected(changes: list[OperatorCall]) -> Iterator[Violation]:
-    stands = {(call.revision, call.digest): call for call in changes if call.confirmed}
+    confirmed_texts = {(call.revision, call.digest): call for call in changes if call.confirmed}
     for call in changes:
-        confirmed = stands.get((call.revision, call.digest))
+        confirmed = confirmed_texts.get((call.revision, call.digest))
         if call.refused and confirmed is not None:
             yield Violation(Rule.CONFIRMED_AND_REJECTED, (confirmed, call))
 
 
-def _old_reads(confirmed: list[OperatorCall], reads: list[OperatorCall]) -> Iterator[Violation]:
-    for rule, floor in (
-        (Rule.STALE_READ, _Floor.of(confirmed)),
-        (Rule.BACKWARD_READ, _Floor.of(reads)),
+def _outdated_reads(confirmed: list[OperatorCall], reads: list[OperatorCall]) -> Iterator[Violation]:
+    for rule, ended in (
+        (Rule.STALE_READ, _HighestEnded.of(confirmed)),
+        (Rule.BACKWARD_READ, _HighestEnded.of(reads)),
     ):
         for read in reads:
-            known = floor.before(read.start)
-            if known is not None and known.revision > read.revision:
-                yield Violation(rule, (known, read))
+            latest = ended.before(read.start)
+            if latest is not None and latest.revision > read.revision:
+                yield Violation(rule, (latest, read))
 
 
-def _foreign_reads(
+def _unjustified_reads(
     changes: list[OperatorCall], confirmed: list[OperatorCall], reads: list[OperatorCall]
 ) -> Iterator[Violation]:
     refused = {(call.revision, call.digest): call for call in changes if call.refused}
     first_sent: dict[tuple[int, str], OperatorCall] = {}
     for call in sorted(changes, key=lambda change: change.start):
         first_sent.setdefault((call.revision, call.digest), call)
-    floor = _Floor.of([*confirmed, *reads])
+    ended = _HighestEnded.of([*confirmed, *reads])
     for read in reads:
         if (read.revision, read.digest) == (NO_REVISION, ""):
             continue
@@ -190,6 +190,6 @@
         if sent is None or (read.end is not None and sent.start > read.end):
             yield Violation(Rule.NEVER_SENT, (read,))
             continue
-        above = floor.before(sent.start)
-        if above is not None and above.revision > read.revision:
-            yield Violation(Rule.OVERTAKEN_READ, (above, sent, read))
+        higher = ended.before(sent.start)
+        if higher is not None and higher.revision > read.revision:
+            yield Violation(Rule.OVERTAKEN_READ, (higher, sent, read))
--- a/tests/simulation/test_control_plane.py
+++ b/tests/simulation/test_control_plane.py
@@ -1,4 +1,4 @@
-"""Drawn days of the control plane: the shipped code passes them, and code with a planted fault does not."""
+"""Random days of the control plane: the production code passes them, and code with a planted fault fails."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 from emberlatch.simulation.control_plan import DayPlan, FaultKind, draw_plan
 from emberlatch.simulation.control_plane import main, play_plan, play_seed
 
-DAYS = 200  # of the shipped code
-MOST_DAYS = 150  # until a planted fault has to be found
+DAYS = 200  # number of days that the production code has to pass
+MAX_DAYS = 150  # number of seeds within which a planted fault has to be detected
 
 
 @pytest.mark.parametrize("first", range(0, DAYS, 25))
-def test_days_of_the_shipped_code(first: int) -> None:
+def test_random_days_of_the_production_code_have_no_failures(first: int) -> None:
     for seed in range(first, first + 25):
         result = play_seed(seed)
         assert not result.failures, f"seed {seed}: {result.failures}"
 
 
-def test_a_day_of_many_changes() -> None:
+def test_a_day_with_a_required_number_of_changes_confirms_that_many() -> None:
     result = play_seed(1, changes=300)
     assert not result.failures
     assert result.confirmed >= 300
 
 
-def test_a_seed_is_the_same_day_again() -> None:
+def test_playing_a_seed_twice_gives_the_same_result() -> None:
     first, again = play_seed(11), play_seed(11)
     assert first == again
     assert first.steps > 1000
 
 
-def test_plans_differ() -> None:
+def test_different_seeds_give_different_plans() -> None:
     plans = [dataclasses.replace(draw_plan(seed), seed=0) for seed in range(20)]
     assert all(one != other for one, other in itertools.combinations(plans, 2))
 
 
-def test_the_command_tells_of_its_days(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_command_prints_the_number_of_days_and_their_traces(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["--days", "2", "--from", "5", "--trace"]) == 0
     output = capsys.readouterr().out
     assert "2 days played, 0 broken" in output
@@ -53,31 +53,31 @@
 
 SMALL_GROUP_FAULTS = (
     FaultKind.KILL,
-    FaultKind.POWER_ALL,
+    FaultKind.POWER_OFF_ALL,
     FaultKind.LOSE_DISK,
-    FaultKind.CUT,
-    FaultKind.CUT_ONE_WAY,
-    FaultKind.SPLIT,
+    FaultKind.ISOLATE,
+    FaultKind.ISOLATE_ONE_WAY,
+    FaultKind.PARTITION,
 )
 
 
 LOSSY = LinkConditions(0.004, loss_share=0.2, duplicate_share=0.1, late_share=0.1)
 SLOW = LinkConditions(
     0.03, duplicate_share=0.1, late_share=0.02
-)  # much can happen between a vote and the next
+)  # with long delays, much can happen between two votes
 
 
 def small_group(seed: int) -> DayPlan:
-    """A day of three machines on which much is cut off and lost: a vote that is wrong shows sooner."""
+    """A day of three machines with frequent cuts and losses, on which a wrong vote shows sooner."""
     drawn = draw_plan(seed)
     return dataclasses.replace(
         drawn,
         machines=3,
         zones=3,
         seeds=3,
-        losses=1,
+        tolerated_losses=1,
         operators=4,
-        seconds=20.0,
+        duration_s=20.0,
         starts=(0.0, 0.0, 0.0),
         used_disks=(),
         link_conditions=(drawn.link_conditions, LOSSY, SLOW)[seed % 3],
@@ -86,16 +86,16 @@
     )
 
 
-def test_days_of_small_groups() -> None:
+def test_days_of_small_groups_have_no_failures() -> None:
     for seed in range(25):
         result = play_plan(small_group(seed))
         assert not result.failures, f"seed {seed}: {result.failures}"
 
 
-def found(planted: Callable[[], None]) -> str:
-    """What the first day says that shows a planted fault."""
-    planted()
-    for seed in range(MOST_DAYS):
+def failures_with(plant: Callable[[], None]) -> str:
+    """The failures of the first day that detects a planted fault; empty if none does."""
+    plant()
+    for seed in range(MAX_DAYS):
         for plan in (small_group(seed), draw_plan(seed)):
             failures = play_plan(plan).failures
             if failures:
@@ -103,10 +103,10 @@
     return ""
 
 
-def test_planted_promises_that_are_not_synced(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What was written last is gone after a loss of power, as if nothing had been synced."""
-    cut_off, write = SimulatedDisk.cut_off, SimulatedStorage.write
-    earlier: dict[int, tuple[SimulatedDisk, list[Files]]] = {}  # kept, so that its number stays its own
+def test_unsynced_promises_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Planted fault: the newest writes are lost when the process ends, as if they had not been synced."""
+    interrupt_writes, write = SimulatedDisk.interrupt_writes, SimulatedStorage.write
+    earlier: dict[int, tuple[SimulatedDisk, list[Files]]] = {}  # a disk that is referenced here keeps its id
 
     def write_unsynced(storage: SimulatedStorage, record: AcceptorRecord) -> None:
         disk = storage._disk
@@ -114,63 +114,67 @@
         write(storage, record)
 
     def lose_unsynced(disk: SimulatedDisk) -> None:
-        cut_off(disk)
+        interrupt_writes(disk)
         copies = earlier.get(id(disk), (disk, []))[1]
         if copies:
             disk.files = copies[-min(len(copies), disk.rng.randrange(1, 5))]
             copies.clear()
 
-    def planted() -> None:
+    def plant() -> None:
         monkeypatch.setattr(SimulatedStorage, "write", write_unsynced)
-        monkeypatch.setattr(SimulatedDisk, "cut_off", lose_unsynced)
+        monkeypatch.setattr(SimulatedDisk, "interrupt_writes", lose_unsynced)
 
-    assert found(planted)
+    assert failures_with(plant)
 
 
-def test_planted_confirmation_without_a_majority(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_confirmation_without_a_majority_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     def one_is_enough(quorum: proposer.Quorum, votes: set[Voter]) -> bool:
         return len(votes) >= 1
 
-    assert found(lambda: monkeypatch.setattr(proposer.Quorum, "satisfies_prepare", one_is_enough))
+    assert failures_with(lambda: monkeypatch.setattr(proposer.Quorum, "satisfies_prepare", one_is_enough))
 
 
-def test_planted_decision_without_a_majority(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_decision_without_a_majority_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     def one_is_enough(quorum: proposer.Quorum, votes: set[Voter]) -> bool:
         return len(votes) >= 1
 
-    assert found(lambda: monkeypatch.setattr(proposer.Quorum, "satisfies_accept", one_is_enough))
+    assert failures_with(lambda: monkeypatch.setattr(proposer.Quorum, "satisfies_accept", one_is_enough))
 
 
-def test_planted_history_that_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A second text is confirmed under a number that was taken."""
-    failures = found(lambda: monkeypatch.setattr(commands, "MAX_HISTORY", 2))
+def test_a_history_that_is_dropped_too_early_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Planted fault: a second text is confirmed under a revision that is already in use."""
+    failures = failures_with(lambda: monkeypatch.setattr(commands, "MAX_HISTORY", 2))
     assert "two texts were confirmed" in failures or "confirmed and refused" in failures
 
 
-def test_planted_resend_that_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A revision that is no longer in force is answered as a conflict."""
+def test_a_confirmed_revision_that_is_refused_on_resending_is_detected(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Planted fault: a committed revision that is no longer in force is answered as a conflict."""
 
-    def only_the_newest(known: ControlState, revision: int, digest: str) -> state.RevisionStatus:
+    def status_of_newest_only(known: ControlState, revision: int, digest: str) -> state.RevisionStatus:
         if revision == known.revision and digest == known.digest:
             return state.RevisionStatus.COMMITTED
         if revision <= known.revision:
             return state.RevisionStatus.CONFLICT
         return state.RevisionStatus.ABSENT
 
-    failures = found(lambda: monkeypatch.setattr(ControlState, "status", only_the_newest))
+    failures = failures_with(lambda: monkeypatch.setattr(ControlState, "status", status_of_newest_only))
     assert "one text was confirmed and refused for good" in failures
 
 
-def test_planted_read_of_what_is_known_here(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def confirm(shipped: service.ControlService, timeout: float) -> ControlState:
-        return shipped.state
+def test_a_read_of_the_local_state_without_confirmation_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def confirm(control_service: service.ControlService, timeout: float) -> ControlState:
+        return control_service.state
 
-    failures = found(lambda: monkeypatch.setattr(service.ControlService, "confirm", confirm))
+    failures = failures_with(lambda: monkeypatch.setattr(service.ControlService, "confirm", confirm))
     assert "a read is older" in failures
 
 
-def test_planted_belief_in_an_empty_disk(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A machine that lost its disk is taken for the same voter."""
+def test_a_voter_that_keeps_its_identity_on_an_empty_disk_is_detected(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Planted fault: a machine that has lost its disk counts as the same voter."""
 
     def create(
         storage: SimulatedStorage, known: ControlState, founding_address: str | None
@@ -180,14 +184,14 @@
         me = Voter(storage._node, identity.identity)
         return AcceptorRecord(me, None if founding_address is None else Voter(founding_address, ""), known)
 
-    assert found(lambda: monkeypatch.setattr(SimulatedStorage, "create", create))
+    assert failures_with(lambda: monkeypatch.setattr(SimulatedStorage, "create", create))
 
 
-def test_planted_old_disk_that_is_believed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A machine comes back with what lay on its disk when it was founded, under its identity."""
+def test_a_voter_with_an_outdated_copy_of_its_disk_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Planted fault: a machine that lost its disk restarts with a copy of its first write."""
     lose = SimulatedDisk.lose
     write = SimulatedStorage.write
-    copies: dict[int, tuple[SimulatedDisk, Files]] = {}  # a disk that is kept has its number for itself
+    copies: dict[int, tuple[SimulatedDisk, Files]] = {}  # a disk that is referenced here keeps its id
 
     def write_and_copy(storage: SimulatedStorage, record: AcceptorRecord) -> None:
         write(storage, record)
@@ -199,8 +203,8 @@
         if id(disk) in copies:
             disk.files = dataclasses.replace(copies[id(disk)][1])
 
-    def planted() -> None:
+    def plant() -> None:
         monkeypatch.setattr(SimulatedStorage, "write", write_and_copy)
         monkeypatch.setattr(SimulatedDisk, "lose", restore)
 
-    assert found(planted)
+    assert failures_with(plant)
--- a/tests/simulation/test_maintenance_loop.py
+++ b/tests/simulation/test_maintenance_loop.py
@@ -1,4 +1,4 @@
-"""The upkeep of the voters in one process: when it founds a group, and of whom."""
+"""The maintenance loop in one process: when it founds a group of voters, and with which members."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 FOUNDING_VOTER = Voter("address of a", "")
 
 
-class Alone:
-    """Links to nobody but this machine, a disk that writes at once, and a view that a test sets."""
+class IsolatedEnvironment:
+    """A transport without peers, a disk that writes at once, and a membership view that the test sets."""
 
     def __init__(self, machines: str, founding_voters: tuple[Voter, ...] = (FOUNDING_VOTER,)) -> None:
         self.time = 0.0
@@ -59,45 +59,52 @@
         work()
 
 
-def founded(
-    around: Alone, tolerance: FaultTolerance, waited: float, seed: Voter | None = FOUNDING_VOTER
+def voters_after_step(
+    environment: IsolatedEnvironment,
+    tolerance: FaultTolerance,
+    waited: float,
+    seed: Voter | None = FOUNDING_VOTER,
 ) -> set[str]:
-    """Who votes after one step; the state that the machine begins with names its only seed."""
+    """The voters after one step of a machine whose initial state has one seed; empty without a group."""
 
-    async def scene() -> set[str]:
+    async def take_step() -> set[str]:
         record = AcceptorRecord(Voter("a", "disk of a"), seed, ControlState(voters=(FOUNDING_VOTER,)))
         chance = random.Random(1)
-        ports = RegisterPorts(around.offload, around, NullListener())
-        service = ControlService(record, around, ports, "a-1", 2, chance)
-        maintenance_loop = MaintenanceLoop(service, around, tolerance, chance)
-        around.time += waited
+        ports = RegisterPorts(environment.offload, environment, NullListener())
+        service = ControlService(record, environment, ports, "a-1", 2, chance)
+        maintenance_loop = MaintenanceLoop(service, environment, tolerance, chance)
+        environment.time += waited
         await maintenance_loop.step()
         service.close()
         return {voter.node for voter in service.state.voters} if service.state.version else set()
 
-    return asyncio.run(scene())
+    return asyncio.run(take_step())
 
 
 def test_a_group_of_full_size_is_founded_at_once() -> None:
-    assert founded(Alone("abc"), FaultTolerance(1), 0.0) == {"a", "b", "c"}
+    assert voters_after_step(IsolatedEnvironment("abc"), FaultTolerance(1), 0.0) == {"a", "b", "c"}
 
 
 @pytest.mark.parametrize(("machines", "tolerance", "missing"), [("ab", 1, 1), ("abcd", 2, 1), ("abc", 2, 2)])
-def test_a_smaller_group_waits_for_each_missing_machine(machines: str, tolerance: int, missing: int) -> None:
+def test_a_smaller_group_is_founded_only_after_a_wait_for_each_missing_machine(
+    machines: str, tolerance: int, missing: int
+) -> None:
     waited = missing * FOUNDING_WAIT_PER_MEMBER_S
-    assert founded(Alone(machines), FaultTolerance(tolerance), waited - 0.1) == set()
-    assert founded(Alone(machines), FaultTolerance(tolerance), waited) == set(machines)
+    assert voters_after_step(IsolatedEnvironment(machines), FaultTolerance(tolerance), waited - 0.1) == set()
+    assert voters_after_step(IsolatedEnvironment(machines), FaultTolerance(tolerance), waited) == set(
+        machines
+    )
 
 
 def test_a_group_that_tolerates_no_loss_is_never_founded() -> None:
-    assert founded(Alone("a"), FaultTolerance(1), 1000.0) == set()
-    assert founded(Alone("ab"), FaultTolerance(2), 1000.0) == set()
+    assert voters_after_step(IsolatedEnvironment("a"), FaultTolerance(1), 1000.0) == set()
+    assert voters_after_step(IsolatedEnvironment("ab"), FaultTolerance(2), 1000.0) == set()
 
 
-def test_a_machine_without_a_founding_vote_founds_nothing() -> None:
-    assert founded(Alone("abc"), FaultTolerance(1), 1000.0, seed=None) == set()
+def test_a_machine_that_is_no_founding_voter_founds_no_group() -> None:
+    assert voters_after_step(IsolatedEnvironment("abc"), FaultTolerance(1), 1000.0, seed=None) == set()
 
 
-def test_nothing_is_founded_with_other_seeds_than_configured() -> None:
+def test_no_group_is_founded_if_the_configured_seeds_are_others() -> None:
     other = Voter("address of z", "")
-    assert founded(Alone("abc", (other,)), FaultTolerance(1), 1000.0) == set()
+    assert voters_after_step(IsolatedEnvironment("abc", (other,)), FaultTolerance(1), 1000.0) == set()
--- a/tests/simulation/test_operator_history.py
+++ b/tests/simulation/test_operator_history.py
@@ -1,4 +1,4 @@
-"""The checker of operators' histories: each rule finds its planted history, and good ones pass."""
+"""The checker of operators' histories: it finds each planted violation, and accepts correct histories."""
 
 from __future__ import annotations
 
@@ -79,13 +79,13 @@
 
 
 @pytest.mark.parametrize("name", PLANTED)
-def test_a_planted_history_is_found(name: str) -> None:
+def test_a_planted_violation_is_found_in_any_order_of_calls(name: str) -> None:
     calls, expected = PLANTED[name]
     for order in itertools.permutations(calls):
         assert rules(*order) == expected
 
 
-GOOD = {
+CORRECT = {
     "nothing": (),
     "read before anything": (read(0, 1, NO_REVISION, ""),),
     "change and read": (replace(0, 1, 200, 5), read(2, 3, 5)),
@@ -126,25 +126,25 @@
 }
 
 
-@pytest.mark.parametrize("name", GOOD)
-def test_a_good_history_passes(name: str) -> None:
-    assert rules(*GOOD[name]) == set()
+@pytest.mark.parametrize("name", CORRECT)
+def test_a_correct_history_has_no_violation(name: str) -> None:
+    assert rules(*CORRECT[name]) == set()
 
 
-def _linearizable(calls: tuple[OperatorCall, ...]) -> bool:
-    """By trying all orders; a change without a clear answer may be left out, or come at any later time."""
+def _is_linearizable(calls: tuple[OperatorCall, ...]) -> bool:
+    """Try all orders; a change without an answer may be omitted, or take effect at any later time."""
     clear = [call for call in calls if call.confirmed]
     unclear = [call for call in calls if call.kind is CallKind.REPLACE and call.status is None]
     for count in range(len(unclear) + 1):
         for some in itertools.combinations(unclear, count):
-            if any(_explains(order) for order in itertools.permutations([*clear, *some])):
+            if any(_is_linearization(order) for order in itertools.permutations([*clear, *some])):
                 return True
     return False
 
 
-def _explains(order: tuple[OperatorCall, ...]) -> bool:
-    for at, call in enumerate(order):
-        if any(later.end is not None and later.end < call.start for later in order[at + 1 :]):
+def _is_linearization(order: tuple[OperatorCall, ...]) -> bool:
+    for index, call in enumerate(order):
+        if any(later.end is not None and later.end < call.start for later in order[index + 1 :]):
             return False
     value = NO_REVISION
     for call in order:
@@ -155,7 +155,7 @@
     return True
 
 
-def _drawn(rng: random.Random) -> tuple[OperatorCall, ...]:
+def _draw_history(rng: random.Random) -> tuple[OperatorCall, ...]:
     calls: list[OperatorCall] = []
     for _ in range(rng.randrange(2, 6)):
         start = rng.randrange(8)
@@ -169,13 +169,13 @@
     return tuple(calls)
 
 
-def test_the_rules_are_linearizability() -> None:
-    """Small drawn histories of one text for each revision, against a search through all orders."""
+def test_the_rules_agree_with_a_search_for_a_linearization() -> None:
+    """Small random histories of one text for each revision, checked against a search of all orders."""
     rng = random.Random(1)
     verdicts = set()
     for _ in range(1500):
-        calls = _drawn(rng)
-        expected = _linearizable(calls)
+        calls = _draw_history(rng)
+        expected = _is_linearizable(calls)
         assert (rules(*calls) == set()) == expected, calls
         verdicts.add(expected)
     assert verdicts == {True, False}
--- a/tests/simulation/test_register_disk.py
+++ b/tests/simulation/test_register_disk.py
@@ -1,4 +1,4 @@
-"""A machine's record on its disk, where writes are cut off or their callers are cancelled."""
+"""A machine's record on its disk when writes are interrupted or their callers are cancelled."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 from emberlatch.cluster.consensus.storage import VOTE_FILE, RecordStorage
 
 
-def test_a_damaged_disk_stays_lost_if_its_new_identity_is_cut_off(tmp_path: Path) -> None:
-    """Its vote can't be read: the old identity may not come back without it, whatever is cut off."""
+def test_a_damaged_disk_stays_lost_if_writing_its_new_identity_is_interrupted(tmp_path: Path) -> None:
+    """Without its vote the old identity must not be loaded again, whichever write is interrupted."""
     RecordStorage(tmp_path, "a").create(ControlState(version=4), None)
     (tmp_path / VOTE_FILE).write_bytes(b"\xff damaged")
 
-    def cut_off(path: Path, raw: bytes) -> None:
+    def fail_write(path: Path, raw: bytes) -> None:
         raise OSError("no power")
 
-    again = RecordStorage(tmp_path, "a", cut_off)
+    again = RecordStorage(tmp_path, "a", fail_write)
     assert again.load() is None
     with pytest.raises(OSError, match="no power"):
         again.create(ControlState(), None)
@@ -34,7 +34,7 @@
 
 
 def test_a_vote_on_a_decided_version_is_not_decoded(tmp_path: Path) -> None:
-    """A later release may have accepted a command that this one does not know, and been rolled back."""
+    """A later release, since rolled back, may have accepted a command that this release does not know."""
     storage = RecordStorage(tmp_path, "a")
     created = storage.create(ControlState(version=4), None)
     unknown = [[2, "p"], [[9, "p"], [["a command of later releases"]]]]
@@ -45,7 +45,7 @@
 
 
 class NoTransport:
-    """Nobody else is there."""
+    """A transport that reaches no other machine."""
 
     def reachable_nodes(self) -> Iterable[str]:
         return ()
@@ -61,7 +61,7 @@
 
 
 class SlowDisk:
-    """Its writes go on in a thread, whoever waits for them; each takes longer than the next."""
+    """A disk whose writes continue even if their caller is cancelled; each takes longer than the next."""
 
     def __init__(self) -> None:
         self.written: list[int] = []
@@ -83,10 +83,10 @@
         await done
 
 
-def test_a_write_goes_on_before_the_next_though_nobody_waits_for_it() -> None:
-    """A read that was cancelled was learning version 5; version 6 comes, and 5 may not overwrite it."""
+def test_a_write_with_a_cancelled_caller_is_completed_before_the_next_begins() -> None:
+    """A cancelled read was writing version 5 when version 6 is learned; 5 must not overwrite 6."""
 
-    async def scene() -> None:
+    async def learn_two_versions() -> None:
         disk = SlowDisk()
         record = AcceptorRecord(Voter("a", "disk"), None, ControlState(version=4))
         ports = RegisterPorts(disk.offload, NoTransport(), NullListener())
@@ -100,4 +100,4 @@
         assert disk.written == [5, 6]
         assert register.record is not None and register.record.state.version == 6
 
-    asyncio.run(scene())
+    asyncio.run(learn_two_versions())
