--- a/emberlatch/simulation/disk.py
+++ b/emberlatch/simulation/disk.py
@@ -1,7 +1,7 @@
 """The disk of a simulated machine: slow, stalled, full, or failing to sync, once or for a time.
 
-The files are real. What is simulated is how long a sync takes, and which writes fail. A sync that fails
-leaves what was written in the file, as a crash may do, in every other case.
+The files are real; the duration of syncs and the failures of writes are simulated. Of the syncs that fail,
+every other one, starting with the first, keeps the written data in the file, as a crash may do.
 """
 
 from __future__ import annotations
@@ -21,39 +21,39 @@
 if TYPE_CHECKING:
     from _typeshed import SupportsLenAndGetItem
 
-UNTIL_RECOVERY = 1 << 30  # writes: more than any simulated day has
+UNTIL_RECOVERY = 1 << 30  # number of writes; more than any simulated day has
 
 
 class DiskFault(Enum):
-    """What goes wrong with each write."""
+    """The fault of a write."""
 
     NONE = "none"
     FULL = "full"  # nothing is written
-    SYNC_FAILS = "sync fails"  # what was written may be there, or not
+    SYNC_FAILS = "sync fails"  # the data may be in the file or not
 
 
 class SimulatedDisk:
-    """See the module. `sync_s` are the seconds that a sync takes; the other fields count writes."""
+    """A disk with faults. `sync_s` is the duration of a sync in seconds; the other fields count writes."""
 
     def __init__(self, sync_s: float) -> None:
         self.sync_s = sync_s
         self.failed_writes = 0
-        self.commits = 0  # of databases
-        self.files_written = 0  # files put in place, each synced with its folder
+        self.commits = 0  # commits of databases
+        self.files_written = 0  # files written, each synced together with its folder
         self.file_bytes_written = 0
         self._fault, self._failures_left = DiskFault.NONE, 0
-        self._kept_unsynced = False  # whether the last failed sync left what was written
+        self._kept_unsynced = False  # whether the last failed sync kept the written data in the file
 
     def fail(self, fault: DiskFault, writes: int = UNTIL_RECOVERY) -> None:
-        """Let the next writes fail, so many of them."""
+        """Make the next `writes` writes fail with `fault`."""
         self._fault, self._failures_left = fault, writes
 
     def recover(self) -> None:
-        """Let writes succeed again."""
+        """Make writes succeed again."""
         self._fault, self._failures_left = DiskFault.NONE, 0
 
     def as_disk(self) -> Disk:
-        """The disk as a process uses it."""
+        """The interface through which a process uses this disk."""
         return Disk(self._offload, self._connect, self._write)
 
     async def _offload(self, work: Callable[[], None]) -> None:
@@ -61,7 +61,7 @@
         work()
 
     def next_fault(self) -> DiskFault:
-        """The fault of the next write; it counts as made."""
+        """Return the fault of the next write, and count that write."""
         if self._failures_left == 0:
             return DiskFault.NONE
         self._failures_left -= 1
@@ -69,7 +69,7 @@
         return self._fault
 
     def keeps_unsynced(self) -> bool:
-        """Whether a failed sync leaves what was written: every other one does."""
+        """Whether a failed sync keeps the written data in the file: the first, the third and so on do."""
         self._kept_unsynced = not self._kept_unsynced
         return self._kept_unsynced
 
@@ -79,7 +79,7 @@
         disk = self
 
         class Connection(sqlite3.Connection):
-            """Fails as the disk does."""
+            """A connection whose commits fail when the disk does."""
 
             def execute(
                 self,
--- a/emberlatch/simulation/environment.py
+++ b/emberlatch/simulation/environment.py
@@ -1,6 +1,6 @@
-"""What simulated clients, targets and operators know of the cluster that they use.
+"""The interface of a cluster to the simulated clients, targets and operators that use it.
 
-`SimulatedCluster` is one on a virtual clock and network; `emberlatch-cluster try` has one of real processes
+`SimulatedCluster` implements it on a virtual clock and network, `emberlatch-cluster try` with real processes
 on loopback addresses.
 """
 
@@ -31,14 +31,14 @@
 class Timing:
     """Times of a deployment, in seconds."""
 
-    heartbeat_interval_s: float = 1.2  # between two heartbeats of a target
-    drain_s: float = 3.0  # for which a target that leaves still gets messages
-    early_tolerance_s: float = 0.1  # by which a delayed message may run before its time
-    grace_s: float = 6.0  # from SIGTERM to SIGKILL
+    heartbeat_interval_s: float = 1.2  # time between two heartbeats of a target
+    drain_s: float = 3.0  # time for which a draining target still receives messages
+    early_tolerance_s: float = 0.1  # time by which a delayed message may run early
+    grace_s: float = 6.0  # time from SIGTERM to SIGKILL
 
 
 class Environment(ABC):
-    """A cluster as its users see it. What they saw is recorded in `history`."""
+    """A cluster as its users see it. `history` records what they observe."""
 
     def __init__(self, plan: Plan, chance: random.Random) -> None:
         self.plan = plan
@@ -52,7 +52,7 @@
         self._last_number = 0
 
     def next_number(self) -> int:
-        """A number that nothing else in this cluster has: for ids."""
+        """Return a number that is unique in this cluster, for use in ids."""
         self._last_number += 1
         return self._last_number
 
@@ -66,14 +66,14 @@
 
     @abstractmethod
     def run_in(self, process: Process, work: Coroutine[object, object, Result]) -> asyncio.Task[Result]:
-        """Run a coroutine as part of a process: it ends when that is killed."""
+        """Run a coroutine as a task of `process`; the task ends when the process is killed."""
 
     def configuration(self, revision: int) -> Configuration:
-        """The version `revision` of this deployment's configuration."""
+        """Revision `revision` of this deployment's configuration."""
         return build_configuration(revision, self.routes, self.services, self.plan.rate_limit_per_s)
 
     def configuration_body(self, revision: int, nominal_start_ms: int) -> bytes:
-        """A version with another `nominal_start_ms` in its routes, as the body of a request."""
+        """The body of a request with a revision whose routes have the given `nominal_start_ms`."""
         configuration = self.configuration(revision)
         for route in configuration["route_entries"]:
             route["nominal_start_ms"] = nominal_start_ms
--- a/emberlatch/simulation/fault_injection.py
+++ b/emberlatch/simulation/fault_injection.py
@@ -18,12 +18,12 @@
 
 FIRST_REVISION = 3
 ADDED_STORE_ZONE = "z0"
-MIN_KILL_S = 0.3  # until a process that was killed is started again
-MIN_REPLACEMENT_S = 0.6
-LOST_ANSWERS_SHARE = 0.2
-TARGET_RESTART_S = 2.1
+MIN_RESTART_DELAY_S = 0.3  # shortest time until a killed process is started again
+MIN_REPLACEMENT_DELAY_S = 0.6  # shortest time until a lost machine is replaced
+LOST_ANSWERS_SHARE = 0.2  # share of targets' answers that are lost during such a fault
+TARGET_RESTART_DELAY_S = 2.1
 CONCURRENT_NOMINAL_STARTS_MS = (700, 900)
-STALE_CONFIGURATION_SHARE = 0.3  # of changes that the previous version follows
+STALE_CONFIGURATION_SHARE = 0.3  # share of changes after which the previous revision is sent, too
 DECOMMISSION_POLLS = 100
 DECOMMISSION_POLL_S = 0.2
 DECOMMISSION_BODY = b'{"period_s":8}'
@@ -35,14 +35,14 @@
 
 
 class FaultInjector:
-    """Applies faults. `revision` is the last configuration that was sent."""
+    """Applies faults. `revision` is that of the last configuration that was sent."""
 
     def __init__(self, cluster: SimulatedCluster, operator: SimulatedOperator) -> None:
         self.revision = FIRST_REVISION
         self._cluster, self._operator = cluster, operator
 
     def apply(self, fault: Fault) -> None:
-        """Let a fault happen now; UnknownNodeError if it needs a machine that the cluster does not have."""
+        """Apply a fault now; UnknownNodeError if it names a machine that the cluster does not have."""
         cluster = self._cluster
         if fault.kind not in PLANNED_WORK:
             now = cluster.loop.time()
@@ -61,7 +61,7 @@
             )
         match fault.kind:
             case FaultKind.KILL:
-                node.kill(max(MIN_KILL_S, duration_s))
+                node.kill(max(MIN_RESTART_DELAY_S, duration_s))
             case FaultKind.TERMINATE:
                 node.terminate()
             case FaultKind.POWER_OFF | FaultKind.POWER_OFF_AND_WIPE:
@@ -75,7 +75,7 @@
             case FaultKind.REPLACE_MACHINE:
                 node.power_off(NEVER_S)
                 cluster.call_later(
-                    max(MIN_REPLACEMENT_S, duration_s), functools.partial(self._add_store, node.zone)
+                    max(MIN_REPLACEMENT_DELAY_S, duration_s), functools.partial(self._add_store, node.zone)
                 )
             case FaultKind.DECOMMISSION:
                 cluster.loop.create_task(self._decommission(node))
@@ -104,7 +104,7 @@
             case FaultKind.POWER_OFF_ALL_AND_WIPE_ONE:
                 for node in nodes:
                     node.power_off(fault.duration_s, wipe=node.name == fault.node)
-            case FaultKind.POWER_OFF_STORES:  # forwarders go on, with nobody to submit messages to
+            case FaultKind.POWER_OFF_STORES:  # forwarders keep running, without any store
                 for node in nodes:
                     if node.is_store:
                         node.power_off(fault.duration_s)
@@ -118,11 +118,11 @@
         return True
 
     def _add_store(self, zone: str) -> None:
-        """Another store, with an empty disk."""
+        """Add a store with an empty disk."""
         self._cluster.add_store(f"s{len(self._cluster.nodes) + 10}", zone)
 
     async def _decommission(self, node: SimulatedNode) -> None:
-        """Have a store emptied, and take it away with its disk once that is done."""
+        """Decommission a store, and remove it with its disk once that is completed."""
         path = f"/api/retire/{node.name}"
         for _ in range(DECOMMISSION_POLLS):
             for control in self._cluster.control_addresses():
@@ -153,8 +153,8 @@
         match kind:
             case FaultKind.CONFIGURE_CONCURRENTLY:
                 self.revision += 2
-                orders = [(cluster.control_addresses(), start) for start in CONCURRENT_NOMINAL_STARTS_MS]
-                for controls, nominal_start_ms in orders:
+                changes = [(cluster.control_addresses(), start) for start in CONCURRENT_NOMINAL_STARTS_MS]
+                for controls, nominal_start_ms in changes:
                     body = cluster.configuration_body(self.revision, nominal_start_ms)
                     cluster.loop.create_task(operator.send_raw(body, controls))
             case FaultKind.CONFIGURE:
@@ -173,7 +173,11 @@
         configuration["route_entries"][0]["service"] = "nobody"
         if await self._operator.send_raw(json.dumps(configuration).encode()) == 200:
             now = self._cluster.loop.time()
-            self._cluster.history.record_breach("CONFIG", now, "an invalid one was acknowledged")
+            self._cluster.history.record_breach(
+                "CONFIG",
+                now,
+                f"an invalid configuration was acknowledged, revision {configuration['revision']}",
+            )
 
     def _apply_to_targets(self, fault: Fault) -> None:
         cluster = self._cluster
@@ -201,10 +205,10 @@
             cluster.loop.create_task(self._restart_target(target, reuse))
 
     async def _restart_target(self, crashed: SimulatedTarget, reuse_address: bool) -> None:
-        """Start two targets for one that crashed; its address may go to one of another service."""
+        """Start two targets after a crash, with `reuse_address` one of another service at the old address."""
         cluster, service = self._cluster, crashed.service
         if reuse_address:
             service = next(other for other in cluster.services if other != crashed.service)
-        await asyncio.sleep(TARGET_RESTART_S)
+        await asyncio.sleep(TARGET_RESTART_DELAY_S)
         await cluster.add_target(service, crashed.zone, crashed.address if reuse_address else None)
         await cluster.add_target(crashed.service, crashed.zone)
--- a/emberlatch/simulation/growth.py
+++ b/emberlatch/simulation/growth.py
@@ -1,4 +1,4 @@
-"""What a cluster of some size costs while nothing happens but heartbeats, a start and a new configuration."""
+"""Measures what a cluster costs without messages: its start, its heartbeats and one new configuration."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from emberlatch.simulation.scenario import Scenario, play
 from emberlatch.simulation.traffic import method_traffic
 
-IDLE_S = 10.0  # seconds that are measured
+IDLE_S = 10.0  # duration of the measurement of the idle cluster
 MEASURED_REVISION = 9
 POLL_S = 0.01
 CONFIGURATION_TIMEOUT_S = 20.0
@@ -37,7 +37,7 @@
 
     @property
     def bytes_per_s(self) -> float:
-        """Bytes both ways."""
+        """Bytes sent and received per second."""
         return self.bytes_sent_per_s + self.bytes_received_per_s
 
     def to_json(self) -> dict[str, float]:
@@ -53,23 +53,23 @@
 
 @dataclass
 class GrowthCost:
-    """What a cluster costs, all processes together.
+    """The cost of a cluster, of all processes together unless a field says otherwise.
 
-    Cross-zone figures count only what goes from one zone to another. `peak_memory_mib` is the memory of this
-    simulation, of the largest size that its interpreter has played.
+    Cross-zone figures count only traffic from one zone to another. `peak_memory_mib` is the peak memory
+    of the interpreter: if it has simulated several clusters, that of the largest.
     """
 
     forwarders: int
     stores: int
-    start_cross_zone_bytes: float = 0.0  # until all were ready
+    start_cross_zone_bytes: float = 0.0  # sent until all nodes were ready
     frames_per_s: float = 0.0
     cross_zone_bytes_per_s: float = 0.0
-    busiest_frames_per_s: float = 0.0  # of the process that sends most
-    configuration_s: float = 0.0  # from a configuration's sending until it is in force everywhere
+    busiest_frames_per_s: float = 0.0  # frames sent by the process that sends most
+    configuration_s: float = 0.0  # time from sending a configuration until it is active on all nodes
     processor_share: float = 0.0  # processor seconds of this simulation for each simulated second
     peak_memory_mib: float = 0.0
-    forwarder: MemberCost = field(default_factory=MemberCost)  # the mean of all
-    busiest_store: MemberCost = field(default_factory=MemberCost)  # the one that sends most frames
+    forwarder: MemberCost = field(default_factory=MemberCost)  # mean of all forwarders
+    busiest_store: MemberCost = field(default_factory=MemberCost)  # the store that sends most frames
     mean_store_processor_share: float = 0.0
     cross_zone_bytes_by_method: Counter[str] = field(default_factory=Counter)
 
@@ -149,8 +149,8 @@
 
 @contextlib.contextmanager
 def _take_samples(samples: ProcessorSamples) -> Iterator[None]:
-    """Take samples without garbage collections: the heap is that of all processes together, and a collection
-    would count for the one that happens to run."""
+    """Take samples without garbage collections: all processes share one heap, so a collection would count for
+    whichever process happens to run."""
     gc.collect()
     gc.disable()
     try:
@@ -161,25 +161,27 @@
 
 
 async def _measure_configuration(scenario: Scenario, cost: GrowthCost) -> None:
-    """Measure how long a configuration takes until it is in force everywhere."""
+    """Measure how long a configuration takes until it is active on all nodes."""
     loop = scenario.cluster.loop
     started_at = loop.time()
     sending = loop.create_task(scenario.operator.send(MEASURED_REVISION))
-    while not _is_in_force(scenario.cluster, MEASURED_REVISION):
+    while not _is_active_on_all_nodes(scenario.cluster, MEASURED_REVISION):
         await asyncio.sleep(POLL_S)
-        assert loop.time() < started_at + CONFIGURATION_TIMEOUT_S, "a configuration did not get everywhere"
+        assert loop.time() < started_at + CONFIGURATION_TIMEOUT_S, (
+            f"revision {MEASURED_REVISION} was not active on all nodes within {CONFIGURATION_TIMEOUT_S:g} s"
+        )
     cost.configuration_s = loop.time() - started_at
     await sending
 
 
-def _is_in_force(cluster: SimulatedCluster, revision: int) -> bool:
+def _is_active_on_all_nodes(cluster: SimulatedCluster, revision: int) -> bool:
     programs = [node.program for node in cluster.nodes.values() if node.program is not None]
     return all(program.active_configuration.revision >= revision for program in programs)
 
 
 @dataclass
 class _Traffic:
-    """Frames and bytes of each process since the start, by its name."""
+    """Frames and bytes of each process since the start, by node name."""
 
     frames_sent: Counter[str] = field(default_factory=Counter)
     bytes_sent: Counter[str] = field(default_factory=Counter)
@@ -222,7 +224,7 @@
 
 
 def _cross_zone_bytes(cluster: SimulatedCluster) -> Counter[str]:
-    """Bytes from one zone to another by method, since the start."""
+    """Bytes sent from one zone to another since the start, by method."""
     totals: Counter[str] = Counter()
     for sent in method_traffic(cluster):
         totals[sent.method] += sent.bytes if sent.crosses_zones else 0
--- a/emberlatch/simulation/http_client.py
+++ b/emberlatch/simulation/http_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client of everyone outside of the cluster: simulated clients, targets and operators."""
+"""The HTTP client of the simulated clients, targets and operators."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 ) -> Response:
     """Send one request on a connection of its own.
 
-    Raises OSError, BrokenError or TimeoutError if there is no answer within `timeout_s` seconds.
+    Raises OSError, NoResponseError or TimeoutError if there is no answer within `timeout_s` seconds.
     """
     async with asyncio.timeout(timeout_s):
         connection: Connection = await connect(address, timeout_s, MAX_RESPONSE_BYTES)
--- a/emberlatch/simulation/network.py
+++ b/emberlatch/simulation/network.py
@@ -1,4 +1,4 @@
-"""The simulated network: latency by zone, partitions of pairs of machines, and machines without power."""
+"""The simulated network: latency by zone, partitions between pairs of machines, and losses of power."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from emberlatch.faults.network import Network
 from emberlatch.faults.process import Process
 
-LATENCY_S = 0.0002  # one way, inside a zone
-CROSS_ZONE_LATENCY_S = 0.0014  # besides, between zones
+LATENCY_S = 0.0002  # one-way latency inside a zone
+CROSS_ZONE_LATENCY_S = 0.0014  # additional one-way latency between zones
 
 
 class SimulatedNetwork(Network):
@@ -19,15 +19,15 @@
     def __init__(self, loop: VirtualLoop, seed: int, zone_of: Callable[[str], str]) -> None:
         super().__init__(loop, seed, latency=LATENCY_S)
         self._zone_of = zone_of
-        self._partitioned_until: dict[tuple[str, str], float] = {}  # by pairs of hosts, sorted
+        self._partitioned_until: dict[tuple[str, str], float] = {}  # loop time by sorted pair of hosts
 
     def partition(self, one: str, other: str, duration_s: float) -> None:
-        """Two hosts do not reach each other for so many seconds; what they send arrives afterwards."""
+        """Partition two hosts for `duration_s` seconds; packets sent meanwhile arrive afterwards."""
         pair = (one, other) if one < other else (other, one)
         self._partitioned_until[pair] = self.loop.time() + duration_s
 
     def packet_delay(self, sender: Process | None, receiver: Process | tuple[str, int] | None) -> float:
-        """Seconds that one packet takes."""
+        """The delay of one packet in seconds."""
         one, other = _host_of(sender), _host_of(receiver)
         delay_s = self.draw_latency() + (
             CROSS_ZONE_LATENCY_S if self._zone_of(one) != self._zone_of(other) else 0.0
@@ -37,7 +37,7 @@
         return max(delay_s, until - self.loop.time() + delay_s)
 
     def cut_power(self, host: str, ports: Iterable[int], process: Process | None) -> None:
-        """Nothing comes from a host or gets there from now on; its peers are not notified."""
+        """Stop all traffic from and to a host from now on, without notifying its peers."""
         for port in ports:
             self.isolate((host, port))
         if process is None or not process.alive:
@@ -47,7 +47,7 @@
             self.unregister(listener)
 
     def restore_power(self, host: str, ports: Iterable[int]) -> None:
-        """The host is back, and resets the connections that it had."""
+        """Connect a host again; the connections that it had before are reset."""
         for port in ports:
             self.rejoin((host, port))
         for end in list(self.transports):
--- a/emberlatch/simulation/node.py
+++ b/emberlatch/simulation/node.py
@@ -1,4 +1,4 @@
-"""A simulated machine of the service: a disk that stays, and the processes that run the `Node` on it."""
+"""A simulated machine of the service: a persistent disk, and the successive processes that run `Node`."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 INNER_PORT, FRONT_PORT, READY_PORT, CONTROL_PORT = PORTS = 7300, 8000, 8001, 8002
 DISK_SYNC_S = 0.001
-RESTART_DELAY_S = 0.7  # until a process that ended is started again
+RESTART_DELAY_S = 0.7  # time until a process that has ended is started again
 MAX_CLOCK_SKEW_S = 0.02
 WALL_CLOCK_START_S = 1.7e9
 Part = TypeVar("Part")
-NEVER_S = 1e6  # longer than any simulated day
+NEVER_S = 1e6  # a duration longer than any simulated day
 
 
 class NodeNotStartedError(RuntimeError):
@@ -37,9 +37,9 @@
 
 
 class NodeEnvironment(Protocol):
-    """What a machine needs of the cluster that it is part of.
+    """What a machine needs from the cluster that it is part of.
 
-    `first_start` tells whether the system is being started for the first time.
+    `first_start` is true while the system is started for the first time.
     """
 
     plan: Plan
@@ -55,16 +55,16 @@
         """The control addresses that every node is given at its start."""
 
     def run_in(self, process: Process, work: Coroutine[object, object, Result]) -> asyncio.Task[Result]:
-        """Run a coroutine as part of a process."""
+        """Run a coroutine as a task of `process`."""
 
     def call_later(self, delay_s: float, callback: Callable[[], None]) -> None:
-        """Call something outside of all processes."""
+        """Call `callback` outside of all processes after `delay_s` seconds."""
 
 
 class SimulatedNode:
     """A machine and the process on it; a store if `is_store`, otherwise a forwarder.
 
-    `incarnation` counts the starts of its process; `program` is the one that runs, or ran last.
+    `incarnation` counts the starts of its process; `program` is the `Node` that runs or ran last.
     """
 
     def __init__(self, environment: NodeEnvironment, name: str, zone: str, host: str, is_store: bool) -> None:
@@ -167,14 +167,14 @@
             self.program.replicator.local_store.database.abandon()
 
     def kill(self, restart_after_s: float = RESTART_DELAY_S) -> None:
-        """SIGKILL; the process is started again after a while."""
+        """Send SIGKILL; the process is started again after `restart_after_s` seconds."""
         if self.process is not None and self.process.alive:
             self.process.kill()
             self.release_disk()
         self.environment.call_later(restart_after_s, self.start)
 
     def terminate(self) -> None:
-        """SIGTERM, SIGKILL after the grace period, and a new start."""
+        """Send SIGTERM, and SIGKILL after the grace period; then start the process again."""
         if not self.up or self._terminating or self.program is None or self.process is None:
             return
         self._terminating = True
@@ -191,21 +191,23 @@
         def end_grace() -> None:
             if process.alive:
                 environment.history.record_breach(
-                    "GRACE", environment.loop.time(), f"{self.name} did not end"
+                    "GRACE",
+                    environment.loop.time(),
+                    f"{self.name} did not end within {environment.timing.grace_s:g} s of SIGTERM",
                 )
                 self.kill()
 
         environment.call_later(environment.timing.grace_s, end_grace)
 
     def freeze(self, duration_s: float) -> None:
-        """SIGSTOP, and SIGCONT after so many seconds."""
+        """Send SIGSTOP, and SIGCONT after `duration_s` seconds."""
         if self.process is not None:
             process, environment = self.process, self.environment
             process.suspend()
             environment.call_later(duration_s, lambda: process.resume(environment.loop))
 
     def power_off(self, duration_s: float, wipe: bool = False) -> None:
-        """No power for so long: peers are not notified. With `wipe` its disk comes back empty."""
+        """Cut the power for `duration_s` seconds without notifying peers; with `wipe`, empty the disk too."""
         self.powered_off = True
         self.environment.network.cut_power(self.host, PORTS, self.process)
         self.release_disk()
--- a/emberlatch/simulation/target.py
+++ b/emberlatch/simulation/target.py
@@ -1,4 +1,4 @@
-"""A simulated target, written from the users' pages: it answers requests and sends heartbeats."""
+"""A simulated target, written from the user documentation: it answers requests and sends heartbeats."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
     504: "Late",
 }
 CONTROL_TIMEOUT_S = 1.0
-FAILURE_SHARE = 0.02  # of runs that fail by chance
-DEREGISTER_DELAY_S = 0.5  # after the drain period
+FAILURE_SHARE = 0.02  # share of runs that fail at random
+DEREGISTER_DELAY_S = 0.5  # time from the end of the drain period until the target deregisters
 
 
 class TargetState(StrEnum):
-    """The states of a target; a heartbeat has them under these names."""
+    """The states of a target, with the values that heartbeats carry."""
 
     IN_SERVICE = "in_service"
     DRAINING = "draining"
-    GONE = "gone"
+    STOPPED = "gone"
 
 
 class TargetConnection(asyncio.Protocol):
-    """One connection to a target: one request at a time."""
+    """One connection to a target, which serves one request at a time."""
 
     def __init__(self, target: SimulatedTarget) -> None:
         self._target = target
@@ -49,35 +49,35 @@
         self.body = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Store the transport of the new connection."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of a request have come."""
+        """Parse received bytes."""
         self._parser.feed_data(data)
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Reset the state for a new request."""
         self.headers, self.body = {}, b""
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header of the request."""
+        """Store a header of the request."""
         self.headers[name.decode().lower()] = value.decode()
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the request's body."""
+        """Append a piece of the request's body."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """The request is complete."""
+        """Serve the complete request."""
         self._target.spawn(self._target.serve(self))
 
 
 class SimulatedTarget:
-    """One incarnation of a target. Its address may have been another's before.
+    """One incarnation of a target. Its address may have belonged to another target before.
 
-    `answer_loss` is the share of requests that are run, but whose answer never comes; `mean_run_s` the mean
-    duration of a run. `capacity` requests run at once, and `max_queued` wait.
+    `answer_loss` is the share of runs whose answer is not sent, and `mean_run_s` the mean duration of a run.
+    At most `capacity` requests run at the same time, and at most `max_queued` wait.
     """
 
     def __init__(
@@ -90,28 +90,28 @@
         self.process = Process(f"target {id}")
         self._environment = environment
         self._running = self._queued = 0
-        self._sequence = 0  # of the last heartbeat
+        self._sequence = 0  # sequence number of the last heartbeat
         self._slot_freed: asyncio.Event
 
     def spawn(self, work: Coroutine[object, object, None]) -> None:
-        """Run something in this target's process."""
+        """Run a coroutine in this target's process."""
         self._environment.run_in(self.process, work)
 
     async def start(self) -> None:
-        """Listen, and begin to send heartbeats."""
+        """Listen for connections, and begin to send heartbeats."""
         self._slot_freed = asyncio.Event()
         await asyncio.get_running_loop().create_server(lambda: TargetConnection(self), *self.address)
         self.spawn(self._send_heartbeats())
 
     async def _send_heartbeats(self) -> None:
-        chance = self._environment.random
-        await asyncio.sleep(chance.uniform(0, 0.5))
-        while self.state is not TargetState.GONE:
+        rng = self._environment.random
+        await asyncio.sleep(rng.uniform(0, 0.5))
+        while self.state is not TargetState.STOPPED:
             await self.send_heartbeat()
-            await asyncio.sleep(self._environment.timing.heartbeat_interval_s * chance.uniform(0.9, 1.0))
+            await asyncio.sleep(self._environment.timing.heartbeat_interval_s * rng.uniform(0.9, 1.0))
 
     async def send_heartbeat(self) -> bool:
-        """Send a heartbeat to one store after the other; whether one acknowledged it."""
+        """Send a heartbeat to one store after the other until one acknowledges it; False if none does."""
         heartbeat: dict[str, object] = {
             "service": self.service,
             "address": f"{self.address[0]}:{self.address[1]}",
@@ -129,7 +129,7 @@
         return False
 
     async def _post(self, control: tuple[str, int], action: str, body: bytes) -> int | None:
-        """The status of the answer; None if none came."""
+        """Send a POST request for this target; return the status of the answer, None if there was none."""
         path = f"/api/instances/{self.id}/{action}"
         try:
             answer = await send_request(control, "POST", path, body, {"Host": "c"}, CONTROL_TIMEOUT_S)
@@ -138,21 +138,21 @@
         return answer.status
 
     async def leave(self) -> None:
-        """Drain, deregister, and end."""
+        """Drain, deregister and end the process."""
         self.state = TargetState.DRAINING
         if await self.send_heartbeat():
             drained = self._environment.history.drain_acknowledged_at
             drained[self.id] = asyncio.get_running_loop().time()
         await asyncio.sleep(self._environment.timing.drain_s + DEREGISTER_DELAY_S)
-        self.state = TargetState.GONE
+        self.state = TargetState.STOPPED
         for control in self._environment.control_addresses():
             if await self._post(control, "deregister", b"") is not None:
                 break
         self.process.kill()
 
     def crash(self) -> None:
-        """End at once, without draining."""
-        self.state = TargetState.GONE
+        """End the process at once, without draining."""
+        self.state = TargetState.STOPPED
         self.process.kill()
 
     async def serve(self, connection: TargetConnection) -> None:
@@ -177,11 +177,11 @@
         if self._environment.random.random() < self.answer_loss:
             connection.transport.abort()
             return
-        run.answer_read, run.near_fault = True, history.is_near_fault(loop.time())
+        run.answered, run.soon_after_fault = True, history.is_soon_after_fault(loop.time())
         self._answer(connection, run.status, run.seal)
 
     async def _wait_for_slot(self) -> bool:
-        """Wait until a request may run; False if too many wait already."""
+        """Wait until a request may run; return False if too many requests are waiting already."""
         if self._running >= self.capacity:
             if self._queued >= self.max_queued:
                 return False
@@ -204,7 +204,9 @@
         timing = environment.timing
         environment.history.record_run(attempt_id, run, timing.drain_s, timing.early_tolerance_s)
         if sent is not None and sent.body != body:
-            environment.history.record_breach("UNASKED", now, f"{attempt_id} with another body")
+            environment.history.record_breach(
+                "UNASKED", now, f"{attempt_id} ran with another body than was sent"
+            )
         return run
 
     def _reject(self, connection: TargetConnection, status: int) -> None:
