--- a/emberlatch/simulation/operators.py
+++ b/emberlatch/simulation/operators.py
@@ -1,4 +1,4 @@
-"""A simulated operator, written from the users' pages: it sends configurations and reads them back."""
+"""A simulated operator, written from the user documentation: it sends configurations and reads them back."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 TIMEOUT_S = 1.0
 RETRY_DELAY_S = 0.1
 READ_RETRY_DELAY_S = 0.2
-READ_ATTEMPTS = 8  # of each control address
-RAW_ATTEMPTS = 3  # of each control address
+READ_ATTEMPTS = 8  # attempts at each control address
+RAW_ATTEMPTS = 3  # attempts at each control address
 
 
 class SimulatedOperator:
-    """Sends configurations, each until it is acknowledged, and reads back the one that is in force."""
+    """Sends configurations, each until it is acknowledged, and reads back the active one."""
 
     def __init__(self, environment: Environment) -> None:
         self._environment = environment
 
     async def send(self, revision: int, attempts: int = 20) -> bool:
-        """Send one version, `attempts` times to each control address at most; whether it was acknowledged."""
+        """Send one revision, at most `attempts` times to each control address; True once acknowledged."""
         body = json.dumps(self._environment.configuration(revision)).encode()
         for control in self._environment.control_addresses() * attempts:
             status = await self._replace(control, body)
@@ -39,7 +39,7 @@
         return False
 
     async def send_raw(self, body: bytes, controls: list[tuple[str, int]] | None = None) -> int:
-        """Send any bytes as a configuration; the status of the first answer, 0 if none came."""
+        """Send any bytes as a configuration; return the status of the first answer, 0 if there was none."""
         for control in (controls or self._environment.control_addresses()) * RAW_ATTEMPTS:
             status = await self._replace(control, body)
             if status is not None:
@@ -47,7 +47,7 @@
         return 0
 
     async def _replace(self, control: tuple[str, int], body: bytes) -> int | None:
-        """The status of the answer; None if none came."""
+        """Send a configuration to one address; return the status of the answer, None if there was none."""
         try:
             answer = await send_request(control, "POST", REPLACE_PATH, body, CONTROL_HEADERS, TIMEOUT_S)
         except (OSError, NoResponseError, TimeoutError):
@@ -55,7 +55,7 @@
         return answer.status
 
     async def read_back(self) -> int:
-        """The revision that is in force; -1 if no control address tells one for a while."""
+        """Read the active revision; -1 if no control address returns one in `READ_ATTEMPTS` attempts."""
         for control in self._environment.control_addresses() * READ_ATTEMPTS:
             try:
                 answer = await send_request(control, "GET", RETRIEVE_PATH, b"", CONTROL_HEADERS, TIMEOUT_S)
--- a/emberlatch/simulation/plan.py
+++ b/emberlatch/simulation/plan.py
@@ -1,4 +1,4 @@
-"""What a simulated day consists of: the size of a deployment, its traffic, and the faults during it. Pure."""
+"""The plan of a simulated day: the size of the deployment, its traffic and its faults. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class FaultKind(StrEnum):
-    """What goes wrong, or planned work."""
+    """Kinds of faults and of planned work."""
 
     KILL = "kill"
     TERMINATE = "term"
@@ -46,7 +46,7 @@
         FaultKind.DECOMMISSION,
     }
 )
-"""Kinds whose effects on clients are not excused: the service has to bear them without a disturbance."""
+"""Kinds whose effects on clients are not excused: clients must not notice them."""
 
 NODE_FAULTS = frozenset(
     {
@@ -63,14 +63,14 @@
         FaultKind.DISK_SYNC_FAILS,
     }
 )
-"""Kinds that concern one machine, named by the fault."""
+"""Kinds that affect one machine, which the fault names."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault, or piece of planned work: `at_s` seconds after the start, for `duration_s` seconds.
+    """One fault or piece of planned work: `at_s` seconds after the start, for `duration_s` seconds.
 
-    `node` names the machine that is affected; it is empty where the kind concerns none, or all.
+    `node` names the affected machine; it is empty for kinds that affect all machines or none.
     """
 
     at_s: float
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """A deployment and its day. Everything that is drawn while it is played comes from `seed`."""
+    """A deployment and its day. All random numbers drawn while it is played derive from `seed`."""
 
     seed: int
     zones: int = 3
@@ -90,7 +90,7 @@
     targets: int = 6
     messages_per_s: float = 40.0
     duration_s: float = 12.0
-    forced_failure_share: float = 0.02  # of messages whose every run is answered with a failure
-    tolerated_losses: int = 1  # machines with a disk that may be lost at once
-    rate_limit_per_s: float = 0.0  # of the service with a fixed endpoint; 0: there is none
+    forced_failure_share: float = 0.02  # share of messages of which every run fails
+    tolerated_losses: int = 1  # number of machines with a disk that may be lost at the same time
+    rate_limit_per_s: float = 0.0  # limit of the service with a fixed endpoint; 0: no such service
     faults: tuple[Fault, ...] = ()
--- a/emberlatch/simulation/processor_samples.py
+++ b/emberlatch/simulation/processor_samples.py
@@ -1,7 +1,7 @@
-"""Which simulated process the processor's time goes to, from samples of the running one.
+"""Measures the processor time of each simulated process by sampling which one is running.
 
-The work of the simulated network counts for the process that writes; what a kernel does for real sockets is
-not in it.
+The work of the simulated network counts for the process that writes. The work that a kernel does for real
+sockets is not included.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 from emberlatch.faults.process import current_process
 
-SAMPLE_INTERVAL_S = 0.001  # of processor time
+SAMPLE_INTERVAL_S = 0.001  # seconds of processor time between two samples
 
 
 class ProcessorSamples:
-    """Takes samples while it is entered. For the main thread, one at a time.
+    """A context manager that takes samples; only in the main thread, and only one at a time.
 
-    `seconds` is the processor time of the entire simulation, once it was left.
+    `seconds` is the processor time of the entire simulation; it is set on exit.
     """
 
     def __init__(self) -> None:
         self.seconds = 0.0
-        self._samples: Counter[str] = Counter()  # by the host of the process
+        self._samples: Counter[str] = Counter()  # by process name, which is the host of a node's process
         self._started_at = 0.0
 
     def __enter__(self) -> ProcessorSamples:
@@ -44,5 +44,5 @@
         self._samples[current_process.get().name] += 1
 
     def seconds_of(self, host: str) -> float:
-        """Seconds of processor time of the process on one host."""
+        """The processor time in seconds of the process on `host`."""
         return self.seconds * self._samples[host] / max(1, self._samples.total())
--- a/emberlatch/simulation/repair_cost.py
+++ b/emberlatch/simulation/repair_cost.py
@@ -1,4 +1,4 @@
-"""What it costs to repair a store that was away for a while, or came back with an empty disk."""
+"""Measures the cost of repairing a store that was down for a while or restarted with an empty disk."""
 
 from __future__ import annotations
 
@@ -15,26 +15,30 @@
 from emberlatch.simulation.plan import Plan
 from emberlatch.simulation.scenario import Scenario, play
 
-BODY_BYTES = 1000  # of a message that waits
-RECORD_BYTES = 120  # of a record without its body, about
+BODY_BYTES = 1000  # body size of a waiting message
+RECORD_BYTES = 120  # approximate size of a record without its body
 OWNER, REPLICA = NODES = "s0", "s1"
-BLOCKING_PROBE_S = 0.0002  # simulated seconds between two looks at the real clock
-NEVER_S = 1e6  # longer than any simulated day
+BLOCKING_PROBE_S = 0.0002  # simulated seconds between two readings of the real clock
+NEVER_S = 1e6  # a duration longer than any simulated day
 
 
 @dataclass
 class RepairCost:
-    """One repair of `missing` out of `records`. Processor time is of both sides and the simulation."""
+    """The cost of repairing `missing` of `records` records.
+
+    `processor_s` is the processor time of both stores and of the simulation. `peak_memory_mib` is the peak
+    memory of the interpreter: if it has simulated several sizes, that of the largest.
+    """
 
     records: int
     missing: int
     frames: int = 0
     bytes: int = 0
-    minimum_bytes: int = 0  # of the missing records alone
+    minimum_bytes: int = 0  # size of the missing records alone
     processor_s: float = 0.0
-    longest_block_s: float = 0.0  # for which the loop did nothing else at a stretch
-    repeat_bytes: int = 0  # of the next comparison, when both stores are alike
-    peak_memory_mib: float = 0.0  # of this simulation, of the largest size that its interpreter has played
+    longest_block_s: float = 0.0  # longest real time for which the loop was blocked
+    repeat_bytes: int = 0  # sent by a second comparison, when both stores are equal
+    peak_memory_mib: float = 0.0
 
     def to_json(self) -> dict[str, float]:
         """The object that the command `mending` prints with `--json`."""
@@ -54,7 +58,7 @@
 def measure(records: int, missing: int, waiting_share: float = 0.02, seed: int = 1) -> RepairCost:
     """Measure the repair between two stores of `records` records, of which one lacks `missing`.
 
-    A share of the records are of messages that wait, and have their body.
+    `waiting_share` is the share of records that are of waiting messages, and so include a body.
     """
     cost = RepairCost(records, missing)
 
@@ -71,7 +75,7 @@
 
 
 async def _measure_repairs(cluster: SimulatedCluster, cost: RepairCost) -> None:
-    """Measure the repair, and a second one, when there is nothing left to repair."""
+    """Measure the repair, and then a second one, when no record is missing."""
     repair, program = _replicator(cluster, OWNER).repair, cluster.nodes[OWNER].program
     assert program is not None
     peer = program.membership.stores()[REPLICA]
@@ -86,12 +90,14 @@
         cost.frames, cost.bytes = frames - frames_before, size - bytes_before
         cost.processor_s = time.process_time() - started_at
         repaired = len(_index(cluster, REPLICA).records)
-        assert repaired == cost.records, f"{repaired} of {cost.records} after the repair"
+        assert repaired == cost.records, (
+            f"{REPLICA} has {repaired} of {cost.records} records after the repair"
+        )
 
 
 def _replicator(cluster: SimulatedCluster, name: str) -> Replicator:
     program = cluster.nodes[name].program
-    assert program is not None and program.replicator is not None, f"{name} is no store that runs"
+    assert program is not None and program.replicator is not None, f"{name} is not a running store"
     return program.replicator
 
 
@@ -99,15 +105,15 @@
     return _replicator(cluster, name).local_store.index
 
 
-def _fill(cluster: SimulatedCluster, cost: RepairCost, waiting_share: float, chance: random.Random) -> None:
-    """Put records into both indexes; what one of them lacks is what both would have got last."""
+def _fill(cluster: SimulatedCluster, cost: RepairCost, waiting_share: float, rng: random.Random) -> None:
+    """Put records into both indexes, but the newest `missing` ones only into that of the owner."""
     complete, incomplete = (_index(cluster, name) for name in NODES)
     now = cluster.loop.time()
     for number in range(cost.records):
-        waits = chance.random() < waiting_share
-        body = chance.randbytes(BODY_BYTES) if waits else None
-        id = f"{number:x}m{chance.randrange(1 << 40):x}"
-        chance.randrange(1 << 40)  # published figures were measured with two draws for each record
+        waits = rng.random() < waiting_share
+        body = rng.randbytes(BODY_BYTES) if waits else None
+        id = f"{number:x}m{rng.randrange(1 << 40):x}"
+        rng.randrange(1 << 40)  # published figures were measured with two random numbers for each record
         complete.put(_record(id, body, now))
         if number < cost.records - cost.missing:
             incomplete.put(_record(id, body, now))
@@ -127,7 +133,7 @@
 
 
 def _sent(cluster: SimulatedCluster) -> tuple[int, int]:
-    """Frames and bytes that both stores have sent since the start."""
+    """Frames and bytes that both stores together have sent since the start."""
     frames = size = 0
     for name in NODES:
         program = cluster.nodes[name].program
@@ -139,7 +145,10 @@
 
 
 async def _watch_blocking(cost: RepairCost) -> None:
-    """Real time in 0.2 ms of the simulation: about what a call has to wait for that comes meanwhile."""
+    """Record the longest real time that 0.2 ms of the simulation take.
+
+    That is about how long a call has to wait that arrives meanwhile.
+    """
     last = time.perf_counter()
     while True:
         await asyncio.sleep(BLOCKING_PROBE_S)
--- a/emberlatch/simulation/scenario.py
+++ b/emberlatch/simulation/scenario.py
@@ -1,4 +1,4 @@
-"""A day of a simulated cluster: start, traffic, faults, quiet, and what everyone is asked at the end."""
+"""Plays a day of a simulated cluster: start, traffic with faults, a quiet period and the final checks."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 from emberlatch.simulation.operators import SimulatedOperator
 from emberlatch.simulation.plan import Fault, Plan
 
-QUIET_S = 12.0  # after the last message, until the final states are asked for
-START_S = 2.5  # from the first configuration until the traffic begins
+QUIET_S = 12.0  # time from the last message until the final states are queried
+START_S = 2.5  # time from the first configuration until the traffic begins
 QUERY_TIMEOUT_S = 2.0
-MAX_ATTEMPTS = 4  # of a message, as the configuration has it
-RETENTION_S = 60.0  # of a message, as the configuration has it
+MAX_ATTEMPTS = 4  # attempts to deliver a message, as in the configuration
+RETENTION_S = 60.0  # retention of a message, as in the configuration
 RATE_WINDOW_S = 5.0
-RATE_EXCESS = 1.1  # by which a rate limit may be exceeded
-UNENDED_STATES = frozenset({"queued", "dead_letter"})  # in which the body of a message can be read
+RATE_EXCESS = 1.1  # factor by which a rate limit may be exceeded
+READABLE_BODY_STATES = frozenset({"queued", "dead_letter"})  # states in which a body can be read
 
 
 class Scenario:
-    """Plays a cluster's plan. `operator` is the one that sends the configurations."""
+    """Plays the plan of a cluster. `operator` sends the configurations."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self.cluster, self.plan = cluster, cluster.plan
@@ -39,11 +39,11 @@
 
     @property
     def revision(self) -> int:
-        """The last configuration that was sent."""
+        """The revision of the last configuration that was sent."""
         return self._injector.revision
 
     async def start(self) -> None:
-        """Start all nodes for the first time, the targets, and send a configuration."""
+        """Start all nodes for the first time, start the targets, and send a configuration."""
         cluster, plan = self.cluster, self.plan
         for node in cluster.nodes.values():
             node.start()
@@ -52,12 +52,14 @@
             await cluster.add_target(cluster.services[n % len(cluster.services)], zones[n % len(zones)])
         if plan.rate_limit_per_s:
             await cluster.add_target(FIXED_ENDPOINT_SERVICE, zones[0], FIXED_ENDPOINT)
-        assert await self.operator.send(self.revision), "no configuration was accepted"
+        assert await self.operator.send(self.revision), (
+            f"the initial revision {self.revision} was not accepted"
+        )
         await asyncio.sleep(START_S)
         cluster.first_start = False
 
     async def run(self) -> None:
-        """Play the day from the first start to the end, and judge it."""
+        """Play the day from the first start to the end, and check what was observed."""
         cluster, plan = self.cluster, self.plan
         await self.start()
         zones = cluster.zones
@@ -65,7 +67,7 @@
             cluster.call_later(fault.at_s, functools.partial(self.apply_fault, fault))
         share = plan.messages_per_s / len(zones)
         clients = [SimulatedClients(cluster, zone, share) for zone in zones]
-        await asyncio.gather(*(of_zone.run(plan.duration_s) for of_zone in clients))
+        await asyncio.gather(*(zone_clients.run(plan.duration_s) for zone_clients in clients))
         await asyncio.sleep(QUIET_S)
         await self.ask_final_states()
         cluster.history.judge(MAX_ATTEMPTS, RETENTION_S, cluster.loop.time())
@@ -75,11 +77,11 @@
             )
 
     def apply_fault(self, fault: Fault) -> None:
-        """Let a fault happen now."""
+        """Apply a fault now."""
         self._injector.apply(fault)
 
     async def ask_final_states(self) -> None:
-        """Ask for the state of every accepted message, and for the body of those that have not ended."""
+        """Query the state of every accepted message, and the body of each whose state makes it readable."""
         history = self.cluster.history
         history.read_back = await self.operator.read_back()
         forwarders = [node.host for node in self.cluster.nodes.values() if not node.is_store]
@@ -93,7 +95,7 @@
         if raw is not None:
             answer = json.loads(raw)
             history.states[sent.id] = answer["state"], answer.get("seal", "")
-        if history.states.get(sent.id, ("",))[0] in UNENDED_STATES:
+        if history.states.get(sent.id, ("",))[0] in READABLE_BODY_STATES:
             body = await self._get_from_any(forwarders, f"/api/message-body/{sent.id}")
             if body is not None:
                 history.bodies[sent.id] = body
@@ -115,9 +117,9 @@
 def play(
     plan: Plan, steps: Callable[[Scenario], Awaitable[None]] | None = None
 ) -> tuple[SimulatedCluster, list[Breach]]:
-    """Play a plan to its end, or steps of one's own in its deployment.
+    """Play a plan to its end, or only `steps` in its deployment.
 
-    Returns the cluster as it was left, and the breaches in order.
+    Returns the cluster in its final state, and the breaches in order of time.
     """
     cluster = SimulatedCluster(plan)
     try:
--- a/emberlatch/simulation/traffic.py
+++ b/emberlatch/simulation/traffic.py
@@ -1,4 +1,4 @@
-"""What the processes of a simulated cluster have sent each other since the start."""
+"""The traffic between the processes of a simulated cluster since their start."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from emberlatch.simulation.cluster import SimulatedCluster
 from emberlatch.simulation.node import SimulatedNode
 
-ANSWER_PREFIX = "="  # of a method whose answers are counted
+ANSWER_PREFIX = "="  # prefix of a method's name in the counters of its answers
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,9 +29,9 @@
 
 
 def method_traffic(cluster: SimulatedCluster) -> Iterator[MethodTraffic]:
-    """All of it, since the processes that run now were started.
+    """Yield the traffic since the current processes were started.
 
-    A connection that was opened to a seed's address keeps that as its name: it is the same machine.
+    Frames on a connection that was opened to a seed's address count for the node at that address.
     """
     by_name = dict(cluster.nodes)
     by_name |= {f"{SEED_PREFIX}{node.host}": node for node in cluster.nodes.values()}
@@ -40,5 +40,5 @@
             continue
         for (peer, method), (frames, size) in node.program.membership.counters.sent.items():
             receiver = by_name.get(peer)
-            if receiver is not None:  # else a handshake, before the other side is known
+            if receiver is not None:  # it is None for a handshake, before the peer is known
                 yield MethodTraffic(node, receiver, method.removeprefix(ANSWER_PREFIX), frames, size)
