--- a/emberlatch/cluster/node/builder.py
+++ b/emberlatch/cluster/node/builder.py
@@ -1,4 +1,4 @@
-"""The composition root: builds the parts of a process and hands each the ports that it needs."""
+"""The composition root: builds the components of a process and passes each the ports that it needs."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 from emberlatch.cluster.settings import NodeSettings
 from emberlatch.engine import Machine, Tasks
 
-RESERVED_FDS = 300  # file descriptors for everything but clients and targets
-MIN_CLIENTS, MAX_READINESS_CLIENTS = 16, 64  # connections
+RESERVED_FDS = 300  # file descriptors for uses other than client and target connections
+MIN_CLIENTS, MAX_READINESS_CLIENTS = 16, 64  # numbers of connections
 MIN_TARGET_CONNECTIONS = 64
 MAX_CONTROL_BODY_BYTES = 2 * 1024 * 1024
 CONTROL_IDLE_TIMEOUT_S = 30.0
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeParts:
-    """All parts of a process; those that its settings do not ask for are None."""
+    """All components of a process; those that its settings do not call for are None."""
 
     endpoint: LocalEndpoint
     membership: MembershipView
@@ -77,7 +77,7 @@
         self._active_configuration = ActiveConfiguration(tasks)
 
     def build(self) -> NodeParts:
-        """All parts, each with its ports."""
+        """Build all components and connect them."""
         settings, membership, active_configuration = (
             self._settings,
             self._membership,
@@ -113,7 +113,7 @@
             ),
         )
 
-    # A process with a disk.
+    # Components of a process with a disk.
 
     def _store(self) -> StoreParts:
         delivery = LateBoundDeliveryQueue()
@@ -169,10 +169,10 @@
             return None
         return StoreService(store, self._membership, self._tasks, self._settings.initial_start)
 
-    # Addresses.
+    # Listening addresses.
 
     def _listener(self, name: str, handle: Handle, max_clients: int) -> HttpListener | None:
-        """A listener on an address of the settings; None if they have none of that name."""
+        """Create a listener on the address with this name in the settings; None if there is none."""
         address = self._settings.listen.get(name)
         if address is None:
             return None
--- a/emberlatch/cluster/node/configuration_activation.py
+++ b/emberlatch/cluster/node/configuration_activation.py
@@ -1,4 +1,4 @@
-"""What a process does once another configuration is in force."""
+"""Applies a newly active configuration within a process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ConfigurationActivation:
-    """Passes a configuration to the parts that work by it, and its revision to the other processes."""
+    """Passes a configuration to the components that use it, and its revision to the other processes."""
 
     def __init__(
         self, front: HttpListener | None, store: StoreParts | None, heartbeats: HeartbeatService
@@ -17,7 +17,7 @@
         self._front, self._store, self._heartbeats = front, store, heartbeats
 
     def apply(self, config: Configuration) -> None:
-        """This configuration is in force from now on."""
+        """Put this configuration in force in this process; a store announces its revision."""
         if self._front is not None:
             self._front.apply_limits(config.limits)
         if self._store is not None:
--- a/emberlatch/cluster/node/delivery_owner.py
+++ b/emberlatch/cluster/node/delivery_owner.py
@@ -1,4 +1,4 @@
-"""The store as its dispatcher sees it."""
+"""The interface of the store to its dispatcher."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         self._replicator.state_commits.finish(record, state, seal)
 
     def on_wrong_instance(self, target_id: str) -> None:
-        """Note that another instance listens at the address of this target."""
+        """Record that another instance listens at the address of this target."""
         self._targets.on_wrong_instance(target_id, asyncio.get_running_loop().time())
 
     def may_send(self) -> bool:
@@ -32,5 +32,5 @@
         return self._replicator.may_send()
 
     def quota_divisor(self, service: str) -> float:
-        """Return by how much the service's rate limit is divided to get this store's quota share."""
+        """Return the number by which the service's rate limit is divided to get this store's share."""
         return self._quota_shares.divisor(service)
--- a/emberlatch/cluster/node/graceful_shutdown.py
+++ b/emberlatch/cluster/node/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Ends a process within its grace period: what is in flight is finished, the rest handed over."""
+"""Ends a process within its grace period: finishes calls in flight, hands queued messages to other stores."""
 
 from __future__ import annotations
 
@@ -13,19 +13,22 @@
 from emberlatch.cluster.node.parts import StoreParts
 from emberlatch.cluster.node.readiness import Readiness
 
-SHUTDOWN_ACCEPT_S = 2.7  # seconds after SIGTERM for which clients that still come are served, and
-SHUTDOWN_ACCEPT_SHARE = 0.45  # at most this fraction of the grace period
-FRONT_DRAIN_MARGIN_S = 1.5  # seconds before the grace ends at which clients are waited for no more
-STORE_DRAIN_MARGIN_S = 1.0  # seconds before the grace ends at which calls are waited for no more
-FLUSH_MARGIN_S = 0.5  # seconds before the grace ends at which the disk is waited for no more
-FRONT_POLL_S = 0.05  # seconds between two looks whether clients are gone
-STORE_POLL_S = 0.02  # seconds between two looks whether calls are answered
-NOTICES_SENT_S = 0.03  # seconds for notices to leave before the links close
-LINKS_CLOSED_S = 0.02  # seconds for the links to close before the database does
+SHUTDOWN_ACCEPT_S = 2.7  # seconds after SIGTERM during which new client connections are still accepted
+SHUTDOWN_ACCEPT_SHARE = 0.45  # upper limit of that time, as a fraction of the grace period
+FRONT_DRAIN_MARGIN_S = 1.5  # The wait for clients ends this many seconds before the grace period.
+STORE_DRAIN_MARGIN_S = 1.0  # The wait for calls ends this many seconds before the grace period.
+FLUSH_MARGIN_S = 0.5  # The wait for the disk ends this many seconds before the grace period.
+FRONT_POLL_S = 0.05  # seconds between two checks whether all clients have disconnected
+STORE_POLL_S = 0.02  # seconds between two checks whether all calls have been answered
+NOTICES_SENT_S = 0.03  # seconds that notices get for transmission before the links are closed
+LINK_CLOSE_S = 0.02  # seconds that the links get for closing before the database is closed
 
 
 class GracefulShutdown:
-    """Runs once. `front` and `control_listener` are None where the process has no such address."""
+    """Shuts a process down; runs once.
+
+    `store`, `front` and `control_listener` are None in a process without a disk or without that address.
+    """
 
     def __init__(
         self,
@@ -42,7 +45,7 @@
         self._front, self._control_listener = front, control_listener
 
     async def run(self) -> None:
-        """Return once the process may end, before the grace period is over."""
+        """Shut down; return once the process may exit, before the grace period ends."""
         self._readiness.begin_shutdown()
         deadline = asyncio.get_running_loop().time() + self._grace_s
         log_event(Event.SHUTTING_DOWN, self._node)
@@ -54,14 +57,15 @@
             flushed = await self._flush(self._store, deadline)
             self._store.control.close()
         self._membership.close()
-        await asyncio.sleep(LINKS_CLOSED_S)
-        if self._store is not None and flushed:  # else a commit hangs, or fails: the others know
+        await asyncio.sleep(LINK_CLOSE_S)
+        # Without a complete flush a commit is stuck or has failed; the other stores know of it already.
+        if self._store is not None and flushed:
             with contextlib.suppress(OSError):
                 self._store.replicator.local_store.database.close()
         log_event(Event.STOPPED, self._node)
 
     async def _drain_front(self, front: HttpListener, deadline: float) -> None:
-        """Serve until the platform sends no more clients, then answer those that are here."""
+        """Accept clients until the platform stops sending them, then answer those still connected."""
         front.drain(True)
         await asyncio.sleep(min(SHUTDOWN_ACCEPT_S, self._grace_s * SHUTDOWN_ACCEPT_SHARE))
         front.close_listener()
@@ -70,7 +74,7 @@
         )
 
     async def _drain_store(self, store: StoreParts, deadline: float) -> None:
-        """Accept nothing new, hand over what is not in flight, and finish what is."""
+        """Accept no new messages, hand over those that are not in flight, and finish those that are."""
         replicator, listener = store.replicator, self._control_listener
         replicator.enter_phase(Phase.CLOSING)
         if listener is not None:
@@ -84,16 +88,16 @@
         )
 
     async def _flush(self, store: StoreParts, deadline: float) -> bool:
-        """Let notices leave, and wait for the disk; whether all is durable."""
+        """Send the pending notices and wait for the disk; return whether all writes are durable."""
         for peer in self._membership.peers.values():
             peer.flush()
         await asyncio.sleep(NOTICES_SENT_S)
-        left_s = deadline - FLUSH_MARGIN_S - asyncio.get_running_loop().time()
-        return await store.replicator.flush(max(0.0, left_s))
+        remaining_s = deadline - FLUSH_MARGIN_S - asyncio.get_running_loop().time()
+        return await store.replicator.flush(max(0.0, remaining_s))
 
 
 async def _wait_while(condition: Callable[[], bool], deadline: float, poll_s: float) -> None:
-    """Return once the condition ends, or at the deadline (loop time)."""
+    """Return once the condition is false, or at the deadline (loop time)."""
     loop = asyncio.get_running_loop()
     while condition() and loop.time() < deadline:
         await asyncio.sleep(poll_s)
--- a/emberlatch/cluster/node/heartbeats.py
+++ b/emberlatch/cluster/node/heartbeats.py
@@ -1,4 +1,4 @@
-"""What this process reports of itself on its links, and what it learns from the reports of the others."""
+"""The reports that this process sends about itself on its links, and the handling of reports it receives."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from emberlatch.cluster.rpc import HEARTBEAT_INTERVAL_S, LocalEndpoint, Peer, RpcConnection, RpcMethod
 from emberlatch.cluster.settings import NodeSettings
 
-FULL_RATE_STORES = 6  # stores up to which a forwarder sends heartbeats as often as a store does
+FULL_RATE_STORES = 6  # largest number of stores at which forwarders send heartbeats as often as stores do
 
 
 class HeartbeatService:
-    """Implements the delegate of the links. `store`: the parts of a process with a disk; None elsewhere."""
+    """Implements the delegate of the links. `store` is None in a process without a disk."""
 
     def __init__(
         self,
@@ -40,19 +40,19 @@
         self._decoder = HeartbeatDecoder()
         self._encoded: tuple[Heartbeat, object] | None = None  # the last heartbeat sent, and its payload
 
-    # What this process sends.
+    # Reports that this process sends.
 
     def handshake(self) -> object:
-        """The payload of a handshake: heartbeat, membership and the identity of our disk."""
+        """The payload of a handshake: heartbeat, membership and the identity of the local disk."""
         update, identity = self._membership.update(), self._agreed.identity
         return Handshake(self.current(), update, identity).to_wire()
 
     def heartbeat_interval_s(self) -> float:
         """Seconds between two heartbeats to one peer.
 
-        A store has to learn soon that another one is unreachable. Forwarders are many, and learn it from
-        calls without an answer: the heartbeats that one forwarder sends in a second do not grow with the
-        number of stores.
+        A store has to detect quickly that another store is unreachable. A forwarder detects it from calls
+        without a response, and there are many forwarders: above FULL_RATE_STORES stores the interval of a
+        forwarder grows with their number, so that the heartbeats it sends per second do not increase.
         """
         if self._is_store:
             return HEARTBEAT_INTERVAL_S
@@ -63,9 +63,9 @@
         return self._payload(self.current())
 
     def current(self) -> Heartbeat:
-        """What this process reports of itself now.
+        """The heartbeat that describes the present state of this process.
 
-        The previous heartbeat is returned as long as it holds, since heartbeats are many.
+        Heartbeats are frequent, so the previous one is returned while its contents are unchanged.
         """
         store, revision = self._store, self.reported_revision()
         phase, disk, control = None, None, None
@@ -91,48 +91,51 @@
         return self._encoded[1]
 
     def reported_revision(self) -> int:
-        """The configuration revision that others may fetch here; REVISION_WITHHELD while we are isolated."""
+        """The configuration revision that forwarders may fetch from this process.
+
+        REVISION_WITHHELD while this machine is isolated from the majority of the voters.
+        """
         if self._store is not None and not self._store.control.has_confirmed_majority():
             return REVISION_WITHHELD
         return self._active_configuration.revision
 
     def announce(self) -> None:
-        """Send a heartbeat now to all stores, and to all processes that dialled us, forwarders among them."""
+        """Send a heartbeat now to all reachable stores and to all processes that dialled this one."""
         for peer in self._membership.reachable_stores():
             peer.notify(RpcMethod.HEARTBEAT, self.heartbeat())
         for connection in self._membership.inbound():
             notice = HeartbeatNotice(self._node, self.current())
             connection.notify(RpcMethod.HEARTBEAT_NOTICE, notice.to_wire())
 
-    # What the others report.
+    # Reports that this process receives.
 
     def on_handshake(self, peer: Peer, payload: object) -> None:
-        """A peer answered our handshake."""
+        """Apply a peer's response to a handshake of this process."""
         handshake = Handshake.from_wire(payload)
         self._membership.apply_handshake(handshake, peer)
         self._apply(peer, handshake.heartbeat)
 
     def on_heartbeat(self, peer: Peer, payload: object) -> None:
-        """A peer answered our heartbeat."""
+        """Apply a peer's response to a heartbeat of this process."""
         self._membership.roster.renew(peer.name, asyncio.get_running_loop().time())
         self._apply(peer, self._decoder.decode(peer.name, payload))
 
     def on_state_change(self, peer: Peer) -> None:
-        """The state of a link changed: a peer that came up gets the targets."""
+        """Handle a change of a link's state; send the known targets to a peer whose link is up now."""
         if peer.up and self._store is not None and self._store.targets.known:
             now = asyncio.get_running_loop().time()
             peer.notify(RpcMethod.TARGETS, self._store.targets.reports(now).to_wire())
         self._membership.link_changed(peer)
 
     def serve_handshake(self, connection: RpcConnection, payload: object) -> object:
-        """A process that dialled us begins: ours in return."""
+        """Apply the handshake of a process that dialled this one, and return the local handshake."""
         self._membership.apply_handshake(Handshake.from_wire(payload), connection)
         if (peer := self._membership.stores().get(connection.name)) is not None:
             peer.on_inbound_handshake()
         return self.handshake()
 
     def serve_heartbeat(self, connection: RpcConnection, payload: object) -> object:
-        """A heartbeat of a process that dialled us: ours in return."""
+        """Apply the heartbeat of a process that dialled this one, and return the local heartbeat."""
         self._membership.roster.renew(connection.name, asyncio.get_running_loop().time())
         peer = self._membership.stores().get(connection.name)
         if payload and peer is not None and peer.up:
@@ -140,14 +143,14 @@
         return self.heartbeat()
 
     def serve_notice(self, connection: RpcConnection, payload: object) -> None:
-        """A store that we dialled reports a change of itself."""
+        """Apply a change that a store reports on a connection dialled by this process."""
         notice = HeartbeatNotice.from_wire(payload)
         peer = self._membership.stores().get(notice.node)
         if peer is not None and peer.up:
             self._apply(peer, notice.heartbeat)
 
     def _apply(self, peer: Peer, heartbeat: Heartbeat) -> None:
-        """Take what a store reports; only a forwarder takes its configuration from a reported revision."""
+        """Apply a store's report; only a forwarder fetches its configuration by the reported revision."""
         if heartbeat.control is None:
             return
         self._membership.apply_heartbeat(peer, heartbeat)
--- a/emberlatch/cluster/node/node.py
+++ b/emberlatch/cluster/node/node.py
@@ -1,4 +1,4 @@
-"""A process from its start to its end: only the order in which its parts begin and stop."""
+"""Starts and stops the components of a process in order."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Node:
-    """One process. `incarnation` grows with each start of the node; `seed` is of its random choices."""
+    """One process. `incarnation` grows with each start of the node; `seed` initializes its random choices."""
 
     def __init__(
         self, settings: NodeSettings, machine: Machine, disk: Disk, incarnation: int, seed: int
@@ -34,7 +34,7 @@
 
     @property
     def replicator(self) -> Replicator | None:
-        """Where messages are stored; None without a disk."""
+        """The component that stores messages; None without a disk."""
         return self._store.replicator if self._store is not None else None
 
     @property
@@ -44,16 +44,16 @@
 
     @property
     def targets(self) -> TargetDirectory | None:
-        """The targets that are known here; None without a disk."""
+        """The targets known to this process; None without a disk."""
         return self._store.targets if self._store is not None else None
 
     @property
     def dispatcher(self) -> Dispatcher | None:
-        """Delivers messages to targets; None without a disk."""
+        """The component that delivers messages to targets; None without a disk."""
         return self._store.dispatcher if self._store is not None else None
 
     async def start(self) -> None:
-        """Begin; returns once all addresses listen. OSError if one of them can't be listened on."""
+        """Start; return once all addresses listen. Raises OSError if one of them can't be listened on."""
         settings = self.settings
         if self._store_service is not None:
             self._store_service.open()
@@ -79,6 +79,6 @@
         )
 
     async def stop(self) -> None:
-        """Finish what is in flight and hand the rest to other stores, within the grace period."""
+        """Finish calls in flight and hand queued messages to other stores, within the grace period."""
         await self._shutdown.run()
         self.tasks.cancel()
--- a/emberlatch/cluster/node/parts.py
+++ b/emberlatch/cluster/node/parts.py
@@ -1,4 +1,4 @@
-"""The parts of a node that stores and delivers messages, as its services are given them."""
+"""The components that only a node with a disk has, grouped so that they can be passed to its services."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreParts:
-    """What only a process with a disk has."""
+    """Components that store and deliver messages."""
 
     replicator: Replicator
     control: ControlPlane
--- a/emberlatch/cluster/node/quota_shares.py
+++ b/emberlatch/cluster/node/quota_shares.py
@@ -1,25 +1,25 @@
-"""How the rate limit of a service is divided among the stores."""
+"""Divides the rate limit of a service among the stores."""
 
 from __future__ import annotations
 
 from emberlatch.cluster.membership import primary_store
 from emberlatch.cluster.membership.view import MembershipView
 
-PRIMARY_STORE_QUOTA_SHARE = 0.8  # fraction of its zone's share that the primary store of a service gets
+PRIMARY_STORE_QUOTA_SHARE = 0.8  # fraction of a zone's share that the service's primary store there gets
 
 
 class QuotaShares:
-    """Divides by all known stores, the dead among them too, for they may have sent just now."""
+    """Divides among all known stores, including dead ones, which may have sent a moment before they died."""
 
     def __init__(self, node: str, zone: str, membership: MembershipView) -> None:
         self._node, self._zone, self._membership = node, zone, membership
 
     def divisor(self, service: str) -> float:
-        """By how much a service's limit is divided for this store; 1 or more.
+        """Return the number by which a service's rate limit is divided for this store; at least 1.
 
         Each zone gets the same share. Within a zone the primary store, to which the forwarders send the
-        service's messages, gets most of it; the other stores deliver what they took over, and divide the
-        rest.
+        service's messages, gets most of the share. The other stores divide the remainder, and need it for
+        messages that they took over.
         """
         stores = self._membership.roster.stores()
         zones = len({store.zone for store in stores})
--- a/emberlatch/cluster/node/readiness.py
+++ b/emberlatch/cluster/node/readiness.py
@@ -1,4 +1,4 @@
-"""Whether an ingress node can accept messages now; `ReadinessEndpoint` answers 200 or 503 by it."""
+"""Determines whether an ingress node can accept messages; `ReadinessEndpoint` answers accordingly."""
 
 from __future__ import annotations
 
@@ -8,19 +8,22 @@
 
 
 class Readiness:
-    """An ingress node is ready once it has a configuration and reaches a quorum of writable stores, until its
-    shutdown begins."""
+    """The readiness of an ingress node.
+
+    A node is ready while it has a configuration and reaches a quorum of writable stores, and its shutdown has
+    not begun.
+    """
 
     def __init__(self, active_configuration: ActiveConfiguration, membership: MembershipView) -> None:
         self._active_configuration, self._membership = active_configuration, membership
         self._shutting_down = False
 
     def begin_shutdown(self) -> None:
-        """From now on this process is not ready."""
+        """Report this process as not ready from now on."""
         self._shutting_down = True
 
     def not_ready_reason(self) -> NotReadyReason | None:
-        """The first reason why this process can't accept messages; None if it can."""
+        """Return the first reason why this process can't accept messages; None if it can."""
         if self._shutting_down:
             return NotReadyReason.SHUTTING_DOWN
         if self._active_configuration.current is None:
--- a/emberlatch/cluster/node/request_handlers.py
+++ b/emberlatch/cluster/node/request_handlers.py
@@ -9,13 +9,13 @@
 
 
 class RequestError(ValueError):
-    """Root of the errors of requests that this process can't handle. `method`: the one that was called."""
+    """Base class of errors for requests that this process can't handle. `method` is the requested one."""
 
     def __init__(self, method: str, text: str) -> None:
         super().__init__(text)
         self.method = method
 
-    def __repr__(self) -> str:  # it goes to the caller, whose program may be another version
+    def __repr__(self) -> str:  # The text is sent to the caller, which may run another program version.
         return f"ValueError({str(self)!r})"
 
 
@@ -27,15 +27,17 @@
 
 
 class UnknownMethodError(RequestError):
-    """No version of this process that we know has such a method."""
+    """This version of the program has no such method."""
 
     def __init__(self, method: str) -> None:
         super().__init__(method, f"no such question: {method}")
 
 
 class RequestHandlers:
-    """Finds the handler of a method. `store_handlers`: by method, those of a process with a disk; None
-    elsewhere."""
+    """Finds the handler of a method.
+
+    `store_handlers` maps the methods that need a disk to their handlers; it is None in a process without one.
+    """
 
     def __init__(
         self,
@@ -56,11 +58,11 @@
 
     @property
     def methods(self) -> frozenset[str]:
-        """The methods that this process handles, by their names on the wire."""
+        """The wire names of the methods that this process handles."""
         return frozenset(self._handlers)
 
     def serve(self, connection: RpcConnection, method: str, payload: object) -> object:
-        """Handle one request of another process: the answer, or a coroutine that brings it.
+        """Handle one request of another process; return the response, or a coroutine that returns it.
 
         Raises NotAStoreError or UnknownMethodError for a method without a handler.
         """
--- a/emberlatch/cluster/node/store_request_handlers.py
+++ b/emberlatch/cluster/node/store_request_handlers.py
@@ -16,7 +16,7 @@
 
 
 class StoreRequestHandlers:
-    """Passes each request on to the part that it is for."""
+    """Passes each request to the component that handles it."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         }
 
     def _configuration(self, _: RpcConnection, payload: object) -> bytes | None:
-        """The configuration in force, for a forwarder; None while this machine is isolated."""
+        """The active configuration, for a forwarder; None if there is none or this machine is isolated."""
         config = self._active_configuration.current
         if config is None or self._heartbeats.reported_revision() == REVISION_WITHHELD:
             return None
--- a/emberlatch/cluster/node/store_service.py
+++ b/emberlatch/cluster/node/store_service.py
@@ -1,4 +1,4 @@
-"""The life of a store: from the records on its disk to its periodic work."""
+"""Starts a store from the records on its disk, then runs its periodic work."""
 
 from __future__ import annotations
 
@@ -13,35 +13,36 @@
 
 
 class StoreService:
-    """Starts the replicator, and calls what has to be done now and then."""
+    """Opens the database, starts the replicator, and runs the periodic work."""
 
     def __init__(
         self, store: StoreParts, membership: MembershipView, tasks: Tasks, initial_start: bool
     ) -> None:
         self._store, self._membership, self._tasks = store, membership, tasks
         self._initial_start = initial_start
-        self._recalled = False  # whether the stores known to the earlier incarnation were read
+        self._roster_restored = False  # whether the roster of the earlier incarnation was read from disk
 
     def open(self) -> None:
-        """Open the database and read which stores the earlier incarnation knew.
+        """Open the database and read the roster of the earlier incarnation: the stores that it knew.
 
-        A disk that can't be read now is no error: the replicator opens it again, and `run` reads then.
+        An unreadable disk is not an error here: the replicator opens the database again, and `run` reads the
+        roster after that.
         """
         with contextlib.suppress(OSError):
             self._store.replicator.local_store.database.open()
-            self._recall()
+            self._restore_roster()
 
-    def _recall(self) -> None:
+    def _restore_roster(self) -> None:
         self._membership.restore_roster()
-        self._recalled = True
+        self._roster_restored = True
 
     async def run(self) -> None:
-        """Until it is cancelled."""
+        """Start the replicator and run the periodic work until cancelled."""
         replicator = self._store.replicator
         await replicator.start(self._initial_start)
-        if not self._recalled:
-            with contextlib.suppress(OSError):  # the seeds report the other stores
-                self._recall()
+        if not self._roster_restored:
+            with contextlib.suppress(OSError):  # Without the roster, the seeds report the other stores.
+                self._restore_roster()
                 self._membership.dial()
         self._tasks.spawn(replicator.run_maintenance())
         loop = asyncio.get_running_loop()
