--- a/emberlatch/cluster/configuration/__init__.py
+++ b/emberlatch/cluster/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: which one is active here (`active`), and calls that change it (`service`)."""
+"""The operators' configuration: the active one (`active`), and the calls that change it (`service`)."""
 
 from emberlatch.cluster.configuration.active import ActiveConfiguration
 from emberlatch.cluster.configuration.service import ConfigResult, ConfigService, Outcome
--- a/emberlatch/cluster/configuration/active.py
+++ b/emberlatch/cluster/configuration/active.py
@@ -1,9 +1,9 @@
-"""The configuration that is active in this process. Its revision never falls within an incarnation.
+"""The configuration that is active in this process. Its revision never decreases within an incarnation.
 
 A store takes it from the agreed control state once a majority of the voters has confirmed that state in this
 incarnation (`ControlPlane`); a forwarder, which has no disk, fetches it from a store that is in contact with
-a majority. What follows in the process is in `node/configuration_activation.py`. All steps, from the
-operator's call on: docs/design/system.md, "The life of a configuration".
+a majority. `node/configuration_activation.py` applies it to the other components of the process. For all
+steps from the operator's call on, see docs/design/system.md, "The life of a configuration".
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from emberlatch.cluster.settings import Configuration, ConfigurationError, read_configuration
 from emberlatch.engine import Tasks
 
-FETCH_TIMEOUT_S = 1.0  # seconds for another process to send the configuration
-NO_REVISION = -1  # reported while no configuration is active
+FETCH_TIMEOUT_S = 1.0  # seconds for a store to send the configuration
+NO_REVISION = -1  # value reported while no configuration is active
 
 Listener = Callable[[Configuration], None]
-"""Is called with each configuration as it becomes active."""
+"""Callback that receives each configuration as it becomes active."""
 
 
 class ActiveConfiguration:
-    """Keeps the active configuration in memory, and notifies its listeners of each new one."""
+    """Has the active configuration in memory, and notifies its listeners of each new one."""
 
     def __init__(self, tasks: Tasks) -> None:
         self._tasks = tasks
@@ -37,11 +37,14 @@
         return self.current.revision if self.current is not None else NO_REVISION
 
     def subscribe(self, listener: Listener) -> None:
-        """Call this with each configuration that becomes active from now on."""
+        """Call `listener` with each configuration that becomes active from now on."""
         self._listeners.append(listener)
 
     def adopt(self, raw: bytes) -> None:
-        """Activate a confirmed configuration if its revision is higher; the active one changes only here."""
+        """Activate a confirmed configuration if its revision is higher than that of the active one.
+
+        No other method changes the active configuration.
+        """
         try:
             config = read_configuration(raw)
         except ConfigurationError as error:
@@ -57,7 +60,7 @@
             listener(config)
 
     def on_heartbeat(self, peer: Peer, revision: int) -> None:
-        """In a forwarder: a store reports its active revision. A higher one than ours is fetched from it."""
+        """Fetch the configuration from a store that reports a higher revision; called in forwarders only."""
         if revision > self.revision and not self._fetching:
             self._fetching = True
             self._tasks.spawn(self._fetch(peer))
@@ -68,6 +71,6 @@
             if isinstance(raw, bytes):
                 self.adopt(raw)
         except CallFailedError:
-            pass  # the next heartbeat shows again that there is a higher revision
+            pass  # The next heartbeat with a higher revision triggers another attempt.
         finally:
             self._fetching = False
--- a/emberlatch/cluster/configuration/service.py
+++ b/emberlatch/cluster/configuration/service.py
@@ -1,4 +1,4 @@
-"""The operators' calls that replace and retrieve the agreed configuration, as a store handles them."""
+"""Handles, in a store, the operators' calls that replace and retrieve the agreed configuration."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from emberlatch.cluster.events import Event, log_event
 from emberlatch.cluster.settings import ConfigurationError, read_configuration
 
-REPLACE_TIMEOUT_S = 0.8  # seconds in which a replacement is decided, or has no clear answer
-RETRIEVE_TIMEOUT_S = 0.6  # seconds in which a read is confirmed, or has no clear answer
+REPLACE_TIMEOUT_S = 0.8  # seconds for a replacement to be decided, after which its outcome is uncertain
+RETRIEVE_TIMEOUT_S = 0.6  # seconds for a read to be confirmed, after which the call fails
 NO_MAJORITY_REASON = "cut off from most of the voters"
 
 
 class Outcome(Enum):
-    """How a call on the configuration ended."""
+    """The outcome of a call on the configuration."""
 
     DONE = "done"
-    INVALID = "invalid"  # no configuration that may become active
-    CONFLICT = "conflict"  # its revision is another configuration's
-    UNDECIDED = "undecided"  # too few voters answered, or the revision is older than the history
+    INVALID = "invalid"  # The body is not a valid configuration.
+    CONFLICT = "conflict"  # Another configuration is committed under the same revision.
+    UNDECIDED = "undecided"  # Too few voters answered, or the revision is older than the stored history.
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigResult:
-    """An outcome, with the configuration that was read or the reason of a failure."""
+    """The outcome of a call, with the configuration that was read or the reason for the failure."""
 
     outcome: Outcome
     text: bytes = b""
@@ -35,14 +35,14 @@
 
 
 class MajorityContact(Protocol):
-    """Tells whether a majority of the voters can be reached."""
+    """Determines whether a majority of the voters can be reached."""
 
     def has_confirmed_majority(self) -> bool:
-        """Whether a majority of the voters answered a heartbeat that was sent a moment ago."""
+        """Whether a majority of the voters answered a recent heartbeat."""
 
 
 class ConfigService:
-    """Replaces and retrieves the agreed configuration. Without contact with a majority it answers at once."""
+    """Replaces and retrieves the agreed configuration; fails at once without contact with a majority."""
 
     def __init__(self, service: ControlService, contact: MajorityContact) -> None:
         self._service, self._contact = service, contact
@@ -50,7 +50,7 @@
         self._reads = ControlStateClient(service, RETRIEVE_TIMEOUT_S)
 
     async def replace(self, raw: bytes) -> ConfigResult:
-        """Have this configuration committed under its revision; the highest revision becomes active."""
+        """Commit this configuration under its revision; the highest committed revision becomes active."""
         try:
             revision = read_configuration(raw).revision
         except ConfigurationError as error:
@@ -80,7 +80,7 @@
         return ConfigResult(Outcome.CONFLICT, reason=reason)
 
     async def retrieve(self) -> ConfigResult:
-        """The agreed configuration, confirmed by a majority; an empty text if there is none yet."""
+        """Return the agreed configuration, confirmed by a majority; an empty text if there is none yet."""
         if not self._contact.has_confirmed_majority():
             return ConfigResult(Outcome.UNDECIDED, reason=NO_MAJORITY_REASON)
         state = await self._reads.read()
--- a/emberlatch/cluster/control_api/api.py
+++ b/emberlatch/cluster/control_api/api.py
@@ -11,18 +11,18 @@
 from emberlatch.net.server import Reply, Request
 
 UNAVAILABLE = 503
-RETRY_AFTER_S = 0.2  # seconds after which a caller may retry when there was no clear answer
+RETRY_AFTER_S = 0.2  # seconds after which a caller may retry a call that was answered 503
 
 
 class CallHandler(Protocol):
     """Handles calls on the control API."""
 
     async def handle(self, request: ControlRequest) -> ControlResponse:
-        """The response to a call."""
+        """Return the response to a call."""
 
 
 class ControlApi:
-    """Decodes HTTP requests into calls. `call_handler` is local where the state is, else it forwards."""
+    """Decodes HTTP requests into calls for `call_handler`, which is local in a store, else a forwarder."""
 
     def __init__(self, call_handler: CallHandler) -> None:
         self._call_handler = call_handler
--- a/emberlatch/cluster/control_api/local.py
+++ b/emberlatch/cluster/control_api/local.py
@@ -1,4 +1,4 @@
-"""Handles calls on a machine with a disk: one dispatch on the method and the segments of the path."""
+"""Handles calls on a machine with a disk; the method and the segments of the path select the handler."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from emberlatch.cluster.rpc import Peer, RpcMethod
 from emberlatch.cluster.settings.configuration import MAX_CONFIGURATION_BYTES
 
-TARGET_NOTIFY_TIMEOUT_S = 0.35  # seconds for which a target's call waits until the other stores know
-HEARTBEATS_PER_NOTICE = 2  # heartbeats of a target without a change, of which the other stores get one
+TARGET_NOTIFY_TIMEOUT_S = 0.35  # seconds that a target's call waits for the other stores to confirm a change
+HEARTBEATS_PER_NOTICE = 2  # Of this many heartbeats without a change, one is passed to the other stores.
 MAX_ERROR_TEXT = 200  # characters
 
 STATUSES = {
@@ -32,7 +32,7 @@
         """Begin to decommission a machine."""
 
     async def retrieve(self, node: str) -> ControlResponse:
-        """How far the decommission of a machine is."""
+        """Return the progress of a machine's decommission."""
 
 
 class StoreContact(Protocol):
@@ -42,7 +42,7 @@
         """The links to stores that are up."""
 
     def has_confirmed_majority(self) -> bool:
-        """Whether a majority of the voters answered a heartbeat that was sent a moment ago."""
+        """Whether a majority of the voters answered a recent heartbeat."""
 
 
 class LocalHandler:
@@ -59,7 +59,7 @@
         self._decommissions, self._contact = decommissions, contact
 
     async def handle(self, request: ControlRequest) -> ControlResponse:
-        """The response to a call: 404 if there is no such call, 503 if it has no clear answer."""
+        """Return the response to a call: 404 if there is no such call, 503 if its outcome is uncertain."""
         match request.method, request.segments:
             case "POST", ("api", "instances", target_id, "heartbeat"):
                 return await self._heartbeat(target_id, request.body)
@@ -101,7 +101,7 @@
         return ControlResponse(200, b"{}")
 
     async def _notify_stores(self, target: Target, changed: bool) -> None:
-        """Report a target to the other stores; if it has changed, wait a moment until they know."""
+        """Report a target to the other stores; if it has changed, wait a short time for their responses."""
         now, stores = asyncio.get_running_loop().time(), self._contact.reachable_stores()
         known = self._targets.known.get(target.id, target)
         payload = known.report(now).to_wire()
@@ -121,7 +121,7 @@
         return ControlResponse(200, b"{}") if result.outcome is Outcome.DONE else _failed(result)
 
     async def _retrieve(self) -> ControlResponse:
-        """The newest configuration, as a majority of the voters confirms it now."""
+        """Return the agreed configuration after a majority of the voters has confirmed it."""
         result = await self._config_service.retrieve()
         if result.outcome is not Outcome.DONE:
             return _failed(result)
--- a/emberlatch/cluster/control_api/messages.py
+++ b/emberlatch/cluster/control_api/messages.py
@@ -14,19 +14,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlRequest:
-    """One call: the HTTP method, the path's segments and the body."""
+    """One call: the HTTP method, the segments of the path, and the body."""
 
     method: str
     segments: tuple[str, ...]
     body: bytes
 
     def to_wire(self) -> list[object]:
-        """The payload by which it is forwarded."""
+        """Encode the call for forwarding."""
         return [self.method, list(self.segments), self.body]
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """Decode a payload; MessageDecodeError if it is no call."""
+        """Decode a payload; MessageDecodeError if it is not a call."""
         match payload:
             case [str(method), [*segments], bytes(body), *_]:
                 return cls(method, tuple(map(str, segments)), body)
@@ -42,16 +42,16 @@
 
     @classmethod
     def failed(cls, status: int, cause: str) -> Self:
-        """The response to a call that failed, with the cause for its caller."""
+        """Create the response to a failed call; `cause` is sent to the caller."""
         return cls(status, json.dumps({"cause": cause}).encode())
 
     def to_wire(self) -> list[object]:
-        """The payload by which it goes back to the process that forwarded the call."""
+        """Encode the response for the process that forwarded the call."""
         return [self.status, self.body]
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """Decode a payload; MessageDecodeError if it is no response."""
+        """Decode a payload; MessageDecodeError if it is not a response."""
         match payload:
             case [int(status), bytes(body)]:
                 return cls(status, body)
--- a/emberlatch/cluster/ingress/__init__.py
+++ b/emberlatch/cluster/ingress/__init__.py
@@ -1,7 +1,7 @@
-"""Where clients come in: their messages, and whether the platform may send them here."""
+"""The HTTP interface for clients, which submit messages, and for load balancers, which check readiness."""
 
 from emberlatch.cluster.ingress.front import Front
-from emberlatch.cluster.ingress.listener import Handle, HttpListener
+from emberlatch.cluster.ingress.listener import HttpListener, RequestHandler
 from emberlatch.cluster.ingress.readiness_endpoint import NotReadyReason, ReadinessCheck, ReadinessEndpoint
 
-__all__ = ["Front", "Handle", "HttpListener", "NotReadyReason", "ReadinessCheck", "ReadinessEndpoint"]
+__all__ = ["Front", "HttpListener", "NotReadyReason", "ReadinessCheck", "ReadinessEndpoint", "RequestHandler"]
--- a/emberlatch/cluster/ingress/front.py
+++ b/emberlatch/cluster/ingress/front.py
@@ -1,7 +1,7 @@
-"""The requests of clients: messages to be delivered, and what became of them.
+"""Handles client requests: submits messages for delivery, and answers queries about their state and body.
 
-202: the message is durable on a quorum of disks. 429 and 503 are promises that it never ran and never will;
-where a store may have it, the answer is 504.
+For a submitted message, 202 means that it is durable on a quorum of disks. 429 and 503 are promises that it
+never ran and never will; if a store may have it, the response is 504.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from emberlatch.cluster.settings import Configuration
 from emberlatch.net.server import Reply, Request
 
-STATE_PATH, BODY_PATH = "/api/message/", "/api/message-body/"  # and the id of a message
-RETRY_AFTER_S = 0.12  # seconds after which a client may come again
+STATE_PATH, BODY_PATH = "/api/message/", "/api/message-body/"  # The id of a message follows.
+RETRY_AFTER_S = 0.12  # seconds after which a client may retry
 MESSAGE_ID = re.compile(r"[A-Za-z0-9._-]{1,64}")
 MAX_DELAY_S = 7 * 86400.0
 BAD_HEADERS = b'{"cause":"Emberlatch-Attempt-Id or Emberlatch-Delay-Ms"}'
@@ -32,7 +32,7 @@
 
 
 class Front:
-    """Answers the requests of clients. The configuration says which service a request is for."""
+    """Answers client requests. The configuration determines the service of a submitted message."""
 
     def __init__(self, active_configuration: ActiveConfiguration, stores: Stores) -> None:
         self._active_configuration = active_configuration
@@ -111,7 +111,7 @@
 
 
 def _delay_s(milliseconds: str) -> float | None:
-    """The delay of a header in seconds; None if it is no number from 0 to MAX_DELAY_S."""
+    """Convert the delay of a header to seconds; None if it is not a number from 0 to MAX_DELAY_S."""
     try:
         delay_s = float(milliseconds) / 1000
     except ValueError:
--- a/emberlatch/cluster/ingress/listener.py
+++ b/emberlatch/cluster/ingress/listener.py
@@ -1,4 +1,4 @@
-"""A listening address: each complete request goes to one function, which answers it now or later."""
+"""An HTTP listener that passes each complete request to a handler, which may answer later."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
         "emberlatch-deadline-ms",
     }
 )
-"""Headers that a request has once: of two, another reader could believe the other."""
+"""Headers that a request may have only once: of two values, another program could read the other one."""
 
-Handle = Callable[[Request, Reply], Coroutine[object, object, None]]
+RequestHandler = Callable[[Request, Reply], Coroutine[object, object, None]]
 """Answers one request through its reply."""
 
 
 class HttpListener(Server):
-    """Accepts the connections of clients. `handle` answers their requests, many at a time."""
+    """Accepts client connections. `handle` answers their requests, many of them concurrently."""
 
     def __init__(
-        self, address: Address, handle: Handle, max_clients: int, tasks: Tasks, machine: Machine
+        self, address: Address, handle: RequestHandler, max_clients: int, tasks: Tasks, machine: Machine
     ) -> None:
         super().__init__(
             address, self._submit, max_clients, tasks, machine=machine, unique_headers=UNIQUE_HEADERS
         )
         self._handle, self._request_tasks = handle, tasks
-        self.busy = 0  # requests that have no answer yet
+        self.busy = 0  # number of requests whose handlers have not finished
 
     def apply_limits(self, limits: Limits) -> None:
-        """What a configuration allows a client: sizes in bytes, times in milliseconds."""
+        """Apply the limits that a configuration sets for clients."""
         self.set_limits(
             max_body_bytes=limits.max_body_bytes,
             idle_timeout_s=limits.idle_timer_ms / 1000,
@@ -47,11 +47,11 @@
         self.max_head_bytes, self.request_timeout_s = limits.max_header_bytes, limits.header_timer_ms / 1000
 
     def set_limits(self, max_body_bytes: int, idle_timeout_s: float) -> None:
-        """The size of a body, and the seconds that a connection may be idle between two requests."""
+        """Set the largest size of a body and the longest idle time of a connection between two requests."""
         self.max_body_bytes, self.idle_timeout_s = max_body_bytes, idle_timeout_s
 
     def route(self, request: Request, reply: Reply) -> None:
-        """A complete request has come, on whatever path."""
+        """Pass a complete request to the handler, whatever its path."""
         self._submit(request, reply)
 
     def _submit(self, request: Request, reply: Reply) -> None:
@@ -61,7 +61,7 @@
     async def _answer(self, work: Coroutine[object, object, None], reply: Reply) -> None:
         try:
             await work
-        except Exception as error:  # costs this request and nothing else
+        except Exception as error:  # A failing handler must not affect other requests.
             log_event(Event.REQUEST_FAILED, repr(error)[:MAX_LOGGED_ERROR])
             if reply.data is None:
                 reply.send(500)
--- a/emberlatch/cluster/ingress/message_queries.py
+++ b/emberlatch/cluster/ingress/message_queries.py
@@ -1,4 +1,4 @@
-"""What became of a message, asked of all stores that can be reached."""
+"""Queries all reachable stores for the state or the body of a message."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 from emberlatch.cluster.message_store.record import STATE_NAMES
 from emberlatch.cluster.rpc import CallFailedError, RpcMethod
 
-QUERY_TIMEOUT_S = 0.7  # seconds for the stores to answer
+QUERY_TIMEOUT_S = 0.7  # seconds for a store to respond
 COMPLETED = STATE_NAMES[MessageState.COMPLETED]
 _BY_FINALITY = (MessageState.COMPLETED, MessageState.DEAD_LETTERED, MessageState.QUEUED)
 _FINALITY = {STATE_NAMES[state]: rank for rank, state in enumerate(_BY_FINALITY)}
 
 
 class NoSuchMessageError(LookupError):
-    """Every store answered, and none has the message."""
+    """Every store responded and none has the message, or its body was requested and it is completed."""
 
 
 class StoresUnreachableError(LookupError):
-    """No store that answered has the message, and not all answered."""
+    """No store that responded has the message, and not all responded."""
 
 
 class MessageQueries:
-    """Asks the stores."""
+    """Queries the stores and combines their responses."""
 
     def __init__(self, stores: Stores) -> None:
         self._stores = stores
 
     async def status(self, message_id: str) -> MessageStatus:
-        """The most final state that any store knows.
+        """Return the most final state that any store reports.
 
-        Raises NoSuchMessageError or StoresUnreachableError if none knows the message.
+        Raises NoSuchMessageError or StoresUnreachableError if no store reports the message.
         """
         statuses, complete = await self._ask_all(message_id)
         if not statuses:
@@ -40,10 +40,13 @@
         return min(statuses, key=lambda status: _FINALITY[status.name])
 
     async def body(self, message_id: str) -> bytes:
-        """The bytes of a message that is queued or dead; one that completed has none. Raises as `status`."""
+        """Return the body of a queued or dead-lettered message; a completed one has none.
+
+        Raises the same errors as `status`.
+        """
         statuses, complete = await self._ask_all(message_id)
         if any(status.name == COMPLETED for status in statuses):
-            raise NoSuchMessageError(f"{message_id}: completed, its body is not kept")
+            raise NoSuchMessageError(f"{message_id}: the message is completed and its body was deleted")
         query = MessageQuery(message_id).to_wire()
         for peer in self._stores.reachable_stores():
             try:
@@ -56,7 +59,7 @@
         raise _not_found(message_id, complete)
 
     async def _ask_all(self, message_id: str) -> tuple[list[MessageStatus], bool]:
-        """What the stores that answer know, and whether all that are known did."""
+        """Return the statuses that the stores report, and whether all known stores responded."""
         query = MessageQuery(message_id).to_wire()
         calls = (
             peer.call(RpcMethod.MESSAGE_STATE, query, QUERY_TIMEOUT_S)
@@ -70,5 +73,5 @@
 
 def _not_found(message_id: str, complete: bool) -> LookupError:
     if complete:
-        return NoSuchMessageError(f"{message_id}: no store has it")
-    return StoresUnreachableError(f"{message_id}: not all stores answer; ask again")
+        return NoSuchMessageError(f"{message_id}: no store has this message")
+    return StoresUnreachableError(f"{message_id}: not found, but not all stores responded; retry the query")
--- a/emberlatch/cluster/ingress/readiness_endpoint.py
+++ b/emberlatch/cluster/ingress/readiness_endpoint.py
@@ -1,6 +1,7 @@
-"""The HTTP endpoint (`listen.ready` in the settings) that tells load balancers whether to send clients here.
+"""The HTTP endpoint (`listen.ready` in the settings) by which load balancers check this process.
 
-The reason for a 503 is logged, not sent: the answer has no body. `emberlatch.cluster.node.readiness` decides.
+The reason for a 503 is logged, not sent: the response has no body. `emberlatch.cluster.node.readiness`
+determines the reason.
 """
 
 from __future__ import annotations
@@ -15,31 +16,34 @@
 
 
 class NotReadyReason(Enum):
-    """Why a process can't accept messages, as it is logged."""
+    """Why a process can't accept messages; the values are logged."""
 
-    SHUTTING_DOWN = "shutting down"  # SIGTERM was received; it stays so until the process ends
-    NO_CONFIGURATION = "no configuration"  # none was fetched from a store since this process started
-    NO_QUORUM = "no quorum of writable stores"  # too few, or in too few zones or regions, for `resilience`
+    SHUTTING_DOWN = "shutting down"  # SIGTERM was received; this state lasts until the process exits.
+    NO_CONFIGURATION = "no configuration"  # None has been active since this process started.
+    NO_QUORUM = "no quorum of writable stores"  # too few stores, zones or regions for `resilience`
 
 
 class ReadinessCheck(Protocol):
-    """Knows whether this process can accept messages."""
+    """Determines whether this process can accept messages."""
 
     def not_ready_reason(self) -> NotReadyReason | None:
-        """The first reason why it can't; None if it can."""
+        """Return the first reason why this process can't accept messages; None if it can."""
 
 
 class ReadinessEndpoint:
-    """Answers 200 while messages are accepted, else 503. Logs the reason (events 107, 108) when a request
-    finds it changed: nothing is logged while nobody asks."""
+    """Answers 200 while messages are accepted, else 503.
+
+    A request that finds a changed reason logs the change (events 107 and 108); nothing is logged between
+    requests.
+    """
 
     def __init__(self, check: ReadinessCheck) -> None:
         self._check = check
-        self._reported = False  # whether any state was logged yet
+        self._reported = False  # whether any state has been logged
         self._last: NotReadyReason | None = None
 
     async def handle(self, request: Request, reply: Reply) -> None:
-        """Answer one request; 404 for any other path."""
+        """Answer one request; 404 for any path but READINESS_PATH."""
         if request.path.partition(b"?")[0] != READINESS_PATH:
             return reply.send(404)
         reason = self._check.not_ready_reason()
--- a/emberlatch/cluster/ingress/stores.py
+++ b/emberlatch/cluster/ingress/stores.py
@@ -1,4 +1,4 @@
-"""The stores as the front sees them."""
+"""The interface of the stores to the front."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class Stores(Protocol):
-    """Where messages are accepted and asked for."""
+    """The stores that accept messages and answer queries."""
 
-    def nearest_stores(self, thing: str = "") -> list[Peer]:
-        """The stores that accept a service's messages, the best first."""
+    def nearest_stores(self, key: str = "") -> list[Peer]:
+        """The writable stores for the messages of the service `key`, the best first."""
 
     def reachable_stores(self) -> list[Peer]:
-        """All that can be asked."""
+        """All stores that can be reached."""
 
     def stores(self) -> dict[str, Peer]:
-        """All that are known, by node."""
+        """All known stores, by node."""
--- a/emberlatch/cluster/ingress/submitter.py
+++ b/emberlatch/cluster/ingress/submitter.py
@@ -1,4 +1,4 @@
-"""Submits a message to the stores, one after the other, until one has accepted it."""
+"""Submits a message to one store after another until one has accepted it."""
 
 from __future__ import annotations
 
@@ -9,21 +9,24 @@
 from emberlatch.cluster.message_store import AcceptReply, AcceptRequest, SubmittedMessage
 from emberlatch.cluster.rpc import CallFailedError, Peer, RpcMethod
 
-STORE_TIMEOUT_S = 0.15  # seconds for a store to accept a message, while another could be asked
-SUBMIT_TIMEOUT_S = 0.46  # seconds in which a client has its answer
-MIN_ATTEMPT_S = 0.02  # seconds that have to be left for another attempt
+STORE_TIMEOUT_S = 0.15  # seconds for one store to accept a message while there is another candidate
+SUBMIT_TIMEOUT_S = 0.46  # seconds for all attempts, after which the client gets its response
+MIN_ATTEMPT_S = 0.02  # No attempt begins with this many seconds remaining, or fewer.
 
 
 class SubmitOutcome(Enum):
-    """What became of a message."""
+    """The outcome of submitting a message."""
 
-    ACCEPTED = auto()  # it is durable on a quorum of disks
-    REJECTED = auto()  # no store has it: it never ran and never will
-    UNKNOWN = auto()  # a store may have it
+    ACCEPTED = auto()  # The message is durable on a quorum of disks.
+    REJECTED = auto()  # No store has the message: it never ran and never will.
+    UNKNOWN = auto()  # A store may have the message.
 
 
 class MessageSubmitter:
-    """Chooses stores and keeps the time; what a store may have had is named to the next one."""
+    """Tries the stores in order within the timeout.
+
+    Each request names the stores that may already have the message from an earlier attempt.
+    """
 
     def __init__(self, stores: Stores) -> None:
         self._stores = stores
@@ -31,16 +34,20 @@
     async def submit(self, message: SubmittedMessage, service: str) -> SubmitOutcome:
         """Submit a message of this service; returns within SUBMIT_TIMEOUT_S."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         candidates = [peer for peer in self._stores.nearest_stores(service) if not peer.unresponsive]
         possible_holders: list[str] = []
         for index, peer in enumerate(candidates):
-            left_s = began + SUBMIT_TIMEOUT_S - loop.time()
-            if left_s <= MIN_ATTEMPT_S:
+            remaining_s = started_at + SUBMIT_TIMEOUT_S - loop.time()
+            if remaining_s <= MIN_ATTEMPT_S:
                 break
             is_last = index + 1 == len(candidates)
-            request = AcceptRequest(message, loop.time() - began, len(possible_holders), possible_holders)
-            outcome = await self._attempt(peer, request, left_s if is_last else min(left_s, STORE_TIMEOUT_S))
+            request = AcceptRequest(
+                message, loop.time() - started_at, len(possible_holders), possible_holders
+            )
+            outcome = await self._attempt(
+                peer, request, remaining_s if is_last else min(remaining_s, STORE_TIMEOUT_S)
+            )
             if outcome is SubmitOutcome.ACCEPTED:
                 return outcome
             if outcome is SubmitOutcome.UNKNOWN:
--- a/emberlatch/cluster/node/builder.py
+++ b/emberlatch/cluster/node/builder.py
@@ -10,7 +10,7 @@
 from emberlatch.cluster.discovery import TargetDirectory
 from emberlatch.cluster.disk import Disk
 from emberlatch.cluster.dispatch import Dispatcher, DispatchSettings
-from emberlatch.cluster.ingress import Front, Handle, HttpListener, ReadinessEndpoint
+from emberlatch.cluster.ingress import Front, HttpListener, ReadinessEndpoint, RequestHandler
 from emberlatch.cluster.membership import AgreedState, MembershipView
 from emberlatch.cluster.membership.roster_storage import DatabaseRosterStorage
 from emberlatch.cluster.message_store import (
@@ -171,7 +171,7 @@
 
     # Listening addresses.
 
-    def _listener(self, name: str, handle: Handle, max_clients: int) -> HttpListener | None:
+    def _listener(self, name: str, handle: RequestHandler, max_clients: int) -> HttpListener | None:
         """Create a listener on the address with this name in the settings; None if there is none."""
         address = self._settings.listen.get(name)
         if address is None:
