--- a/emberlatch/cluster/decommission/__init__.py
+++ b/emberlatch/cluster/decommission/__init__.py
@@ -1,4 +1,4 @@
-"""Decommission of a machine: its work moves to the others, and then it is not needed any more."""
+"""Decommission of a machine: its messages and records move to the other stores, then it can be removed."""
 
 from emberlatch.cluster.decommission.decommissions import Decommissions
 
--- a/emberlatch/cluster/decommission/decommissions.py
+++ b/emberlatch/cluster/decommission/decommissions.py
@@ -1,8 +1,8 @@
-"""Decommissions: a machine with a disk is emptied on the operator's order, and then not needed any more.
+"""Decommissions: a machine with a disk is emptied on the operator's order, so that it can be removed.
 
-How far a decommission is belongs to the agreed control state: it is confirmed by a majority of the voters
-before it is acknowledged, and goes on after any restart. The machine itself does the work; it is completed
-once nothing that counts is on its disk alone, its vote included.
+The progress of a decommission is part of the agreed control state: a majority of the voters confirms it
+before it is acknowledged, and the decommission resumes after any restart. The machine empties itself. The
+decommission is completed once no record depends on the machine's disk and the machine has no vote.
 """
 
 from __future__ import annotations
@@ -21,16 +21,16 @@
 from emberlatch.cluster.message_store import Replicator
 from emberlatch.engine import Tasks
 
-DECISION_TIMEOUT_S = 0.8  # seconds in which a call is decided, or has no clear answer
-MARK_RETRY_INTERVAL_S = 0.1  # seconds between two attempts to have the end of the work agreed
+DECISION_TIMEOUT_S = 0.8  # seconds for a call to be decided, after which its outcome is uncertain
+MARK_RETRY_INTERVAL_S = 0.1  # seconds between two attempts to have the machine marked as empty
 
 
 class Decommissions:
-    """Handles the operator's calls on any store, and empties this one once it is marked.
+    """Handles the operator's calls for any store, and empties the local store once it is marked.
 
     Args:
-        node: This machine.
-        tasks: Run the work.
+        node: The name of this machine.
+        tasks: Runs the evacuation.
         stores: The other stores.
         service: The agreed control state.
         replicator: The store of this machine.
@@ -45,7 +45,7 @@
         self._running = False
 
     def state_changed(self, before: ControlState, state: ControlState) -> None:
-        """The agreed state has changed: log what is new, and begin our own decommission if it is due."""
+        """Log the changes of the agreed state, and begin the decommission of this machine if it is marked."""
         for node, mark in state.decommissions:
             if before.decommission_mark(node) is not mark:
                 marked = mark is DecommissionMark.MARKED
@@ -53,7 +53,7 @@
         self.resume()
 
     def resume(self) -> None:
-        """Go on with our own decommission, if it is under way."""
+        """Begin or continue the decommission of this machine, if it is marked."""
         marked = self._service.state.decommission_mark(self._node) is DecommissionMark.MARKED
         if marked and not self._running:
             self._running = True
@@ -70,8 +70,8 @@
     async def initiate(self, node: str, body: bytes) -> ControlResponse:
         """Begin to decommission a machine.
 
-        400 if the body is invalid, 404 if the machine is unknown, 409 if too few would be left or another
-        decommission is under way, 503 without a clear answer.
+        400 if the body is invalid, 404 if the machine is unknown, 409 if too few machines would remain or
+        another decommission is in progress, 503 if the outcome is uncertain.
         """
         cause = _invalid_period(body)
         if cause:
@@ -87,12 +87,12 @@
             state = await self._service.submit(mark, DECISION_TIMEOUT_S)
         except UndecidedError as error:
             return ControlResponse.failed(503, str(error))
-        if state.decommission_mark(node) is None:  # another machine was marked a moment before
+        if state.decommission_mark(node) is None:  # Another machine was marked concurrently.
             return ControlResponse.failed(409, "another machine is being emptied")
         return ControlResponse(200, b"{}")
 
     def _rejection(self, state: ControlState, node: str) -> ControlResponse | None:
-        """Why a machine may not be marked; None if it may, or is."""
+        """Return the response if a machine may not be marked; None if it may be, or is marked already."""
         if state.decommission_mark(node) is not None:
             return None
         counted = self._stores.counted_stores()
@@ -107,9 +107,10 @@
         return None
 
     async def retrieve(self, node: str) -> ControlResponse:
-        """How far a decommission is: completed once a majority has a state in which the machine has no vote.
+        """Return the progress of a decommission.
 
-        404 if the machine is not being decommissioned, 503 without a clear answer.
+        It is completed once a majority has a state in which the machine is empty and has no vote. 404 if the
+        machine is not being decommissioned, 503 if the state can't be confirmed.
         """
         if not self._stores.has_confirmed_majority():
             return NO_MAJORITY
@@ -126,7 +127,7 @@
 
 
 def _invalid_period(body: bytes) -> str:
-    """What is wrong with the body of an order; empty if nothing is."""
+    """Return why the body of an order is invalid; empty if it is valid."""
     try:
         period_s = json.loads(body or b"{}").get("period_s", 0)
     except (ValueError, AttributeError, RecursionError):
--- a/emberlatch/cluster/decommission/ports.py
+++ b/emberlatch/cluster/decommission/ports.py
@@ -1,4 +1,4 @@
-"""What a decommission needs to know of the other stores."""
+"""The interface of the other stores to a decommission."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class StoreDirectory(Protocol):
-    """The other stores, and what they tolerate to lose."""
+    """The other stores, and the losses that they tolerate."""
 
     def satisfies_quorum(self, nodes: Iterable[str]) -> bool:
-        """Whether a message on the disks of these machines survives the losses that the settings name."""
+        """Whether a message on the disks of these machines survives the losses that the settings tolerate."""
 
     def counted_stores(self) -> dict[str, Peer]:
-        """The other stores, by node, but those that are decommissioned or removed by agreement."""
+        """The other stores, by node, without those that were decommissioned or removed by agreement."""
 
     def writable_stores(self) -> list[Peer]:
         """The other stores that accept messages and replicas."""
 
     def has_confirmed_majority(self) -> bool:
-        """Whether a majority of the voters answered a heartbeat that was sent a moment ago."""
+        """Whether a majority of the voters answered a recent heartbeat."""
--- a/emberlatch/cluster/settings/__init__.py
+++ b/emberlatch/cluster/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings of a process and the operator's configuration, read and checked."""
+"""Reads and validates the settings of a process and the operator's configuration."""
 
 from emberlatch.cluster.settings.configuration import (
     Configuration,
--- a/emberlatch/cluster/settings/configuration.py
+++ b/emberlatch/cluster/settings/configuration.py
@@ -16,12 +16,15 @@
 
 
 class ConfigurationError(ValueError):
-    """What an operator sent is no valid configuration; the text is the reason."""
+    """The operator's configuration is invalid; the text is the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Messages whose host is this one and whose path begins so go to a service. Times in milliseconds."""
+    """Routes messages to a service by their host and the prefix of their path.
+
+    Times are in the unit that their names end with: `_ms` milliseconds, `_s` seconds.
+    """
 
     name: str
     host_name: str
@@ -40,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """What messages are delivered to."""
+    """A service, to whose targets messages are delivered."""
 
     name: str
     health_path: str = "/health"
@@ -55,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a client may send; sizes in bytes, times in milliseconds."""
+    """Limits for the requests of clients; sizes in bytes, times in milliseconds."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 262144
@@ -75,28 +78,28 @@
 
     @cached_property
     def by_host(self) -> dict[str, list[Route]]:
-        """Routes of a host, the longest prefix first."""
-        found: dict[str, list[Route]] = {}
+        """The routes of each host in lower case, the longest prefix first."""
+        routes: dict[str, list[Route]] = {}
         for route in sorted(self.route_entries, key=lambda r: -len(r.path_prefix)):
-            found.setdefault(route.host_name.lower(), []).append(route)
-        return found
+            routes.setdefault(route.host_name.lower(), []).append(route)
+        return routes
 
     @cached_property
     def by_service(self) -> dict[str, Service]:
-        """Services by their names."""
+        """The services by name."""
         return {service.name: service for service in self.services}
 
     def route(self, host: str, path: str) -> Route | None:
-        """The route of a request, by its host and the longest prefix of its path."""
-        own = host.rpartition(":")[0] if ":" in host else host
-        for route in self.by_host.get(own.lower(), ()):
+        """Find the route of a request by its host, without the port, and the longest prefix of its path."""
+        host_name = host.rpartition(":")[0] if ":" in host else host
+        for route in self.by_host.get(host_name.lower(), ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
 
 def read_configuration(raw: bytes) -> Configuration:
-    """Decode and validate a configuration; raises ConfigurationError, which says what is wrong with it."""
+    """Decode and validate a configuration; raises ConfigurationError with the reason if it is invalid."""
     if len(raw) > MAX_CONFIGURATION_BYTES:
         raise ConfigurationError(f"over {MAX_CONFIGURATION_BYTES} bytes")
     try:
@@ -113,7 +116,7 @@
 
 
 def _document(raw: bytes) -> dict[str, object]:
-    """The known entries of the JSON object that a configuration is."""
+    """Decode the JSON object of a configuration; return only its known entries."""
     document = json.loads(raw)
     if not isinstance(document, dict):
         raise ConfigurationError("not an object")
@@ -131,7 +134,7 @@
 
 
 def _validation_error(config: Configuration) -> str:
-    """The first reason why a configuration is invalid; empty if it is valid."""
+    """Return the first reason why a configuration is invalid; empty if it is valid."""
     if isinstance(config.revision, bool) or not 0 <= config.revision < 1 << 63:
         return "revision: not a version"
     service_names = {service.name for service in config.services}
@@ -151,7 +154,10 @@
 
 
 def _route_error(route: Route, service_names: set[str], prefixes: set[tuple[str, str]]) -> str:
-    """Why a route is invalid beside those whose hosts and prefixes these are; empty if it is valid."""
+    """Return why a route is invalid; empty if it is valid.
+
+    `prefixes` has the host and path prefix of each earlier route.
+    """
     if route.service not in service_names:
         return f"unknown service {route.service}"
     if (route.host_name.lower(), route.path_prefix) in prefixes:
@@ -168,7 +174,7 @@
 
 
 def _service_error(service: Service) -> str:
-    """Why a service is invalid; empty if it is valid."""
+    """Return why a service is invalid; empty if it is valid."""
     if not 0 <= service.rate_per_s < math.inf or service.max_connections < 1:
         return "rate_per_s or max_connections"
     if service.fixed_endpoint is not None:
--- a/emberlatch/cluster/settings/node_settings.py
+++ b/emberlatch/cluster/settings/node_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: TOML, fields as in the users' DEPLOY page; unknown ones are ignored."""
+"""The settings file of a process: TOML with the fields of the users' DEPLOY page; ignores unknown fields."""
 
 from __future__ import annotations
 
@@ -10,16 +10,19 @@
 
 T = TypeVar("T")
 Address = tuple[str, int]
-MAX_NUMBER = 1e12  # of any setting
+MAX_NUMBER = 1e12  # exclusive upper bound of every number in the settings
 
 
 class SettingsError(ValueError):
-    """The settings can't be used; the text is `file:line: reason`."""
+    """The settings file is invalid; the text is `file:line: reason`, with line 0 if the line is unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The bounds that the rules name; seconds, but for `_ms` and `origin_excess`, a factor."""
+    """The time limits that the cluster guarantees, in seconds or, with the suffix `_ms`, in milliseconds.
+
+    `origin_excess` is a factor.
+    """
 
     seed_lag_s: float = 3.0
     quarantine_s: float = 2.0
@@ -37,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resilience:
-    """How many machines, zones and regions may fail at once while all rules hold."""
+    """The numbers of machines, zones and regions that may fail at once without breaking a guarantee."""
 
     machines: int = 1
     zones: int = 0
@@ -46,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """The settings of one process. Addresses are (host, port), sizes as their names say."""
+    """The settings of one process. Addresses are (host, port); the suffixes of names state the units."""
 
     node: str
     role: str
@@ -75,7 +78,7 @@
 
 
 def read_settings(path: Path) -> NodeSettings:
-    """Read and validate the file; SettingsError names the first invalid field with its line."""
+    """Read and validate the file; raises SettingsError for the first invalid field, with its line."""
     try:
         text = path.read_text()
         raw = tomllib.loads(text)
@@ -88,7 +91,7 @@
 
 
 class _Reader:
-    """Takes fields out of a parsed file; an invalid one is a SettingsError with its line."""
+    """Extracts fields from a parsed file; raises SettingsError with the line of an invalid field."""
 
     def __init__(self, path: Path, text: str, raw: dict[str, object]) -> None:
         self._path, self._lines, self._raw = path, text.splitlines(), raw
@@ -112,7 +115,7 @@
                 raise self._fail(name, "missing")
             return default
         if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-            raise self._fail(name, f"wrong type {type(value).__name__}")
+            raise self._fail(name, f"wrong type {type(value).__name__}, expected {kind.__name__}")
         return value
 
     def _number(self, name: str, default: float | None = None, least: float = 0.0) -> float:
@@ -122,33 +125,35 @@
                 raise self._fail(name, "missing")
             value = default
         if not isinstance(value, int | float) or isinstance(value, bool):
-            raise self._fail(name, f"wrong type {type(value).__name__}")
+            raise self._fail(name, f"wrong type {type(value).__name__}, expected a number")
         number = float(value)
         if not least <= number < MAX_NUMBER:
-            raise self._fail(name, f"{number:g} is out of range, at least {least:g}")
+            raise self._fail(
+                name, f"{number:g} is out of range, expected at least {least:g} and less than {MAX_NUMBER:g}"
+            )
         return number
 
     def _address(self, name: str, text: object) -> Address:
         host, _, port = str(text).rpartition(":")
         if not host or not port.isdigit() or not 0 < int(port) < 65536:
-            raise self._fail(name, f"not an address: {text!r}")
+            raise self._fail(name, f"not an address: {text!r}, expected host:port")
         return host, int(port)
 
     def _bounds(self) -> Bounds:
-        usual = Bounds()
+        defaults = Bounds()
         return Bounds(
-            **{n: self._number(f"bounds.{n}", getattr(usual, n)) for n in Bounds.__dataclass_fields__}
+            **{n: self._number(f"bounds.{n}", getattr(defaults, n)) for n in Bounds.__dataclass_fields__}
         )
 
     def settings(self) -> NodeSettings:
         """All settings, validated; SettingsError for the first invalid one."""
         ports = self._get("port_range", list)
         if len(ports) != 2 or not all(isinstance(p, int) and 0 < p < 65536 for p in ports):
-            raise self._fail("port_range", "two ports")
+            raise self._fail("port_range", f"expected two port numbers from 1 to 65535, found {ports!r}")
         serves = tuple(map(str, self._get("serves", list)))
         data = self._get("data_dir", str, "")
         if "store" in serves and not data:
-            raise self._fail("data_dir", "missing where store is served")
+            raise self._fail("data_dir", "missing; required where `serves` contains store")
         listen = self._get("listen", dict, {})
         for name in (*(s for s in serves if s != "store"), *(["ready"] if "front" in serves else [])):
             if name not in listen:
