--- a/emberlatch/cluster/__main__.py
+++ b/emberlatch/cluster/__main__.py
@@ -7,7 +7,7 @@
 
 
 def main() -> None:
-    """Import only what is needed: the command line is not loaded into a node's process."""
+    """Run a node or a command; the imports are local so that a node does not load the command line."""
     if len(sys.argv) == 1 and SETTINGS_VARIABLE in os.environ:
         from emberlatch.cluster.process import run
 
--- a/emberlatch/cluster/control_plane.py
+++ b/emberlatch/cluster/control_plane.py
@@ -1,7 +1,7 @@
-"""The agreed control state on a machine with a disk, and all that this process does by it.
+"""The agreed control state on a machine with a disk, and the work of this process that depends on it.
 
-Brings together the replicated register, the maintenance of its voters, the operators' calls and
-decommissions. What the others need to know of it goes with the heartbeats.
+Connects the replicated register, the maintenance of its voters, the operators' calls and decommissions.
+Heartbeats report the control state to the other machines.
 """
 
 from __future__ import annotations
@@ -29,25 +29,25 @@
 from emberlatch.cluster.settings import NodeSettings
 from emberlatch.engine import Tasks
 
-FOLDER = "control"  # under the data folder
+FOLDER = "control"  # subfolder of the data folder
 CONFIRM_TIMEOUT_S = 1.0  # seconds for one attempt to confirm the state that was on disk
-CONFIRM_RETRY_INTERVAL_S = 0.1  # seconds between two attempts
+CONFIRM_RETRY_INTERVAL_S = 0.1  # seconds between two attempts to confirm that state
 DISK_RETRY_INTERVAL_S = 0.5  # seconds between two attempts to open or write a disk that failed
-REVISION_WITHHELD = -1  # reported in place of a revision by a machine that may have an old configuration
+REVISION_WITHHELD = -1  # value reported in place of a revision that may be outdated
 
 
 @dataclass(frozen=True, slots=True)
 class ControlPlanePorts:
-    """What the control plane needs of its process.
+    """The components of its process that the control plane uses.
 
     Attributes:
         membership: The other machines.
-        agreed: Is kept up to date with the register.
+        agreed: A copy of the register's state, which the control plane updates.
         active_configuration: Adopts the agreed configuration.
         replicator: The store that a decommission empties.
-        disk: Has the register's record.
-        tasks: Run the work of the control plane.
-        announce: Sends a heartbeat now, since something changed that the others should know soon.
+        disk: Stores the register's record.
+        tasks: Runs the background tasks of the control plane.
+        announce: Sends a heartbeat immediately to report a change to the other machines.
     """
 
     membership: MembershipView
@@ -60,7 +60,10 @@
 
 
 class ControlPlane:
-    """See the module. `incarnation` makes this proposer unique, `seed` is of its random choices."""
+    """The control plane of one machine; the module's docstring describes it.
+
+    `incarnation` makes the name of this proposer unique, `seed` initializes its random choices.
+    """
 
     def __init__(self, settings: NodeSettings, ports: ControlPlanePorts, incarnation: int, seed: int) -> None:
         self._settings, self._ports = settings, ports
@@ -69,16 +72,16 @@
         random_source = random.Random(seed)
         proposer = f"{settings.node}/{incarnation}/{random_source.getrandbits(64):x}"
         losses = settings.resilience
-        self._known: ControlState | None = None  # None until the record on disk was read
+        self._last_state: ControlState | None = None  # None until the record on disk has been read
         register_ports = RegisterPorts(ports.disk.offload, ControlLinks(self._view, self._agreed), self)
         self.service = ControlService(
             None, None, register_ports, proposer, losses.machines + 1, random_source
         )
         self._open()
         self._publish()
-        self._known = self.service.state
+        self._last_state = self.service.state
         self._report = ControlReport()
-        self._report_basis: tuple[int, ControlState, str, bool] | None = None  # of what `_report` was made
+        self._report_basis: tuple[int, ControlState, str, bool] | None = None  # the inputs of `_report`
         self.config_service = ConfigService(self.service, self._view)
         self.decommissions = Decommissions(
             settings.node, self._tasks, self._view, self.service, ports.replicator
@@ -91,20 +94,23 @@
         )
 
     def start(self) -> None:
-        """Confirm the state that was on disk, and keep the group of voters at its size."""
+        """Confirm the state that was on disk, and start the maintenance of the group of voters."""
         self._tasks.spawn(self._confirm())
         self._tasks.spawn(self._retry_disk())
         self._tasks.spawn(self._maintenance.run())
         self.decommissions.resume()
 
     def close(self) -> None:
-        """Send no more requests to voters, and propose no more."""
+        """Stop proposing and sending requests to voters."""
         self.service.close()
 
     # The disk.
 
     def _open(self) -> None:
-        """Begin with the record on disk. Until it can be read this machine has no vote, and learns only."""
+        """Attach the record on disk to the register.
+
+        Until the record can be read, this machine does not vote and only learns the agreed state.
+        """
         try:
             record, storage = self._load()
         except OSError as error:
@@ -113,15 +119,15 @@
             self.service.register.attach(record, storage)
 
     def _load(self) -> tuple[AcceptorRecord, RecordStorage]:
-        """The record on disk, created if there is none; OSError if the disk does not allow it."""
+        """Return the record on disk, created if there is none; OSError if the disk fails."""
         assert self._settings.data_dir is not None
         folder = self._settings.data_dir / FOLDER
         storage = RecordStorage(folder, self._settings.node, self._ports.disk.write)
         return storage.load() or self._create(storage), storage
 
     def _create(self, storage: RecordStorage) -> AcceptorRecord:
-        """A new identity on an empty disk; OSError if it can't be written."""
-        if not self._settings.initial_start:  # the group was founded before, and has to take this machine in
+        """Create a new identity on an empty disk; OSError if it can't be written."""
+        if not self._settings.initial_start:  # The existing group of voters has to admit this machine.
             record = storage.create(ControlState(), None)
             log_event(Event.CONTROL_DISK_EMPTY, self._settings.node)
             return record
@@ -141,7 +147,7 @@
             self._publish()
 
     async def _retry_disk(self) -> None:
-        """Retry what the disk did not take, so that its recovery is noticed when nobody requests a vote."""
+        """Retry failed disk operations, so that a recovery is noticed even if nobody requests a vote."""
         register = self.service.register
         while True:
             await asyncio.sleep(DISK_RETRY_INTERVAL_S)
@@ -151,7 +157,7 @@
                 await register.rewrite()
 
     def disk_changed(self, error: OSError | None) -> None:
-        """The register's disk began to fail with this error, or works again."""
+        """Report that the register's disk began to fail with this error, or that it works again (None)."""
         self._publish()
         if error is not None:
             log_event(Event.CONTROL_DISK_FAILING, str(error))
@@ -162,12 +168,15 @@
     # The agreed state.
 
     def _publish(self) -> None:
-        """Let the membership know what the register knows."""
+        """Copy the state and identity of the register to the membership."""
         register = self.service.register
         self._agreed.update(register.state, register.local_voter.identity)
 
     async def _confirm(self) -> None:
-        """The first configuration of an incarnation comes from a majority of the voters."""
+        """Retry until a majority of the voters confirms a state, then adopt its configuration.
+
+        No configuration becomes active in an incarnation before that.
+        """
         while not self._confirmed:
             try:
                 state = await self.service.confirm(CONFIRM_TIMEOUT_S)
@@ -178,14 +187,14 @@
             self._adopt(state)
 
     def _adopt(self, state: ControlState) -> None:
-        """Put the configuration of the agreed state in force here, once a majority has confirmed a state."""
+        """Activate the configuration of the agreed state, unless no majority has confirmed a state yet."""
         if self._confirmed and state.text:
             self._ports.active_configuration.adopt(state.text)
 
     def state_changed(self, state: ControlState) -> None:
-        """The register knows a newer state; the one that is read from disk at the start changes nothing."""
+        """Apply a newer state of the register; the state read from disk at the start is only published."""
         self._publish()
-        before, self._known = self._known, state
+        before, self._last_state = self._last_state, state
         if before is None:
             return
         self._adopt(state)
@@ -199,20 +208,20 @@
             self._ports.announce()
 
     def has_confirmed_majority(self) -> bool:
-        """Whether a majority of the voters answered a heartbeat that was sent a moment ago."""
+        """Whether a majority of the voters answered a recent heartbeat."""
         return self._view.has_confirmed_majority()
 
     # Heartbeats.
 
     def report(self) -> ControlReport:
-        """What this machine reports of the control state with each heartbeat.
+        """Return the report on the control state that each heartbeat of this machine contains.
 
-        The previous report is returned as long as it holds, since heartbeats are many.
+        Heartbeats are frequent, so the previous report is returned while its contents are unchanged.
         """
         register, state = self.service.register, self.service.state
         version = register.record.state.version if register.record is not None else 0
         self._view.reported.set_version(self._settings.node, version)
-        identity = register.local_voter.identity  # it may be created long after the links came up
+        identity = register.local_voter.identity  # The identity may be created long after the links are up.
         basis = (version, state, identity, register.disk_failing)
         unreachable_s = self._view.unreachable()
         if unreachable_s or basis != self._report_basis:
@@ -230,7 +239,7 @@
         return self._report
 
     def on_heartbeat(self, peer: Peer, report: ControlReport) -> None:
-        """Another machine with a disk reports the same of itself."""
+        """Apply the report of another machine with a disk; log it if that disk is of another cluster."""
         ours, reported = self.service.state.cluster, self._view.reported
         foreign = ours and report.cluster not in ("", ours)
         if foreign and reported.clusters.get(peer.name) != report.cluster:
--- a/emberlatch/cluster/disk.py
+++ b/emberlatch/cluster/disk.py
@@ -1,4 +1,4 @@
-"""The port to the machine's disk, so that a simulated one can take its place."""
+"""The port to the machine's disk, which the simulation replaces by a simulated disk."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 def connect_database(path: Path) -> sqlite3.Connection:
     """Open a database file, creating it if there is none; sqlite3.Error if it can't be opened.
 
-    Commits run on the thread for the disk, reads at the start on the loop's: never both at once.
+    Initial reads run in the event loop's thread and commits in the disk thread, never concurrently; SQLite's
+    check for a single thread is therefore off.
     """
     return sqlite3.connect(path, check_same_thread=False, isolation_level=None)
 
 
 @dataclass(frozen=True, slots=True)
 class Disk:
-    """What a process uses of its disk.
+    """The disk operations of a process.
 
-    `offload` runs what blocks off the loop, `connect` opens a database, `write` replaces a file atomically,
-    and syncs it.
+    `offload` runs blocking work outside the event loop's thread, `connect` opens a database, `write` replaces
+    a file atomically and syncs it.
     """
 
     offload: Offload
--- a/emberlatch/cluster/events.py
+++ b/emberlatch/cluster/events.py
@@ -1,7 +1,7 @@
-"""Log events of the cluster's processes. Each has a number, which operators search for and which stays.
+"""Log events of the cluster's processes. Each has a permanent number that operators search for.
 
 From a number in a log line to the code that logs it: find its name in `Event`, then search
-`emberlatch/cluster` for `Event.NAME`. A number that `Event` does not have is not logged by this program.
+`emberlatch/cluster` for `Event.NAME`. This program logs no number that is missing in `Event`.
 
 `docs/system/events.md` is generated from this catalogue by `emberlatch-cluster events`.
 """
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EventDescription:
-    """`level` is one of `logging`'s, `title` stands in the log line, `explanation` in the catalogue."""
+    """`level` is a level of `logging`, `title` is part of the log line, `explanation` of the catalogue."""
 
     level: int
     title: str
@@ -96,7 +96,8 @@
     Event.STARTED: _info("started", "The process runs; logged with its node name, role and incarnation."),
     Event.SHUTTING_DOWN: _info(
         "shutting down",
-        "SIGTERM: graceful shutdown. In-flight calls are completed, queued messages go to other stores.",
+        "SIGTERM: graceful shutdown. In-flight calls are completed; queued messages are handed over to other "
+        "stores.",
     ),
     Event.STOPPED: _info("stopped", "Nothing is in flight any more; the process exits."),
     Event.SETTINGS_RELOADED: _info("settings reloaded", "SIGHUP, or the settings file changed."),
@@ -109,7 +110,9 @@
     ),
     Event.READY: _info("ready", "The process has a configuration and reaches a quorum of writable stores."),
     Event.NOT_READY: _warning(
-        "not ready", "The process lacks what is named; load balancers send clients elsewhere."
+        "not ready",
+        "The process can't accept messages for the logged reason; load balancers send clients to other "
+        "processes.",
     ),
     Event.PEER_UP: _info("peer up", "A connection to another process was established."),
     Event.PEER_DOWN: _warning("peer down", "A connection was lost or timed out; it is dialled again."),
@@ -119,15 +122,17 @@
     ),
     Event.MEMBER_JOINED: _info("member joined", "A process was seen for the first time."),
     Event.MEMBER_REMOVED: _warning(
-        "member removed", "A store was unreachable for long; the others continue without it."
+        "member removed", "A store was unreachable for too long; the other stores continue without it."
     ),
     Event.UNEXPECTED_MESSAGE: _warning(
         "unexpected message",
-        "A response, a request or a peer was not the expected one; it was dropped; see [calls](calls.md).",
+        "An unexpected response or request, or an unexpected peer (`kind` says which), was dropped; see "
+        "[calls](calls.md).",
     ),
     Event.CONFIG_APPLIED: _info("configuration applied", "A revision is in force in this process."),
     Event.CONFIG_REJECTED: _warning(
-        "configuration rejected", "What an operator sent is not valid; the reason is logged and returned."
+        "configuration rejected",
+        "The configuration that an operator sent is not valid; the reason is logged and returned.",
     ),
     Event.CONFIG_COMMITTED: _info(
         "configuration committed", "A majority of the voters has it; the operator received 200."
@@ -145,14 +150,14 @@
         "Voters or members changed by consensus; logged with version, epoch and voters.",
     ),
     Event.CONTROL_DISK_FAILING: _error(
-        "control state not writable", "This voter abstains until its disk accepts a write again."
+        "control state not writable", "This voter does not vote until its disk accepts a write again."
     ),
     Event.CONTROL_DISK_RECOVERED: _info(
-        "control state writable", "The disk accepts writes; this voter takes part again."
+        "control state writable", "The disk accepts writes; this voter votes again."
     ),
     Event.CONTROL_DISK_EMPTY: _warning(
         "no control state on disk",
-        "A new identity was generated: this machine is no voter until the other voters admit it.",
+        "A new identity was generated: this machine is not a voter until the other voters admit it.",
     ),
     Event.FOREIGN_CLUSTER_DISK: _error(
         "disk of another cluster",
@@ -168,8 +173,8 @@
     ),
     Event.TARGET_LEASE_EXPIRED: _info(
         "target lease expired",
-        "No heartbeat of a target for 3.2 times `heartbeat_ms`: this store begins no call to it until the "
-        "next one. Each store decides for itself.",
+        "No heartbeat of a target for 3.2 times `heartbeat_ms`: this store begins no call to the target "
+        "until the next heartbeat. Each store decides for itself.",
     ),
     Event.TARGET_LEASE_RENEWED: _info(
         "target lease renewed",
@@ -178,7 +183,8 @@
     Event.DISK_LOADED: _info("disk loaded", "The records of the previous incarnation were read."),
     Event.DISK_FAILING: _error(
         "disk failing",
-        "A write or sync failed: nothing is accepted until one succeeds; queued messages go to other stores.",
+        "A write or sync failed: no message is accepted until one succeeds; queued messages are handed over "
+        "to other stores.",
     ),
     Event.DISK_EMPTY: _warning(
         "disk empty", "This is not the first start: the disk was lost and is restored from the replicas."
@@ -186,22 +192,25 @@
     Event.REPAIRED: _info("repaired", "Anti-entropy: records were compared with a peer's and synchronized."),
     Event.OWNERSHIP_TAKEN_OVER: _warning(
         "messages taken over",
-        "Their owners (`of`) have surely stopped delivering: their port refuses, a majority of the voters "
-        "can't reach them, or they can't read their disk. This store owns the messages now (`messages`: how "
-        "many).",
+        "Their owners (`of`) have certainly stopped delivering: their ports refuse connections, a majority "
+        "of the voters can't reach them, or they can't read their disks. This store owns the messages now; "
+        "`messages` is their number.",
     ),
     Event.OWNERSHIP_HANDED_OVER: _info(
         "messages handed over",
-        "This process shuts down, is emptied, or its disk fails: messages were offered to the stores that "
-        "are named, with how many. What a store did not accept stays here.",
+        "This process shuts down, is being emptied, or its disk fails: messages were offered to the stores "
+        "that are named, with the number for each. This process still owns those that a store did not "
+        "accept.",
     ),
     Event.DISK_FULL: _error(
         "disk nearly full",
-        "The records fill their share of `limits.disk_mb`: new messages are rejected until some have ended; "
-        "replicas are still accepted. Its end is not logged. A disk without space left is 502.",
+        "The records fill their share of `limits.disk_mb`: new messages are rejected until some messages "
+        "have ended; replicas are still accepted. The end of this state is not logged. A disk without free "
+        "space is event 502.",
     ),
     Event.PROCESS_STALLED: _warning(
-        "process stalled", "This process was not scheduled; it repairs its records before it delivers again."
+        "process stalled",
+        "This process was not scheduled for too long; it repairs its records before it delivers again.",
     ),
     Event.RE_REPLICATED: _info(
         "messages re-replicated", "Messages whose replicas were on lost machines have new replicas."
@@ -215,7 +224,8 @@
     Event.DISK_RECOVERED: _info("disk recovered", "The disk accepts writes again; replicas are compared."),
     Event.DISK_STALLED: _warning(
         "disk stalled",
-        "A write takes too long: nothing is accepted until it ends; queued messages go to other stores.",
+        "A write takes too long: no message is accepted until it ends; queued messages are handed over to "
+        "other stores.",
     ),
     Event.DISK_UNREADABLE: _error(
         "disk unreadable",
@@ -243,7 +253,7 @@
 
 
 def log_event(event: Event, /, *subjects: object, **values: object) -> None:
-    """Log one line: number, title, the subjects as they are, then `name=value` for each named value."""
+    """Log one line: number, title, the subjects, then `name=value` for each keyword argument."""
     description = DESCRIPTIONS[event]
     if not log.isEnabledFor(description.level):
         return
@@ -253,7 +263,7 @@
 
 
 def catalogue() -> str:
-    """All events as a Markdown page, which is kept as `docs/system/events.md`."""
+    """Return all events as the Markdown page `docs/system/events.md`."""
     rows = [
         f"| {event.value} | {logging.getLevelName(d.level)} | {d.title} | {d.explanation} |"
         for event, d in sorted(DESCRIPTIONS.items())
@@ -262,7 +272,7 @@
         "# Events\n\nGenerated by `emberlatch-cluster events`. "
         "Each log line is `LEVEL NUMBER title subjects name=value...`, LEVEL as I, W or E.\n\n"
         "The hundreds digit is the area: 1 process, 2 peers, 3 configuration and control state, 4 targets, "
-        "5 storage, 6 delivery, 7 requests. A number that is not in this table is no event.\n\n"
+        "5 storage, 6 delivery, 7 requests. A number that is not in this table is not an event.\n\n"
         "To find the code that logs an event, look its number up in `Event` in "
         "`emberlatch/cluster/events.py`, then search "
         "`emberlatch/cluster` for that name: 207 is `Event.UNEXPECTED_MESSAGE`.\n\n"
--- a/emberlatch/cluster/files.py
+++ b/emberlatch/cluster/files.py
@@ -1,4 +1,7 @@
-"""Files that survive a loss of power: written beside, synced, renamed, and their folder synced."""
+"""Replaces files so that their content survives a loss of power.
+
+The content is written to a temporary file and synced, the file is renamed, and its folder is synced.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +15,14 @@
 def write_synced(path: Path, raw: bytes) -> None:
     """Replace a file atomically; the new content survives a loss of power once this returns.
 
-    OSError if it can't be written: then either the old content or the new one is there.
+    Raises OSError if a step fails; the file then has either its old or its new content.
     """
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
     try:
-        rest = memoryview(raw)
-        while rest:
-            rest = rest[os.write(descriptor, rest) :]
+        remaining = memoryview(raw)
+        while remaining:
+            remaining = remaining[os.write(descriptor, remaining) :]
         os.fsync(descriptor)
     finally:
         os.close(descriptor)
@@ -28,7 +31,7 @@
 
 
 def sync_folder(path: Path) -> None:
-    """Names that were made, renamed or removed in a folder survive a loss of power once this returns."""
+    """Sync a folder, so that files created, renamed or removed in it survive a loss of power as such."""
     folder = os.open(path, os.O_RDONLY)
     try:
         os.fsync(folder)
--- a/emberlatch/cluster/process.py
+++ b/emberlatch/cluster/process.py
@@ -23,9 +23,9 @@
 from emberlatch.cluster.settings import NodeSettings, SettingsError, read_settings
 from emberlatch.engine import Machine
 
-SETTINGS_CHECK_INTERVAL_S = 1.0  # between two checks whether the settings file has changed
+SETTINGS_CHECK_INTERVAL_S = 1.0  # seconds between two checks whether the settings file has changed
 MILLISECONDS_PER_S = 1000
-SEED_RANGE = 1 << 30  # of the node's random choices
+SEED_RANGE = 1 << 30  # exclusive upper bound of the seed for the node's random choices
 EXIT_OK = 0
 EXIT_INVALID_SETTINGS = 2
 
@@ -39,15 +39,16 @@
         self._disk_thread = ThreadPoolExecutor(1, "disk")
 
     async def run(self) -> None:
-        """Run until SIGTERM or SIGINT. Disk errors are a state of the node and never end the process."""
+        """Run until SIGTERM or SIGINT. The node handles disk errors itself; they never end the process."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._shutdown_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload_settings)
-        node = self._create_node()  # reads the disk: a SIGTERM meanwhile must lead to an orderly shutdown
+        # The handlers are installed first: a SIGTERM while the disk is read must lead to a graceful shutdown.
+        node = self._create_node()
         await node.start()
         gc.collect()
-        gc.freeze()  # later collections need not traverse the permanent objects
+        gc.freeze()  # Later collections do not traverse the permanent objects.
         watcher = loop.create_task(self._watch_settings())
         await self._shutdown_requested.wait()
         watcher.cancel()
@@ -62,7 +63,7 @@
         await asyncio.get_running_loop().run_in_executor(self._disk_thread, work)
 
     def _reload_settings(self) -> None:
-        """Validate the settings file; an invalid one is logged and changes nothing."""
+        """Read the settings file; if it is invalid, log the error and keep the previous settings."""
         try:
             self._settings = read_settings(self._settings_path)
         except SettingsError as error:
@@ -80,7 +81,7 @@
                 self._reload_settings()
 
     def _settings_modified_at(self) -> float:
-        """Seconds since the epoch; 0 if there is no such file."""
+        """Return the file's modification time in seconds since the epoch; 0 if it can't be read."""
         try:
             return self._settings_path.stat().st_mtime
         except OSError:
@@ -88,7 +89,7 @@
 
 
 def run(settings_path: str) -> int:
-    """Run a node to its end. Returns the exit code for invalid settings; otherwise exits the process."""
+    """Run a node and exit the process; return only for invalid settings, with their exit code."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname).1s %(message)s")
     path = Path(settings_path)
     try:
@@ -103,7 +104,7 @@
     else:
         uvloop.run(_run_node(path, settings))
     sys.stderr.flush()
-    os._exit(EXIT_OK)  # a thread may be stuck in a disk write: do not join it
+    os._exit(EXIT_OK)  # A regular exit would join the disk thread, which may be stuck in a write.
 
 
 async def _run_node(path: Path, settings: NodeSettings) -> None:
