--- a/tests/cluster/support.py
+++ b/tests/cluster/support.py
@@ -1,4 +1,4 @@
-"""What the cluster tests share."""
+"""Helpers shared by the cluster tests."""
 
 from __future__ import annotations
 
@@ -15,42 +15,42 @@
 from emberlatch.simulation.node import CONTROL_PORT, FRONT_PORT
 from emberlatch.simulation.scenario import Scenario
 
-POLL_S = 0.01  # of simulated time
+POLL_S = 0.01  # seconds of simulated time between two checks of a condition
 
 
 def play_faults(*faults: Fault, seed: int = 7, **plan_fields: Any) -> tuple[SimulatedCluster, list[Breach]]:
-    """Play a short day with these faults."""
+    """Simulate a short run with these faults; return the cluster and the breaches of its rules."""
     defaults = {"duration_s": 6.0, "messages_per_s": 30.0, "forced_failure_share": 0.0}
     return play(Plan(seed, faults=faults, **(defaults | plan_fields)))
 
 
 def successes(cluster: SimulatedCluster, id: str) -> int:
-    """How often a message succeeded at a target."""
+    """Return how often targets executed a message successfully."""
     return len([run for run in cluster.history.runs.get(id, []) if run.status == 200])
 
 
 def repeated(cluster: SimulatedCluster) -> list[str]:
-    """The messages that succeeded more than once."""
+    """Return the ids of the messages that were executed successfully more than once."""
     return [id for id in cluster.history.runs if successes(cluster, id) > 1]
 
 
 def assert_nothing_lost(cluster: SimulatedCluster, breaches: list[Breach]) -> None:
-    """The played day broke no rule, and every accepted message is completed."""
+    """Assert that the simulated run broke no rule and that every accepted message is completed."""
     assert not breaches, str(breaches[:3])
     assert_all_completed(cluster)
 
 
 def assert_all_completed(cluster: SimulatedCluster) -> None:
-    """Every accepted message is completed, and there were some."""
+    """Assert that more than 50 messages were accepted and that all of them are completed."""
     accepted = [s for s in cluster.history.sent.values() if s.status == 202]
     assert len(accepted) > 50
-    left = [s.id for s in accepted if cluster.history.states.get(s.id, ("",))[0] != "completed"]
-    assert not left, str(left[:3])
+    incomplete = [s.id for s in accepted if cluster.history.states.get(s.id, ("",))[0] != "completed"]
+    assert not incomplete, str(incomplete[:3])
 
 
 @contextmanager
 def planted(owner: object, attribute: str, fault: object) -> Iterator[None]:
-    """Plant a fault in the code for a while, in place of a class's or module's attribute."""
+    """Replace an attribute of a class or module by a faulty one within the context."""
     original = getattr(owner, attribute)
     setattr(owner, attribute, fault)
     try:
@@ -62,7 +62,7 @@
 async def submit(
     scenario: Scenario, front: str = "f0", delay_ms: int = 0, body: bytes = b"x", forced_status: int = 0
 ) -> SentMessage:
-    """Submit one message to one forwarder."""
+    """Submit one message to one forwarder and record the status of the response."""
     cluster = scenario.cluster
     service, host, prefix = cluster.routes[0]
     id = f"m{cluster.next_number()}"
@@ -81,7 +81,7 @@
 async def submit_in_turn(
     scenario: Scenario, count: int, delay_ms: int = 0, forced_status: int = 0
 ) -> list[SentMessage]:
-    """Submit so many messages one after the other, to the three forwarders in turn."""
+    """Submit `count` messages one after the other, to the three forwarders in turn."""
     return [
         await submit(scenario, f"f{n % 3}", delay_ms=delay_ms, forced_status=forced_status)
         for n in range(count)
@@ -89,7 +89,7 @@
 
 
 def isolate(cluster: SimulatedCluster, store: str, duration_s: float) -> None:
-    """A store and the other stores do not reach each other for so many seconds; forwarders reach them all."""
+    """Partition a store from the other stores for `duration_s`; forwarders still reach all stores."""
     for name, node in cluster.nodes.items():
         if node.is_store and name != store:
             cluster.partition(store, name, duration_s)
@@ -98,13 +98,13 @@
 async def call_control(
     cluster: SimulatedCluster, node: str, method: str, path: str, body: bytes = b""
 ) -> Response:
-    """One call to the control port of one machine. Raises what `send_request` raises."""
+    """Send one call to the control port of one machine. Raises the errors of `send_request`."""
     address = cluster.nodes[node].host, CONTROL_PORT
     return await send_request(address, method, path, body, {"Host": "c"}, 2.0)
 
 
 def record(id: str = "m", owner: str = "a", replicas: tuple[str, ...] = ("a", "b")) -> Record:
-    """A record as a store has it."""
+    """Return a queued record with an owner and replicas, as a store has it."""
     stored = Record(id, "h.example", "POST", "/l/x", "", b"body")
     stored.owner, stored.epoch, stored.replicas = owner, 1, replicas
     stored.expires_at = 1e9
@@ -112,7 +112,7 @@
 
 
 def on_disk(cluster: SimulatedCluster, id: str) -> list[str]:
-    """The stores that would have the message after a loss of power everywhere."""
+    """Return the running stores whose databases have the message, so that it survives a loss of power."""
     found = []
     for name, node in cluster.nodes.items():
         if node.up and node.is_store:
@@ -124,11 +124,11 @@
 
 
 async def until(condition: Callable[[], object], timeout_s: float = 10.0) -> None:
-    """Wait in simulated time until a condition is true."""
+    """Wait in simulated time until a condition is true; fail after `timeout_s`."""
     loop = asyncio.get_running_loop()
     end = loop.time() + timeout_s
     while not condition():
-        assert loop.time() < end, "the condition did not become true in time"
+        assert loop.time() < end, f"the condition did not become true within {timeout_s} s of simulated time"
         await asyncio.sleep(POLL_S)
 
 
--- a/tests/cluster/test_cluster.py
+++ b/tests/cluster/test_cluster.py
@@ -1,4 +1,4 @@
-"""Complete clusters on a simulated network, disk and clock."""
+"""Scenarios of complete clusters on a simulated network, disk and clock."""
 
 import asyncio
 import json
@@ -31,14 +31,14 @@
 )
 
 
-@test("without faults every message is delivered once")
+@test("without faults every message is executed exactly once")
 def _() -> None:
     cluster, breaches = play_faults()
     assert_nothing_lost(cluster, breaches)
     assert all(successes(cluster, id) == 1 for id in cluster.history.runs)
 
 
-@test("202 follows two durable replicas, so that either disk may be lost")
+@test("when a message is answered 202, at least two stores have it on disk")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -51,7 +51,7 @@
     assert not play(Plan(1), steps)[1]
 
 
-@test("with one store left a message is rejected with Retry-After, and never runs")
+@test("with a single running store a message is rejected with 503 and is never executed")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -62,16 +62,18 @@
         sent = [await submit(scenario) for _ in range(5)]
         await asyncio.sleep(3.0)
         sent += [await submit(scenario) for _ in range(5)]
-        assert all(one.status in (503, 504) for one in sent), str([one.status for one in sent])
+        assert all(message.status in (503, 504) for message in sent), str(
+            [message.status for message in sent]
+        )
         assert sent[-1].status == 503
-        promised = {one.id for one in sent if one.status == 503}
+        rejected = {message.id for message in sent if message.status == 503}
         await asyncio.sleep(70.0)
-        assert not promised & cluster.history.runs.keys()
+        assert not rejected & cluster.history.runs.keys()
 
     assert not play(Plan(2), steps)[1]
 
 
-@test("a write whose second replica is uncertain gives no promise, and never runs after one")
+@test("a message whose second replica is uncertain is answered 503 or 504, and after 503 is never executed")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -89,7 +91,7 @@
     assert not play(Plan(3), steps)[1]
 
 
-@test("what a killed store owned is delivered by the other replica, long before that store is back")
+@test("messages owned by a killed store are delivered by other stores within 3 s, before it restarts")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -102,7 +104,7 @@
     assert not play(Plan(4), steps)[1]
 
 
-@test("what an unreachable store owned is taken over once its lease has surely expired", tags=["lease"])
+@test("messages owned by an unreachable store are delivered by other stores within 5 s", tags=["lease"])
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -115,7 +117,7 @@
     assert not play(Plan(5), steps)[1]
 
 
-@test("an isolated store stops sending before the others may take over what it owns")
+@test("an isolated store stops delivering before other stores take over, so each message succeeds once")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -132,7 +134,7 @@
     assert not play(Plan(6), steps)[1]
 
 
-@test("a rolling stop of the stores under load loses nothing and repeats nothing")
+@test("a rolling shutdown of the stores under load loses no message and executes none twice")
 def _() -> None:
     cluster, breaches = play_faults(
         Fault(0.5, FaultKind.TERMINATE, "s0"),
@@ -144,7 +146,7 @@
     assert not repeated(cluster), str(repeated(cluster))
 
 
-@test("a rolling stop of the forwarders breaks off no request")
+@test("a rolling shutdown of the forwarders under load leaves no request unanswered")
 def _() -> None:
     faults = [Fault(0.5 + 2 * n, FaultKind.TERMINATE, f"f{n}") for n in range(3)]
     cluster, breaches = play_faults(*faults, duration_s=9.0)
@@ -152,13 +154,13 @@
     assert not [s for s in cluster.history.sent.values() if s.status == 0]
 
 
-@test("what was acknowledged outlasts: {kind}")
+@test("acknowledged messages are completed and the acknowledged configuration is kept after: {kind}")
 def _(kind: str = each("all kill", "all power", "wipe and power")) -> None:
     cluster, breaches = play_faults(Fault(2.0, FaultKind.CONFIGURE), Fault(3.0, FaultKind(kind), "s1", 1.0))
     assert_nothing_lost(cluster, breaches)
 
 
-@test("a store whose disk was lost serves nothing until it is repaired")
+@test("a store with a wiped disk does not serve until its records are restored from replicas")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -168,10 +170,10 @@
             cluster.nodes[name].power_off(4.0)
         cluster.nodes["s1"].power_off(0.5, wipe=True)
         await asyncio.sleep(2.5)
-        lost = cluster.nodes["s1"]
-        assert lost.replicator.phase is Phase.STARTING
+        wiped = cluster.nodes["s1"]
+        assert wiped.replicator.phase is Phase.STARTING
         assert (await call_control(cluster, "s1", "GET", "/api/configuration/retrieve")).status == 503
-        await until(lambda: lost.replicator.phase is Phase.SERVING, 10.0)
+        await until(lambda: wiped.replicator.phase is Phase.SERVING, 10.0)
         await asyncio.sleep(1.0)
         assert all(len(on_disk(cluster, s.id)) >= 2 for s in sent)
 
@@ -179,7 +181,7 @@
 
 
 @test(
-    "two operators at once, an old version and an invalid one: the highest valid one is in force everywhere"
+    "of concurrent configurations and an invalid one, the highest valid revision becomes active on all nodes"
 )
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
@@ -190,9 +192,9 @@
                 scenario.operator.send(9), scenario.operator.send(12), scenario.operator.send(5)
             )
         )
-        bad = cluster.configuration(20)
-        bad["services"] = []
-        assert await scenario.operator.send_raw(json.dumps(bad).encode()) == 400
+        invalid = cluster.configuration(20)
+        invalid["services"] = []
+        assert await scenario.operator.send_raw(json.dumps(invalid).encode()) == 400
         await asyncio.sleep(1.0)
         assert {
             n.running.active_configuration.revision for n in cluster.nodes.values() if n.program is not None
@@ -202,7 +204,7 @@
     assert not play(Plan(9), steps)[1]
 
 
-@test("an isolated machine neither confirms nor stores a configuration; a retry is committed")
+@test("an isolated machine answers 503 to a configuration at once and commits it on a retry after contact")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -210,9 +212,9 @@
         isolate(cluster, "s0", 3.0)
         body = json.dumps(cluster.configuration(9)).encode()
         await asyncio.sleep(1.6)
-        asked_at = cluster.loop.time()
+        called_at = cluster.loop.time()
         answer = await call_control(cluster, "s0", "POST", "/api/configuration/replace", body)
-        assert answer.status == 503 and cluster.loop.time() - asked_at < 0.05
+        assert answer.status == 503 and cluster.loop.time() - called_at < 0.05
         await asyncio.sleep(4.0)
         for node in cluster.nodes.values():
             assert node.program is not None and node.running.active_configuration.revision == 3
@@ -230,7 +232,7 @@
     assert not play(Plan(10), steps)[1]
 
 
-@test("a target that reports draining is drained by all stores well within its drain time")
+@test("once a target's draining heartbeat is acknowledged, all stores have the target as draining")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -245,14 +247,14 @@
     assert not play(Plan(11), steps)[1]
 
 
-@test("crashed targets whose addresses another service reuses get no message of the wrong service")
+@test("when another service reuses the addresses of crashed targets, no message is lost or reaches it")
 def _() -> None:
     faults = [Fault(0.5 + n, FaultKind.TARGET_ADDRESS_REUSE) for n in range(3)]
     cluster, breaches = play_faults(*faults, targets=8, duration_s=8.0)
     assert_nothing_lost(cluster, breaches)
 
 
-@test("lost responses lose no message; one that always fails is dead-lettered")
+@test("with lost responses every message ends as completed or, if it always fails, as a dead letter")
 def _() -> None:
     cluster, breaches = play_faults(Fault(1.0, FaultKind.LOSE_ANSWERS, "", 3.0), forced_failure_share=0.1)
     assert not breaches, str(breaches[:3])
@@ -260,7 +262,7 @@
     assert states == {"completed", "dead_letter"}
 
 
-@test("a shared rate limit holds in every window under overload")
+@test("a rate limit shared by the stores is kept in every window under overload and store failures")
 def _() -> None:
     cluster, breaches = play_faults(
         Fault(2.0, FaultKind.KILL, "s0", 1.0),
@@ -273,7 +275,7 @@
     assert len(cluster.history.arrivals["outside"]) > 40
 
 
-@test("a delay is kept through the death of the owner, by a clock that differs")
+@test("a delayed message is executed on time after all stores restart with differing clocks")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -284,26 +286,26 @@
         for node in cluster.nodes.values():
             node.power_off(0.5)
         await asyncio.sleep(7.0)
-        for one in sent:
-            runs = cluster.history.runs.get(one.id, [])
-            assert runs and one.sent_at + 3.9 <= runs[0].at < one.sent_at + 6.0
+        for message in sent:
+            runs = cluster.history.runs.get(message.id, [])
+            assert runs and message.sent_at + 3.9 <= runs[0].at < message.sent_at + 6.0
 
     assert not play(Plan(12), steps)[1]
 
 
-@test("garbage at any port costs its sender nothing but its connection")
+@test("malformed data on any port is rejected and does not disturb the processes")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
         cluster = scenario.cluster
-        rubbish = (
+        malformed = (
             b"\xff" * 64,
             b"\x00\x00\x00\x05hello",
             b"\x00\x00\x00\x01\x80",
             b"\x7f\xff\xff\xff",
             b"GET / HTTP/1.1\r\n\r\n",
         )
-        for data in rubbish:
+        for data in malformed:
             for port, name in ((INNER_PORT, "s0"), (FRONT_PORT, "f0"), (CONTROL_PORT, "s1")):
                 transport, _ = await asyncio.get_running_loop().create_connection(
                     asyncio.Protocol, cluster.nodes[name].host, port
@@ -311,19 +313,19 @@
                 transport.write(data)
         await asyncio.sleep(1.0)
         host = cluster.nodes["f0"].host
-        both = {"Host": "a.example", "Emberlatch-Attempt-Id": "q", "Transfer-Encoding": "chunked"}
-        assert (await send_request((host, FRONT_PORT), "POST", "/l/x", b"", both, 2.0)).status == 400
-        long = {"Host": "a.example", "Emberlatch-Attempt-Id": "q", "X": "y" * 20_000}
-        assert (await send_request((host, FRONT_PORT), "POST", "/l/x", b"", long, 2.0)).status == 431
-        refused = await call_control(cluster, "s0", "POST", "/api/instances/i/heartbeat", b'{"sequence":"x"}')
-        assert refused.status == 400
+        conflicting = {"Host": "a.example", "Emberlatch-Attempt-Id": "q", "Transfer-Encoding": "chunked"}
+        assert (await send_request((host, FRONT_PORT), "POST", "/l/x", b"", conflicting, 2.0)).status == 400
+        oversized = {"Host": "a.example", "Emberlatch-Attempt-Id": "q", "X": "y" * 20_000}
+        assert (await send_request((host, FRONT_PORT), "POST", "/l/x", b"", oversized, 2.0)).status == 431
+        answer = await call_control(cluster, "s0", "POST", "/api/instances/i/heartbeat", b'{"sequence":"x"}')
+        assert answer.status == 400
         assert (await submit(scenario)).status == 202
         assert cluster.nodes["s0"].incarnation == 1
 
     assert not play(Plan(13), steps)[1]
 
 
-@test("a process finds all stores from one seed that is up, and again after its links broke")
+@test("a restarted forwarder learns all stores from the one that is up, and is ready once a quorum is up")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -341,7 +343,7 @@
     assert not play(Plan(14), steps)[1]
 
 
-@test("a message whose route a configuration drops ends; one whose route this store does not know yet waits")
+@test("a queued message whose route a new configuration removes is dead-lettered without being executed")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -360,25 +362,25 @@
     assert not play(Plan(15), steps)[1]
 
 
-@test("a message leaves its zone only for its second replica while local targets have capacity")
+@test("while local targets have capacity, messages are delivered to targets in the zone of their owner")
 def _() -> None:
     cluster, breaches = play_faults(messages_per_s=12.0, targets=6)
     assert not breaches
     stores = {
         name: node for name, node in cluster.nodes.items() if node.is_store and node.program is not None
     }
-    crossed = 0
+    cross_zone_count = 0
     for id, runs in cluster.history.runs.items():
         owner = next(
             n.replicator.local_store.index.records[id].owner
             for n in stores.values()
             if id in n.replicator.local_store.index.records
         )
-        crossed += cluster.targets[runs[-1].target].zone != stores[owner].zone
-    assert len(cluster.history.runs) > 50 and crossed == 0
+        cross_zone_count += cluster.targets[runs[-1].target].zone != stores[owner].zone
+    assert len(cluster.history.runs) > 50 and cross_zone_count == 0
 
 
-@test("three replicas know each other from their first write: digests find nothing to repair")
+@test("with three replicas of each message, digests match after the first writes, without any repair")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -395,8 +397,8 @@
                     f"{name} and {other}"
                 )
 
-    async def nothing(self: Repair, peer: object) -> None:
+    async def skip_repair(self: Repair, peer: object) -> None:
         pass
 
-    with planted(Repair, "repair_peer", nothing):
+    with planted(Repair, "repair_peer", skip_repair):
         play(Plan(6, zones=1, stores=5, tolerated_losses=2), steps)
--- a/tests/cluster/test_events.py
+++ b/tests/cluster/test_events.py
@@ -1,4 +1,4 @@
-"""The catalogue of log events and its page."""
+"""The catalogue of log events, and the documentation page generated from it."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 ROOT = Path(__file__).resolve().parents[2]
 PAGE = ROOT / "docs/system/events.md"
 NOT_LOGGED = "Not logged at present"
-"""How the description of an event begins that only keeps its number."""
+"""Prefix of the explanation of an event that no code logs and that only reserves its number."""
 
 
 def logged_events(folder: Path) -> set[Event]:
-    """The events that modules below a folder name, but for the catalogue itself."""
+    """Return the events that modules below a folder refer to, apart from the catalogue itself."""
     return {
         Event[node.attr]
         for path in folder.rglob("*.py")
@@ -33,7 +33,7 @@
 
 @contextmanager
 def log_lines(level: int) -> Iterator[list[str]]:
-    """The lines that are logged meanwhile at this level or above, as level and message."""
+    """Collect the lines logged within the context at this level or above, as level and message."""
     lines: list[str] = []
 
     class Collector(logging.Handler):
@@ -52,25 +52,25 @@
         log.propagate = propagate_before
 
 
-@test("every event has a description with a title of its own")
+@test("every event has a description, and no two descriptions have the same title")
 def _() -> None:
     assert set(DESCRIPTIONS) == set(Event)
     titles = [description.title for description in DESCRIPTIONS.values()]
     assert len(set(titles)) == len(titles)
 
 
-@test("an event that nothing logs says so in the catalogue, and no other does")
+@test("the events that no code logs are exactly those whose explanations say that they are not logged")
 def _() -> None:
-    silent = {event for event in Event if DESCRIPTIONS[event].explanation.startswith(NOT_LOGGED)}
-    assert set(Event) - logged_events(ROOT / "emberlatch/cluster") == silent
+    unlogged = {event for event in Event if DESCRIPTIONS[event].explanation.startswith(NOT_LOGGED)}
+    assert set(Event) - logged_events(ROOT / "emberlatch/cluster") == unlogged
 
 
-@test("the page of events is what the command prints")
+@test("the documentation page of events equals the output of the command")
 def _() -> None:
     assert PAGE.read_text() == catalogue()
 
 
-@test("a log line has number, title, subjects and named values; below the level nothing is logged")
+@test("a log line has number, title, subjects and named values; an event below the log level is not logged")
 def _() -> None:
     with log_lines(logging.WARNING) as lines:
         log_event(Event.PEER_DOWN, "s1", state="unreachable")
@@ -79,12 +79,12 @@
     assert lines == ["WARNING 202 peer down s1 state=unreachable", "ERROR 507 disk nearly full"]
 
 
-@test("the line of a dead letter has the words that operators search for")
+@test("the log line of a dead letter contains the reason that operators search for")
 def _() -> None:
     message = record("m1")
     message.attempts = 3
     with log_lines(logging.INFO) as lines:
         for reason in UndeliverableReason:
             log_undeliverable(message, reason)
-    words = ("422", "attempts=3", "its route is gone", "retention")
-    assert lines == [f"INFO 601 message dead-lettered m1 {word}" for word in words]
+    reasons = ("422", "attempts=3", "its route is gone", "retention")
+    assert lines == [f"INFO 601 message dead-lettered m1 {reason}" for reason in reasons]
--- a/tests/cluster/test_heartbeats.py
+++ b/tests/cluster/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""A heartbeat is encoded once for as long as it holds, and again as soon as anything in it changes."""
+"""A heartbeat is encoded once and its payload reused until its contents change."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ControlPlaneStub:
-    """The control plane of a store, as far as heartbeats ask it."""
+    """The part of a store's control plane that heartbeats use."""
 
     def __init__(self) -> None:
         self.current = ControlReport(7, 2, "c", "disk")
@@ -29,14 +29,14 @@
 
 
 def store_parts() -> Any:
-    """What a store's heartbeat is made of."""
+    """Stubs of the components whose state a store's heartbeat reports."""
     local_store = SimpleNamespace(disk=DiskState.OK)
     replicator = SimpleNamespace(phase=Phase.SERVING, local_store=local_store)
     return SimpleNamespace(replicator=replicator, control=ControlPlaneStub())
 
 
 def service(store: Any) -> tuple[HeartbeatService, Any, Any]:
-    """A service on stand-ins, with its configuration store and its roster."""
+    """Return a heartbeat service on stubs, the stub of its configuration and the digest of its roster."""
     digest = SimpleNamespace(value=11)
     membership: Any = SimpleNamespace(roster=SimpleNamespace(digest=lambda: digest.value))
     active_configuration: Any = SimpleNamespace(revision=3)
@@ -50,13 +50,13 @@
 
 
 def changes(name: str) -> Callable[[Any, Any], None]:
-    """A change of the configuration store or the roster, by name."""
+    """Return a function that changes the configuration's revision or the roster's digest."""
     if name == "revision":
         return lambda active_configuration, _: setattr(active_configuration, "revision", 4)
     return lambda _, digest: setattr(digest, "value", 12)
 
 
-@test("a forwarder's heartbeat is one payload until its {name} changes")
+@test("a forwarder reuses the payload of its heartbeat until its {name} changes")
 def _(name: str = each("revision", "digest")) -> None:
     heartbeats, active_configuration, digest = service(None)
     first = heartbeats.heartbeat()
@@ -67,7 +67,7 @@
     assert second == Heartbeat(None, active_configuration.revision, digest.value).to_wire()
 
 
-@test("a store's heartbeat is one payload until its {name} changes")
+@test("a store reuses the payload of its heartbeat until its {name} changes")
 def _(name: str = each("phase", "disk", "report", "majority", "revision", "digest")) -> None:
     store = store_parts()
     heartbeats, active_configuration, digest = service(store)
--- a/tests/cluster/test_planted.py
+++ b/tests/cluster/test_planted.py
@@ -1,4 +1,7 @@
-"""Checkers that never fired prove nothing: faults planted in the code, each caught by a day."""
+"""Faults planted in the code, each of which the rule checks of the simulation have to detect.
+
+A check that has never failed proves nothing.
+"""
 
 from __future__ import annotations
 
@@ -29,11 +32,12 @@
 from tests.cluster.support import Fault, FaultKind, Plan, planted, play, play_faults, submit
 
 
-def rules(*faults: Fault, **more: Any) -> set[str]:
-    return {breach.rule for breach in play_faults(*faults, **more)[1]}
+def rules(*faults: Fault, **options: Any) -> set[str]:
+    """Return the rules that a simulated run with these faults breaks."""
+    return {breach.rule for breach in play_faults(*faults, **options)[1]}
 
 
-@test("202 after one disk")
+@test("a 202 after a write to a single disk is detected as LOST")
 def _() -> None:
     with (
         planted(Replication, "_next_candidate", lambda self, have: None),
@@ -42,7 +46,7 @@
         assert "LOST" in rules(Fault(3.0, FaultKind.POWER_OFF_AND_WIPE, "s0", 1.0))
 
 
-@test("a promise after an unclear write")
+@test("a 503 for a message that a store may have is detected as REFUSED")
 def _() -> None:
     async def cancel(self: Cancellation, record: Record, asked: set[str], epoch: int) -> bool:
         return True
@@ -66,7 +70,7 @@
         assert "REFUSED" in {b.rule for b in play(Plan(2), steps)[1]}
 
 
-@test("a message handed over while a call of it is in flight")
+@test("the handover of a message while it is in flight is detected as TWICE")
 def _() -> None:
     async def close(self: Dispatcher, hand_over: Any, until: float) -> None:
         self._deliveries.draining = True
@@ -89,15 +93,15 @@
         assert "TWICE" in found
 
 
-@test("an older configuration taken")
+@test("the commit of a configuration with a lower revision is detected as CONFIG")
 def _() -> None:
-    def latest(self: Configure, state: ControlState) -> ControlState:
+    def apply_any_revision(self: Configure, state: ControlState) -> ControlState:
         if state.text == self.text:
             return state
         history = (*state.history, (self.revision, text_digest(self.text)))
         return replace(state, revision=self.revision, text=self.text, history=history)
 
-    with planted(Configure, "apply", latest):
+    with planted(Configure, "apply", apply_any_revision):
         found = set[str]()
         for seed in range(4):
 
@@ -112,18 +116,18 @@
         assert "CONFIG" in found
 
 
-@test("a late beat that brings a leaving target back")
+@test("a late heartbeat that returns a draining target to service is detected as DRAIN")
 def _() -> None:
-    sound = TargetDirectory._merge
+    original = TargetDirectory._merge
 
-    def take(self: TargetDirectory, told: Any, now: float) -> bool:
-        known = self.known.get(told.id)
+    def merge(self: TargetDirectory, reported: Any, now: float) -> bool:
+        known = self.known.get(reported.id)
         if known is not None and known.state == 1:
-            self.known.pop(told.id)
-            told.state = type(told.state)(0)
-        return sound(self, told, now)
+            self.known.pop(reported.id)
+            reported.state = type(reported.state)(0)
+        return original(self, reported, now)
 
-    with planted(TargetDirectory, "_merge", take):
+    with planted(TargetDirectory, "_merge", merge):
         assert "DRAIN" in rules(
             *(Fault(0.3 + n / 2, FaultKind.TARGET_LEAVE) for n in range(4)),
             targets=4,
@@ -132,18 +136,18 @@
         )
 
 
-@test("a whole limit for each")
+@test("a store that uses the complete rate limit instead of its share is detected as CEILING")
 def _() -> None:
     with planted(QuotaShares, "divisor", lambda self, service: 1.0):
         assert "CEILING" in rules(rate_limit_per_s=4.0, messages_per_s=60.0, duration_s=10.0)
 
 
-@test("a lost disk that is not filled again")
+@test("a wiped disk whose records are not restored from replicas is detected as LOST")
 def _() -> None:
-    async def mend(self: Repair, peer: Any) -> None:
+    async def skip_repair(self: Repair, peer: Any) -> None:
         self.repaired_at[peer.name] = 1e12
 
-    with planted(Repair, "repair_peer", mend):
+    with planted(Repair, "repair_peer", skip_repair):
         found = set[str]()
         for seed in range(4):
 
@@ -162,59 +166,60 @@
         assert "LOST" in found
 
 
-@test("a delay counted anew from each start by another clock")
+@test("a delay that ends 1.5 s too early after a record is decoded is detected as EARLY")
 def _() -> None:
-    sound = Record.from_wire
+    original = Record.from_wire
 
-    def read(told: dict[str, Any], now: float) -> Record:
-        made = sound(told, now)
-        made.due_at -= 1.5 if made.state is MessageState.QUEUED and made.due_at > made.sent_at else 0.0
-        return made
+    def from_wire(payload: dict[str, Any], now: float) -> Record:
+        copy = original(payload, now)
+        copy.due_at -= 1.5 if copy.state is MessageState.QUEUED and copy.due_at > copy.sent_at else 0.0
+        return copy
 
-    with planted(Record, "from_wire", staticmethod(read)):
+    with planted(Record, "from_wire", staticmethod(from_wire)):
         found = set[str]()
         for seed in range(3):
             found |= rules(Fault(3.0, FaultKind.KILL_ALL, "", 0.5), seed=seed, messages_per_s=60.0)
         assert "EARLY" in found
 
 
-@test("a dead letter before its attempts are used up")
+@test("a message that is dead-lettered before its last attempt is detected as MIXED")
 def _() -> None:
-    sound = OutcomeHandler.on_outcome
+    original = OutcomeHandler.on_outcome
 
     def on_outcome(self: OutcomeHandler, outcome: Outcome) -> None:
         delivery = self._deliveries.by_ref.get(outcome.ref)
         if delivery is not None and delivery.verdict is Verdict.ATTEMPT_FAILED:
             delivery.record.attempts += 3
-        sound(self, outcome)
+        original(self, outcome)
 
     with planted(OutcomeHandler, "on_outcome", on_outcome):
         assert "MIXED" in rules(forced_failure_share=0.1)
 
 
-@test("a second run after a success that was read")
+@test("a retry of a message whose success response was received is detected as TWICE")
 def _() -> None:
-    sound = OutcomeHandler._finish
+    original = OutcomeHandler._finish
     count = iter(range(10_000_000))
 
     def finish(self: OutcomeHandler, delivery: Delivery, state: MessageState, seal: str) -> None:
         if state is MessageState.COMPLETED and next(count) % 10 == 0:
             return self._retry(delivery, 0.2)
-        sound(self, delivery, state, seal)
+        original(self, delivery, state, seal)
         return None
 
     with planted(OutcomeHandler, "_finish", finish):
         assert "TWICE" in rules()
 
 
-@test("an acknowledgement of a leaving target that nobody else hears of")
+@test("an acknowledged draining heartbeat that is not reported to the other stores is detected as DRAIN")
 def _() -> None:
-    async def tell(self: LocalHandler, target: Any, news: bool) -> None:
+    async def notify_nobody(self: LocalHandler, target: Any, changed: bool) -> None:
         pass
 
-    with planted(LocalHandler, "_notify_stores", tell):
+    with planted(LocalHandler, "_notify_stores", notify_nobody):
         found = set[str]()
-        for seed in range(12):  # it takes a target whose later beats all reach the store that knows
+        # The breach needs a target whose later heartbeats all reach the store that received the first one.
+        for seed in range(12):
             faults = [Fault(0.5 + n, FaultKind.TARGET_LEAVE) for n in range(3)]
             found |= rules(*faults, seed=seed, duration_s=8.0, targets=6, messages_per_s=90.0)
             if "DRAIN" in found:
@@ -222,16 +227,16 @@
         assert "DRAIN" in found
 
 
-@test("deliveries that do not name the instance they expect, to addresses that others use again")
+@test("deliveries without the expected instance to addresses that other targets reuse are detected as ROUTE")
 def _() -> None:
-    sound = Dispatcher.delivery_request
+    original = Dispatcher.delivery_request
 
     def request(self: Dispatcher, ref: int, target: bytes) -> DeliveryRequest:
-        return replace(sound(self, ref, target), expected_instance="")
+        return replace(original(self, ref, target), expected_instance="")
 
     with (
         planted(Dispatcher, "delivery_request", request),
-        planted(TargetDirectory, "_register", _register_beside),
+        planted(TargetDirectory, "_register", _register_without_removal),
     ):
         found = set[str]()
         for seed in range(3):
@@ -240,16 +245,16 @@
         assert "ROUTE" in found
 
 
-def _register_beside(self: TargetDirectory, target: Any) -> None:
-    """The incarnation that had the address before stays."""
+def _register_without_removal(self: TargetDirectory, target: Any) -> None:
+    """Register a target without removing the incarnation that had its address before."""
     self.known[target.id] = target
     self._by_address[target.address] = target
     self._notify(target)
 
 
-@test("a forwarder that goes back to an older version within its life")
+@test("a forwarder that activates a lower revision within an incarnation is detected as CONFIG")
 def _() -> None:
-    def latest(self: ActiveConfiguration, raw: bytes) -> None:
+    def adopt_any_revision(self: ActiveConfiguration, raw: bytes) -> None:
         self._activate(read_configuration(raw))
 
     async def steps(scenario: Scenario) -> None:
@@ -260,8 +265,10 @@
         assert active_configuration.revision == 9
         active_configuration.adopt(scenario.cluster.configuration_body(3, 800))
         if active_configuration.revision != 9:
-            scenario.cluster.history.record_breach("CONFIG", scenario.cluster.loop.time(), "it went back")
+            scenario.cluster.history.record_breach(
+                "CONFIG", scenario.cluster.loop.time(), "the revision fell"
+            )
 
     assert not play(Plan(3), steps)[1]
-    with planted(ActiveConfiguration, "adopt", latest):
+    with planted(ActiveConfiguration, "adopt", adopt_any_revision):
         assert {b.rule for b in play(Plan(3), steps)[1]} >= {"CONFIG"}
--- a/tests/cluster/test_pure.py
+++ b/tests/cluster/test_pure.py
@@ -1,4 +1,4 @@
-"""The machines that know no clock, no disk and no link."""
+"""Unit tests of components that need neither a cluster nor its simulated clock, disk and network."""
 
 import asyncio
 import itertools
@@ -36,67 +36,71 @@
 ]
 
 
-def merged(words: tuple[tuple[MessageState, str, int, str, int], ...]) -> tuple[object, ...]:
-    made = record()
-    for word in words:
-        made.merge(*word)
-    return made.state, made.seal, made.epoch, made.owner, made.attempts
+def merged(reports: tuple[tuple[MessageState, str, int, str, int], ...]) -> tuple[object, ...]:
+    """Merge reports into a record in this order, and return the resulting fields."""
+    target = record()
+    for report in reports:
+        target.merge(*report)
+    return target.state, target.seal, target.epoch, target.owner, target.attempts
 
 
-@test("merging copies in any order, any number of times, gives the same")
+@test("merging reports of a record in any order and any number of times gives the same result")
 def _() -> None:
     for count in (2, 3):
-        for words in itertools.product(REPORTS, repeat=count):
-            results = {merged(order) for order in itertools.permutations(words)} | {merged(words + words)}
-            assert len(results) == 1, str(words)
+        for reports in itertools.product(REPORTS, repeat=count):
+            results = {merged(order) for order in itertools.permutations(reports)} | {
+                merged(reports + reports)
+            }
+            assert len(results) == 1, str(reports)
 
 
-@test("a success beats everything; a void beats a copy of its own writing, and not one that was taken later")
+@test("completion overrides all reports; a cancellation overrides a copy of its epoch but not of a later one")
 def _() -> None:
     assert merged(tuple(REPORTS))[0] is MessageState.COMPLETED
     assert merged((REPORTS[2], REPORTS[0]))[0] is MessageState.CANCELLED
     assert merged((REPORTS[2], REPORTS[1]))[0] is MessageState.QUEUED
 
 
-@test("digests of two indexes are alike if and only if what they share is")
+@test("digests of two indexes differ exactly for the records that differ, and match after an exchange")
 def _() -> None:
-    chance = random.Random(3)
+    random_source = random.Random(3)
     ours, theirs = RecordIndex("a"), RecordIndex("b")
     for n in range(500):
         for index in (ours, theirs):
-            if chance.random() < 0.97:
+            if random_source.random() < 0.97:
                 index.put(record(f"m{n}"))
     for index in (ours, theirs):
-        for one in list(index.records.values()):
-            if chance.random() < 0.05:
-                one.merge(MessageState.COMPLETED, "s", 1, "a", 0)
-                index.changed(one)
-            elif chance.random() < 0.02:
-                index.drop(one)
+        for stored in list(index.records.values()):
+            if random_source.random() < 0.05:
+                stored.merge(MessageState.COMPLETED, "s", 1, "a", 0)
+                index.changed(stored)
+            elif random_source.random() < 0.02:
+                index.drop(stored)
     ranges = ours.differing_ranges("b", theirs.digests("a"))
-    want, give = ours.compare("b", ranges, theirs.summary("a", ranges))
+    requested, offered = ours.compare("b", ranges, theirs.summary("a", ranges))
     ids = {*ours.records, *theirs.records}
-    unlike = {
+    different = {
         i
         for i in ids
         if (a := ours.records.get(i)) is None or (b := theirs.records.get(i)) is None or a.state != b.state
     }
-    assert unlike and {*want, *(r.id for r in give)} == unlike
-    for id in want:
+    assert different and {*requested, *(r.id for r in offered)} == different
+    for id in requested:
         ours.drop(ours.records[id]) if id in ours.records else None
         copy = record(id)
         copy.merge(theirs.records[id].state, "s", 1, "a", 0)
         ours.put(copy)
-    for one in give:
-        theirs.drop(theirs.records[one.id]) if one.id in theirs.records else None
-        copy = record(one.id)
-        copy.merge(one.state, "s", 1, "a", 0)
+    for original in offered:
+        theirs.drop(theirs.records[original.id]) if original.id in theirs.records else None
+        copy = record(original.id)
+        copy.merge(original.state, "s", 1, "a", 0)
         theirs.put(copy)
     assert ours.differing_ranges("b", theirs.digests("a")) == []
 
 
-def beat(**more: object) -> dict[str, object]:
-    told = {
+def heartbeat_fields(**overrides: object) -> dict[str, object]:
+    """Return the fields of a target's valid heartbeat, with some of them replaced."""
+    fields = {
         "service": "s",
         "address": "10.0.0.1:80",
         "zone": "z",
@@ -104,65 +108,65 @@
         "state": "in_service",
         "sequence": 1,
     }
-    return told | {"warmup_left_ms": 0} | more
+    return fields | {"warmup_left_ms": 0} | overrides
 
 
-@test("a beat out of sequence does not bring a draining target back, nor one that is gone")
+@test("a late heartbeat does not return a draining target to service, nor any heartbeat a deregistered one")
 def _() -> None:
     targets = TargetDirectory(1.0)
-    targets.apply_heartbeat("i-1", beat(sequence=5, state="draining"), 0.0)
-    targets.apply_heartbeat("i-1", beat(sequence=4), 0.1)
+    targets.apply_heartbeat("i-1", heartbeat_fields(sequence=5, state="draining"), 0.0)
+    targets.apply_heartbeat("i-1", heartbeat_fields(sequence=4), 0.1)
     states = [targets.known["i-1"].state]
     targets.deregister("i-1", 0.2)
-    targets.apply_heartbeat("i-1", beat(sequence=9), 0.3)
+    targets.apply_heartbeat("i-1", heartbeat_fields(sequence=9), 0.3)
     states.append(targets.known["i-1"].state)
     assert states == [TargetState.DRAINING, TargetState.GONE]
 
 
-@test("an address that another life has announced is the first life's no more")
+@test("a target is deregistered when another incarnation reports its address")
 def _() -> None:
     targets = TargetDirectory(1.0)
-    targets.apply_heartbeat("i-1", beat(), 0.0)
-    targets.apply_heartbeat("i-2", beat(service="other"), 1.0)
+    targets.apply_heartbeat("i-1", heartbeat_fields(), 0.0)
+    targets.apply_heartbeat("i-2", heartbeat_fields(service="other"), 1.0)
     assert (
         targets.known["i-1"].state is TargetState.GONE
         and targets.known["i-2"].state is TargetState.IN_SERVICE
     )
 
 
-@test("that a target is silent is an opinion: old news do not end it, its next beat does, and nobody is told")
+@test("an expired lease is not reported to others; an old report does not renew it, the next heartbeat does")
 def _() -> None:
     targets = TargetDirectory(1.0)
-    target = targets.apply_heartbeat("i-1", beat(), 0.0).target
-    old = target.report(5.0)
+    target = targets.apply_heartbeat("i-1", heartbeat_fields(), 0.0).target
+    old_report = target.report(5.0)
     targets.expire(5.0)
     known = targets.known["i-1"]
     assert known.lease_expired and not known.available and known.report(5.0).state is TargetState.IN_SERVICE
-    targets.apply_report(old, 5.1)
+    targets.apply_report(old_report, 5.1)
     assert known.lease_expired
-    targets.apply_heartbeat("i-1", beat(sequence=2), 6.0)
+    targets.apply_heartbeat("i-1", heartbeat_fields(sequence=2), 6.0)
     assert known.available
 
 
-@test("a report of a target goes through the wire unchanged, as a list in the agreed order")
+@test("a target report decodes and encodes to the same list; a malformed one raises MessageDecodeError")
 def _() -> None:
     fields = ["i-1", "service", ["10.0.0.1", 80], "z", 2, 1, 7, 0.5, -1.25]
     report = TargetReport.from_wire(fields)
     assert report.address == ("10.0.0.1", 80) and report.state is TargetState.DRAINING
     assert report.to_wire() == fields
-    bad: tuple[object, ...] = (None, {}, fields[:-1], [*fields[:5], 3, *fields[6:]], [7, *fields[1:]])
-    for wrong in bad:
+    malformed: tuple[object, ...] = (None, {}, fields[:-1], [*fields[:5], 3, *fields[6:]], [7, *fields[1:]])
+    for payload in malformed:
         try:
-            TargetReport.from_wire(wrong)
-            raise AssertionError(wrong)
+            TargetReport.from_wire(payload)
+            raise AssertionError(payload)
         except MessageDecodeError:
             pass
 
 
-@test("a beat that can't be read is refused by its reason and changes nothing")
+@test("an invalid heartbeat raises InvalidHeartbeatError and changes no target")
 def _() -> None:
     targets = TargetDirectory(1.0)
-    bad = (
+    invalid = (
         {"sequence": "7"},
         {"capacity": True},
         {"address": "nowhere"},
@@ -170,25 +174,26 @@
         {"service": ""},
         {"capacity": -1},
     )
-    for wrong in bad:
+    for fields in invalid:
         try:
-            targets.apply_heartbeat("i-1", beat(**wrong), 0.0)
-            raise AssertionError(wrong)
+            targets.apply_heartbeat("i-1", heartbeat_fields(**fields), 0.0)
+            raise AssertionError(fields)
         except InvalidHeartbeatError:
             pass
     assert not targets.known
 
 
-def configuration(**more: object) -> dict[str, object]:
+def configuration(**overrides: object) -> dict[str, object]:
+    """Return a valid configuration document, with some of its entries replaced."""
     route = {"name": "r", "host_name": "h", "path_prefix": "/a/", "service": "s", "guard_timer_ms": 500}
-    return {"revision": 1, "route_entries": [route], "services": [{"name": "s"}], "limits": {}} | more
+    return {"revision": 1, "route_entries": [route], "services": [{"name": "s"}], "limits": {}} | overrides
 
 
-@test("a configuration is taken whole or refused with its reason")
+@test("a valid configuration is decoded; an invalid one raises ConfigurationError with a reason")
 def _() -> None:
     assert read_configuration(json.dumps(configuration()).encode()).revision == configuration()["revision"]
     route = {"name": "r", "host_name": "h", "path_prefix": "/a/", "service": "s", "guard_timer_ms": 500}
-    wrong = [
+    invalid = [
         json.dumps(configuration()).encode()[:-20],
         b"[]",
         b"\xff\xfe",
@@ -202,13 +207,13 @@
         json.dumps({"revision": 1}).encode(),
         b'{"a":' * 100_000,
     ]
-    for raw in wrong:
+    for raw in invalid:
         with raises(ConfigurationError) as error:
             read_configuration(raw)
         assert str(error.raised), raw[:80]
 
 
-@test("the longest prefix of the host decides, whatever case and port the host has")
+@test("a request gets its host's route with the longest matching prefix, whatever the host's case and port")
 def _() -> None:
     routes = [
         {"name": n, "host_name": "H", "path_prefix": p, "service": "s", "guard_timer_ms": 5}
@@ -219,37 +224,42 @@
     assert names == ["long", "short", None]
 
 
-@test("a bad setting is one line with file, line and reason")
+@test("an invalid setting raises SettingsError with file, line and field; an unknown one is ignored")
 def _() -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "local.toml"
-        good = 'node = "a"\nip = "10.0.0.1"\nzone = "z"\nserves = ["front"]\nport_range = [1,2]\nseeds = []\n'
+        valid = (
+            'node = "a"\nip = "10.0.0.1"\nzone = "z"\nserves = ["front"]\nport_range = [1,2]\nseeds = []\n'
+        )
         listen = '[listen]\nfront = "10.0.0.1:80"\nready = "10.0.0.1:81"\n'
-        path.write_text(good + "unheard_of = 3\n" + listen)
+        path.write_text(valid + "unheard_of = 3\n" + listen)
         assert read_settings(path).inner_port == 1
-        for text, line, word in (
-            (good.replace("[1,2]", '"x"') + listen, 5, "port_range"),
-            (good.replace('"z"', "7") + listen, 3, "zone"),
-            (good + '[listen]\nfront = "nowhere"\nready = "10.0.0.1:81"\n', 8, "front"),
-            (good + listen + "[limits]\nmemory_mb = -1\n", 11, "memory_mb"),
+        for text, line, expected in (
+            (valid.replace("[1,2]", '"x"') + listen, 5, "port_range"),
+            (valid.replace('"z"', "7") + listen, 3, "zone"),
+            (valid + '[listen]\nfront = "nowhere"\nready = "10.0.0.1:81"\n', 8, "front"),
+            (valid + listen + "[limits]\nmemory_mb = -1\n", 11, "memory_mb"),
             ("node = \n", 1, "TOML"),
         ):
             path.write_text(text)
             with raises(SettingsError) as error:
                 read_settings(path)
-            assert f"{path}:{line}:" in str(error.raised) and word in str(error.raised), (text, error.raised)
+            assert f"{path}:{line}:" in str(error.raised) and expected in str(error.raised), (
+                text,
+                error.raised,
+            )
 
 
-@test("three shares of a rate keep it in every sliding window, also when one starts anew within it")
+@test("three shares of a rate limit stay within it in every sliding window, even if one restarts")
 def _() -> None:
-    chance = random.Random(1)
+    random_source = random.Random(1)
     for rate in (2.0, 6.0, 19.5, 200.0):
         sent, now = list[float](), 0.0
         for share in range(3):
             now, rate_share = 0.0, RateShare(5.0, 1.1, 0.0)
             for _ in range(int(rate * 40)):
-                now += chance.expovariate(rate)
-                if chance.random() < 0.01:
+                now += random_source.expovariate(rate)
+                if random_source.random() < 0.01:
                     rate_share = RateShare(5.0, 1.1, now) if share == 1 else rate_share
                 if rate_share.next_token_at(now, rate, 3) <= now:
                     rate_share.take_token()
@@ -260,7 +270,7 @@
         assert len(sent) > 0.7 * rate * now
 
 
-@test("what a response says of its message")
+@test("a response is classified by its status, its seal and whether the message was not executed")
 def _() -> None:
     verdicts = {
         (200, "seal", False): Verdict.COMPLETED, (200, "", False): Verdict.UNKNOWN, (500, "", False): Verdict.ATTEMPT_FAILED,
@@ -271,21 +281,21 @@
         assert classify_response(status, seal, not_executed) is verdict, status
 
 
-@test("what is told of a record and read again is the same, whatever the other's clock says")
+@test("a record decoded by a store with another clock has the same fingerprint and the same remaining times")
 def _() -> None:
-    made = record()
-    made.sent_at, made.due_at, made.expires_at, made.version = 100.0, 104.0, 190.0, 7
-    copy = Record.from_wire(made.to_wire(101.0, made.body), 5001.0)
+    original = record()
+    original.sent_at, original.due_at, original.expires_at, original.version = 100.0, 104.0, 190.0, 7
+    copy = Record.from_wire(original.to_wire(101.0, original.body), 5001.0)
     assert (copy.due_at - 5001.0, copy.expires_at - 5001.0, copy.version, copy.ended_at) == (
         3.0,
         89.0,
         7,
         0.0,
     )
-    assert copy.fingerprint() == made.fingerprint()
+    assert copy.fingerprint() == original.fingerprint()
 
 
-@test("a wake-up that is due already is one on every loop")
+@test("a wake-up that is due already fires and leaves no timer pending, on asyncio's loop and on uvloop")
 def _() -> None:
     async def wake() -> None:
         dispatcher = Dispatcher(DispatchSettings("z", 1, 5.0, 1.1, 8), Tasks(), RecordingOwner())
@@ -296,7 +306,7 @@
         await asyncio.sleep(0)
         assert dispatcher._delayed._wakes_at == math.inf
 
-    for make in (asyncio.new_event_loop, uvloop.new_event_loop):
-        loop = make()
+    for new_event_loop in (asyncio.new_event_loop, uvloop.new_event_loop):
+        loop = new_event_loop()
         loop.run_until_complete(wake())
         loop.close()
