--- a/emberlatch/cluster/configuration/active.py
+++ b/emberlatch/cluster/configuration/active.py
@@ -23,7 +23,7 @@
 
 
 class ActiveConfiguration:
-    """Has the active configuration in memory, and notifies its listeners of each new one."""
+    """Stores the active configuration in memory, and notifies its listeners of each new one."""
 
     def __init__(self, tasks: Tasks) -> None:
         self._tasks = tasks
--- a/emberlatch/cluster/files.py
+++ b/emberlatch/cluster/files.py
@@ -31,7 +31,7 @@
 
 
 def sync_folder(path: Path) -> None:
-    """Sync a folder, so that files created, renamed or removed in it survive a loss of power as such."""
+    """Sync a folder, so that creating, renaming and removing files in it survives a loss of power."""
     folder = os.open(path, os.O_RDONLY)
     try:
         os.fsync(folder)
--- a/emberlatch/cluster/ingress/listener.py
+++ b/emberlatch/cluster/ingress/listener.py
@@ -36,7 +36,7 @@
             address, self._submit, max_clients, tasks, machine=machine, unique_headers=UNIQUE_HEADERS
         )
         self._handle, self._request_tasks = handle, tasks
-        self.busy = 0  # number of requests whose handlers have not finished
+        self.pending_requests = 0  # number of requests whose handlers have not finished
 
     def apply_limits(self, limits: Limits) -> None:
         """Apply the limits that a configuration sets for clients."""
@@ -55,7 +55,7 @@
         self._submit(request, reply)
 
     def _submit(self, request: Request, reply: Reply) -> None:
-        self.busy += 1
+        self.pending_requests += 1
         self._request_tasks.spawn(self._answer(self._handle(request, reply), reply))
 
     async def _answer(self, work: Coroutine[object, object, None], reply: Reply) -> None:
@@ -66,4 +66,4 @@
             if reply.data is None:
                 reply.send(500)
         finally:
-            self.busy -= 1
+            self.pending_requests -= 1
--- a/emberlatch/cluster/node/graceful_shutdown.py
+++ b/emberlatch/cluster/node/graceful_shutdown.py
@@ -70,7 +70,9 @@
         await asyncio.sleep(min(SHUTDOWN_ACCEPT_S, self._grace_s * SHUTDOWN_ACCEPT_SHARE))
         front.close_listener()
         await _wait_while(
-            lambda: front.busy > 0 or front.has_clients, deadline - FRONT_DRAIN_MARGIN_S, FRONT_POLL_S
+            lambda: front.pending_requests > 0 or front.has_clients,
+            deadline - FRONT_DRAIN_MARGIN_S,
+            FRONT_POLL_S,
         )
 
     async def _drain_store(self, store: StoreParts, deadline: float) -> None:
@@ -82,7 +84,7 @@
             listener.drain(True)
         await store.dispatcher.close(replicator.ownership.hand_over, deadline)
         await _wait_while(
-            lambda: replicator.busy or (listener is not None and listener.busy > 0),
+            lambda: replicator.busy or (listener is not None and listener.pending_requests > 0),
             deadline - STORE_DRAIN_MARGIN_S,
             STORE_POLL_S,
         )
--- a/emberlatch/cluster/settings/node_settings.py
+++ b/emberlatch/cluster/settings/node_settings.py
@@ -19,9 +19,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The time limits that the cluster guarantees, in seconds or, with the suffix `_ms`, in milliseconds.
+    """The limits that the rules of the cluster refer to.
 
-    `origin_excess` is a factor.
+    They are in seconds or, with the suffix `_ms`, in milliseconds; `origin_excess` is a factor.
     """
 
     seed_lag_s: float = 3.0
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resilience:
-    """The numbers of machines, zones and regions that may fail at once without breaking a guarantee."""
+    """The numbers of machines, zones and regions that may fail at once without breaking a rule."""
 
     machines: int = 1
     zones: int = 0
--- a/tests/cluster/test_cluster.py
+++ b/tests/cluster/test_cluster.py
@@ -38,7 +38,7 @@
     assert all(successes(cluster, id) == 1 for id in cluster.history.runs)
 
 
-@test("when a message is answered 202, at least two stores have it on disk")
+@test("a message answered 202 is on the disks of at least two stores, so that either disk may be lost")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -91,7 +91,7 @@
     assert not play(Plan(3), steps)[1]
 
 
-@test("messages owned by a killed store are delivered by other stores within 3 s, before it restarts")
+@test("messages owned by a killed store are delivered by the other replica long before that store restarts")
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -104,7 +104,7 @@
     assert not play(Plan(4), steps)[1]
 
 
-@test("messages owned by an unreachable store are delivered by other stores within 5 s", tags=["lease"])
+@test("messages of an unreachable store are taken over once its lease has certainly expired", tags=["lease"])
 def _() -> None:
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
@@ -247,7 +247,9 @@
     assert not play(Plan(11), steps)[1]
 
 
-@test("when another service reuses the addresses of crashed targets, no message is lost or reaches it")
+@test(
+    "if another service reuses addresses of crashed targets, no message is lost or sent to the wrong service"
+)
 def _() -> None:
     faults = [Fault(0.5 + n, FaultKind.TARGET_ADDRESS_REUSE) for n in range(3)]
     cluster, breaches = play_faults(*faults, targets=8, duration_s=8.0)
--- a/tests/cluster/test_planted.py
+++ b/tests/cluster/test_planted.py
@@ -266,7 +266,7 @@
         active_configuration.adopt(scenario.cluster.configuration_body(3, 800))
         if active_configuration.revision != 9:
             scenario.cluster.history.record_breach(
-                "CONFIG", scenario.cluster.loop.time(), "the revision fell"
+                "CONFIG", scenario.cluster.loop.time(), "the revision decreased"
             )
 
     assert not play(Plan(3), steps)[1]
