--- a/emberlatch/cluster/events.py
+++ b/emberlatch/cluster/events.py
@@ -99,7 +99,7 @@
         "SIGTERM: graceful shutdown. In-flight calls are completed; queued messages are handed over to other "
         "stores.",
     ),
-    Event.STOPPED: _info("stopped", "Nothing is in flight any more; the process exits."),
+    Event.STOPPED: _info("stopped", "No call is in flight any more; the process exits."),
     Event.SETTINGS_RELOADED: _info("settings reloaded", "SIGHUP, or the settings file changed."),
     Event.SETTINGS_REJECTED: _error(
         "settings rejected", "The settings file is not valid; the previous settings stay in force."
@@ -135,11 +135,11 @@
         "The configuration that an operator sent is not valid; the reason is logged and returned.",
     ),
     Event.CONFIG_COMMITTED: _info(
-        "configuration committed", "A majority of the voters has it; the operator received 200."
+        "configuration committed", "A majority of the voters has the revision; the operator received 200."
     ),
     Event.CONFIG_UNDECODABLE: _error(
         "configuration undecodable",
-        "The committed configuration can't be decoded: a defect of the program, or an older version of it.",
+        "The committed configuration can't be decoded: the program has a defect or is an older version.",
     ),
     Event.CONFIG_CONFLICT: _warning(
         "configuration conflict",
@@ -161,7 +161,8 @@
     ),
     Event.FOREIGN_CLUSTER_DISK: _error(
         "disk of another cluster",
-        "That machine's disk was initialized in another cluster: it is excluded until the disk is emptied.",
+        "The disk of the named machine was initialized in another cluster: the machine is excluded until its "
+        "disk is emptied.",
     ),
     Event.TARGET_REGISTERED: _info("target registered", "A target sent its first heartbeat."),
     Event.TARGET_DRAINING: _info("target draining", "A target announced its graceful shutdown."),
@@ -192,9 +193,9 @@
     Event.REPAIRED: _info("repaired", "Anti-entropy: records were compared with a peer's and synchronized."),
     Event.OWNERSHIP_TAKEN_OVER: _warning(
         "messages taken over",
-        "Their owners (`of`) have certainly stopped delivering: their ports refuse connections, a majority "
-        "of the voters can't reach them, or they can't read their disks. This store owns the messages now; "
-        "`messages` is their number.",
+        "The former owners of the messages (`of`) have certainly stopped delivering: their ports refuse "
+        "connections, a majority of the voters can't reach them, or they can't read their disks. This store "
+        "owns the messages now; `messages` is the number of messages.",
     ),
     Event.OWNERSHIP_HANDED_OVER: _info(
         "messages handed over",
