--- a/emberlatch/net/acceptor.py
+++ b/emberlatch/net/acceptor.py
@@ -12,9 +12,9 @@
 log = logging.getLogger(__name__)
 
 MAX_ACCEPTS_PER_TURN = 4
-"""Connections accepted in one turn of the loop."""
+"""Maximum number of connections accepted in one turn of the event loop."""
 RETRY_DELAY_S = 0.05
-"""Pause of accepting after descriptors or memory have run out."""
+"""How long accepting pauses after file descriptors or memory have run out."""
 
 ProtocolFactory = Callable[[], asyncio.Protocol]
 
@@ -22,10 +22,11 @@
 class Acceptor:
     """Accepts connections and attaches a protocol to each, until it is closed.
 
-    The loop's own server accepts all of the backlog in one turn, and nothing for a second after EMFILE.
+    `asyncio.Server` is not used: it accepts the complete backlog in one turn, and nothing for a second after
+    EMFILE.
 
     Attributes:
-        connecting: number of accepted connections that have no protocol yet.
+        connecting: number of accepted connections to which no protocol is attached yet.
     """
 
     def __init__(self, listener: Listener, factory: ProtocolFactory, tasks: Tasks) -> None:
@@ -47,15 +48,15 @@
                 accepted, _ = listener.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
-            except OSError as error:  # out of descriptors or memory
-                log.error("no connection could be accepted: %s", error)
+            except OSError as error:  # file descriptors or memory have run out
+                log.error("cannot accept connections: %s; next attempt in %g s", error, RETRY_DELAY_S)
                 loop.remove_reader(listener)
                 loop.call_later(RETRY_DELAY_S, self._listen)
                 return
             self.adopt(accepted, self._factory)
 
     def adopt(self, accepted: socket.socket, factory: ProtocolFactory) -> None:
-        """Attach a protocol to a connection that was accepted, here or by another process."""
+        """Attach a protocol to a connection that this or another process has accepted."""
         accepted.setblocking(False)
         self.connecting += 1
         self._tasks.spawn(self._connect(accepted, factory))
@@ -64,13 +65,13 @@
         try:
             await asyncio.get_running_loop().connect_accepted_socket(factory, accepted)
         except OSError as error:
-            log.info("accepted connection lost: %s", error)
+            log.info("accepted connection failed before a protocol was attached: %s", error)
             accepted.close()
         finally:
             self.connecting -= 1
 
     def pause(self, active: bool) -> None:
-        """Accept nothing for now, so that new connections wait in the backlog; or continue."""
+        """Stop accepting if `active`, so that new connections wait in the backlog; otherwise resume."""
         if self._listener is not None:
             self._paused = active
             asyncio.get_running_loop().remove_reader(self._listener)
--- a/emberlatch/net/call.py
+++ b/emberlatch/net/call.py
@@ -14,16 +14,18 @@
 
 
 class Call:
-    """A call in flight, and those of its messages that have no outcome yet.
+    """A call in flight, and which of its messages have no outcome yet.
 
     Attributes:
-        target: the name of its target.
-        items: the messages that are or will be sent.
-        all_items: the messages that it was started with.
-        connection: the connection, from sending the request to its response.
-        response_received: what it still waits for, such as a receipt, arrives in another way.
-        pending: the messages without an outcome, and when each times out in the loop's time.
-        late: messages with an outcome whose call continues for others; the response may still confirm them.
+        target: the name of the target.
+        items: the messages of the request; before it is sent, all messages.
+        all_items: the messages with which the call was started.
+        connection: the connection, from sending the request to receiving its response.
+        response_received: whether the response has arrived. The call may continue after it, for example until
+            a receipt arrives on another connection.
+        pending: the messages without an outcome, and when each one times out in the loop's time.
+        late: the messages that got an outcome while the call continued for others; the response may still
+            confirm them.
     """
 
     def __init__(self, target: bytes, items: list[CallItem], report: Callable[[Outcome], None]) -> None:
@@ -38,11 +40,14 @@
 
     @property
     def age(self) -> float:
-        """Seconds since the start."""
+        """Seconds since the call was started."""
         return asyncio.get_running_loop().time() - self._started_at
 
     async def wait_for(self, awaited: asyncio.Future[T], written: Callable[[], bool]) -> None:
-        """Wait for a step of the call; messages that time out meanwhile get their outcome at once."""
+        """Wait for one step of the call; messages that time out during it get their outcome at once.
+
+        `written` returns whether the request has been sent completely.
+        """
         loop, self._cancel_awaited = asyncio.get_running_loop(), awaited.cancel
         while self.pending and not awaited.done():
             await asyncio.wait({awaited}, timeout=max(0.0, min(self.pending.values()) - loop.time()))
@@ -53,7 +58,7 @@
                     self.late.append(item)
 
     def cancel(self, ref: int, attempt: int) -> None:
-        """Cancel a message, unless its request is not sent yet; without any left, the call ends."""
+        """Cancel a message if its request has been sent; end the call if no message is pending any more."""
         for item in [item for item in self.pending if (item.ref, item.attempt) == (ref, attempt)]:
             written = self.connection.written if self.connection is not None else self.response_received
             if written:
@@ -68,7 +73,7 @@
     def complete_all(
         self, result: Result, closed: bool = False, retry_after_s: float = 0.0, report: tuple[float, ...] = ()
     ) -> None:
-        """Give all pending messages the same outcome."""
+        """Give all pending messages the same outcome, as `complete` does."""
         for item in list(self.pending):
             self.complete(item, result, closed, retry_after_s, report)
 
@@ -80,7 +85,7 @@
         retry_after_s: float = 0.0,
         report: tuple[float, ...] = (),
     ) -> None:
-        """Give a pending message its outcome."""
+        """Give a pending message its outcome; `closed`: the message needs no other attempt."""
         del self.pending[item]
         self.report_outcome(item, result, closed, retry_after_s, report)
 
@@ -92,12 +97,23 @@
         retry_after_s: float = 0.0,
         report: tuple[float, ...] = (),
     ) -> None:
-        """Report an outcome; after another one of the same message only that it is completed after all.
+        """Report the outcome of a message.
 
-        `retry_after_s` is the Retry-After of the target in seconds, `report` its load report.
+        A second outcome of the same message may only report that it was delivered after all. `retry_after_s`
+        is the Retry-After of the target in seconds, `report` its load report.
         """
-        took = asyncio.get_running_loop().time() - self._started_at
-        note = round(retry_after_s * 1000)
+        elapsed_s = asyncio.get_running_loop().time() - self._started_at
+        retry_after_ms = round(retry_after_s * 1000)
         self._report(
-            Outcome(item.ref, item.attempt, self.target, result, took, closed, retry_after_s, note, report)
+            Outcome(
+                item.ref,
+                item.attempt,
+                self.target,
+                result,
+                elapsed_s,
+                closed,
+                retry_after_s,
+                retry_after_ms,
+                report,
+            )
         )
--- a/emberlatch/net/connection_pool.py
+++ b/emberlatch/net/connection_pool.py
@@ -9,19 +9,19 @@
 from emberlatch.net.http_connection import Connection
 
 IDLE_TIMEOUT_MARGIN_S = 2.0
-"""A connection is not used in the last seconds of the target's idle time-out."""
+"""How long before the end of the target's idle time-out a connection is no longer used."""
 
 
 class ConnectionPool:
-    """Keeps idle connections. Together with those in use there are at most `max_connections`.
+    """Keeps idle connections for reuse, at most `max_connections` together with those in use.
 
-    `idle_timeout_s` is after how long targets close an idle connection. The pool does not track connections
-    in use: the caller says how many there are.
+    `idle_timeout_s` is the time after which targets close an idle connection. The pool does not track the
+    connections in use: the caller passes their number as `in_use`.
     """
 
     def __init__(self, max_connections: int, idle_timeout_s: float) -> None:
         self._max_connections, self._idle_timeout_s = max_connections, idle_timeout_s
-        self._idle: dict[Connection, Endpoint] = {}  # the least recently used first
+        self._idle: dict[Connection, Endpoint] = {}  # ordered from the least to the most recently used
 
     def __len__(self) -> int:
         return len(self._idle)
@@ -32,11 +32,14 @@
         return list(self._idle)
 
     def acquire(self, endpoint: Endpoint, is_reusable: Callable[[Connection], bool]) -> Connection | None:
-        """Take the most recently used connection to a target, unless the target may be about to close it."""
+        """Take the most recently used connection to a target for which `is_reusable` is true, if any.
+
+        Connections that the target may be about to close are closed instead.
+        """
         idle_limit_s = max(self._idle_timeout_s - IDLE_TIMEOUT_MARGIN_S, 0.0)
-        oldest = asyncio.get_running_loop().time() - idle_limit_s
+        earliest_idle_since = asyncio.get_running_loop().time() - idle_limit_s
         for connection in reversed(endpoint.idle.copy()):
-            if not (connection.idle_since > oldest and connection.usable):
+            if not (connection.idle_since > earliest_idle_since and connection.usable):
                 self._remove(endpoint, connection)
                 connection.close()
             elif is_reusable(connection):
@@ -64,11 +67,11 @@
             self.take(endpoint).close()
 
     def has_capacity(self, in_use: int) -> bool:
-        """Whether there may be one connection more, with so many in use."""
+        """Whether the limit allows one more connection in addition to the idle ones and `in_use` others."""
         return len(self._idle) + in_use < self._max_connections
 
     def evict(self, in_use: int) -> None:
-        """Close the least recently used connections until the limit is kept, with so many in use."""
+        """Close the least recently used idle connections until the limit allows `in_use` others."""
         while self._idle and in_use + len(self._idle) > self._max_connections:
             connection, endpoint = next(iter(self._idle.items()))
             self._remove(endpoint, connection)
--- a/emberlatch/net/descriptor_limits.py
+++ b/emberlatch/net/descriptor_limits.py
@@ -3,21 +3,22 @@
 from __future__ import annotations
 
 RESERVED_DESCRIPTORS = 32
-"""Descriptors for everything else: standard streams, the loop's own, the listener, the journal's (two while
-it rolls), discovery and notifications (two each while their address changes), files being read, and sockets
-that were accepted or closed in this turn of the loop and are not counted yet."""
+"""Descriptors for everything else: standard streams, the event loop's own, the listener, the journal's files
+(two while it switches to a new one), discovery and notifications (two each while their address changes),
+files being read, and sockets that were accepted or closed in this turn of the event loop and are not counted
+yet."""
 CLIENTS_SHARE = 0.5
-"""Share of the remaining descriptors for client connections; calls get the rest."""
+"""Share of the other descriptors that client connections get; the rest is for calls."""
 
 
-def split_descriptors(descriptors: int, set_aside: int = 0) -> tuple[int, int]:
-    """The maximum numbers of client connections and of calls; `set_aside` descriptors are for other use.
+def split_descriptors(descriptors: int, reserved: int = 0) -> tuple[int, int]:
+    """Return the maximum numbers of client connections and of calls, without `reserved` descriptors.
 
     Raises:
-        ValueError: nothing would remain for clients.
+        ValueError: no descriptor would remain for clients.
     """
-    free = descriptors - RESERVED_DESCRIPTORS - set_aside
+    free = descriptors - RESERVED_DESCRIPTORS - reserved
     clients = int(free * CLIENTS_SHARE)
     if clients < 1:
-        raise ValueError(f"must be over {RESERVED_DESCRIPTORS + set_aside + 1}")
+        raise ValueError(f"must be greater than {RESERVED_DESCRIPTORS + reserved + 1}, got {descriptors}")
     return clients, free - clients
--- a/emberlatch/net/directory_list.py
+++ b/emberlatch/net/directory_list.py
@@ -1,4 +1,4 @@
-"""The directory service's lists: their JSON form, and decoding them to entries and addresses."""
+"""The directory service's lists: their JSON form, and its conversion to and from entries and addresses."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 log = logging.getLogger(__name__)
 
 LIST_DECODE_ERRORS = (ValueError, KeyError, TypeError, AttributeError, OverflowError, RecursionError)
-"""What decoding an invalid list may raise."""
+"""Exceptions that decoding an invalid list may raise."""
 PHASE_OF_STATE = {"SERVING": Phase.READY, "DRAINING": Phase.DRAINING, "DELETED": Phase.GONE}
 STATE_OF_PHASE = {phase: state for state, phase in PHASE_OF_STATE.items()}
 
@@ -45,8 +45,8 @@
     """A decoded list.
 
     Attributes:
-        is_complete: all targets are listed; otherwise only those that changed.
-        addresses: those of the entries, by target.
+        is_complete: whether all targets are listed; otherwise only those that changed are.
+        addresses: the address of each entry, by target.
     """
 
     revision: int
@@ -62,10 +62,10 @@
         self._zones, self._machine_types = zones, machine_types
 
     def decode(self, document: Mapping[str, object]) -> DirectoryList:
-        """Decode a list without its invalid members.
+        """Decode a list; invalid members are logged and omitted.
 
         Raises:
-            one of LIST_DECODE_ERRORS: the list itself is invalid.
+            one of LIST_DECODE_ERRORS: the list as such is invalid.
         """
         received = cast(ListDocument, document)
         revision, is_complete = int(received["revision"]), bool(received["complete"])
@@ -75,8 +75,8 @@
             try:
                 entry = self._decode_entry(member)
                 addresses[entry.target] = parse_address(member["host_port"])
-            except LIST_DECODE_ERRORS as error:  # the rest of the list is valid
-                log.warning("member of the list cannot be read: %r: %r", member, error)
+            except LIST_DECODE_ERRORS as error:  # affects only this member
+                log.warning("directory list: invalid member %r omitted: %r", member, error)
                 continue
             entries.append(entry)
         return DirectoryList(revision, is_complete, tuple(entries), addresses)
@@ -109,10 +109,10 @@
 
 
 def _parse_weight(value: SupportsFloat | str) -> float:
-    """Raises ValueError unless it is a finite number of at least 0."""
+    """Parse a weight; raises ValueError unless it is a finite number of at least 0."""
     number = float(value)
     if not 0 <= number < math.inf:
-        raise ValueError(f"not a size: {value!r}")
+        raise ValueError(f"size must be a finite number of at least 0, got {value!r}")
     return number
 
 
@@ -121,5 +121,5 @@
 
 
 def _index_of(names: Sequence[str], name: str | None) -> int:
-    """The index of a name; the number of names if it is not among them."""
+    """The index of a name in `names`; the number of names if it is not among them."""
     return names.index(name) if isinstance(name, str) and name in names else len(names)
--- a/emberlatch/net/directory_membership.py
+++ b/emberlatch/net/directory_membership.py
@@ -22,7 +22,7 @@
 
 
 class _DiscoveryError(Exception):
-    """A request brought no list; `retry_after` is in seconds, 0 if the service named none."""
+    """A request for a list failed; `retry_after` is the requested delay in seconds, 0 if there is none."""
 
     def __init__(self, failure: Failure, cause: str, retry_after: float = 0.0) -> None:
         super().__init__(cause)
@@ -32,14 +32,13 @@
 class DirectoryMembership:
     """Watches the directory service; `on_update` gets each update with the addresses of its targets.
 
-    `known` is the list that came with the configuration, `callers` the number of forwarders that use the
-    service.
+    `initial_list` is the list in the configuration, `callers` the number of forwarders that use the service.
     """
 
     def __init__(
         self,
         service: Address,
-        known: Mapping[str, object],
+        initial_list: Mapping[str, object],
         settings: Mapping[str, object],
         on_update: Callable[[DirectoryUpdate, Addresses], None],
         tasks: Tasks,
@@ -47,36 +46,44 @@
         callers: int,
         counters: Counters,
     ) -> None:
-        self._service, self._initial_list, self._on_update, self._tasks = service, known, on_update, tasks
+        self._service, self._initial_list, self._on_update, self._tasks = (
+            service,
+            initial_list,
+            on_update,
+            tasks,
+        )
         self._counters = counters
         self._uses_push = settings.get("discovery") != "ask"
         self.codec = DirectoryListCodec(
             cast(Sequence[str], settings.get("failure-domains") or ()),
             cast(Sequence[str], settings.get("machine-types") or ()),
         )
-        self._client = Client(seed, callers=1 if self._uses_push else callers)  # nobody else uses our agent
+        # With push, the agent serves this process only.
+        self._client = Client(seed, callers=1 if self._uses_push else callers)
         self._calls: dict[int, asyncio.Task[None]] = {}
-        self._idle_connection: Connection | None = None  # of the last successful request
+        self._idle_connection: Connection | None = None  # kept for the next request
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Start from the list that came with the configuration; raises one of LIST_DECODE_ERRORS.
+        """Start from the list in the configuration; raises one of LIST_DECODE_ERRORS.
 
-        With push the decision module requests no lists: they come by a watch of an agent on this machine, and
-        all that the agent has received counts as delivered to us.
+        With push the decision module does not request lists: this object watches an agent on the same
+        machine, and everything that the agent has received counts as delivered to this process.
         """
-        known = self.codec.decode(self._initial_list)
-        self._client.known(asyncio.get_running_loop().time(), known.revision)
-        self._on_update(DirectoryUpdate(ListKind.CACHED, known.revision, known.entries), known.addresses)
+        initial = self.codec.decode(self._initial_list)
+        self._client.known(asyncio.get_running_loop().time(), initial.revision)
+        self._on_update(
+            DirectoryUpdate(ListKind.CACHED, initial.revision, initial.entries), initial.addresses
+        )
         if self._uses_push:
             self.watch(True)
 
-    def set_known_list(self, known: Mapping[str, object]) -> None:
-        """Start from this list instead of the one that came with the configuration."""
-        self._initial_list = known
+    def set_initial_list(self, initial_list: Mapping[str, object]) -> None:
+        """Start from this list instead of the one in the configuration."""
+        self._initial_list = initial_list
 
     def close(self) -> None:
-        """Stop all requests; another process continues."""
+        """Cancel all requests, because another process takes over."""
         self._client.watch(False)
         for call in self._calls.values():
             call.cancel()
@@ -85,28 +92,28 @@
         self._keep_connection(None)
 
     def encode_list(self, listed: Sequence[tuple[Entry, Address]]) -> ListDocument:
-        """The list as the service encodes it, for another process to start from."""
+        """Encode a list as the service does, for another process to start from."""
         return self.codec.encode(self._client.revision or 0, listed)
 
     def watch(self, active: bool) -> None:
-        """Start or continue watching for changes; or stop after the current request."""
+        """Watch for changes if `active`; otherwise stop after the current request."""
         self._client.watch(active)
         self._run_client()
 
     def look_up(self) -> None:
-        """Request the complete list once; while that request is in flight, another one is not sent."""
+        """Request the complete list, unless such a request is in flight already."""
         self._client.look_up()
         self._run_client()
 
     def move(self, service: Address) -> None:
-        """Use a service at another address from now on; late answers of the previous one are ignored."""
+        """Use the service at another address from now on, and ignore late answers from the previous one."""
         self._service = service
         self._keep_connection(None)
         self._client.move(asyncio.get_running_loop().time())
         self._run_client()
 
     def _run_client(self) -> None:
-        """Carry out the client's actions, and call it again when its next one is due."""
+        """Carry out the actions of the client that are due, and schedule the next run."""
         loop = asyncio.get_running_loop()
         for action in self._client.act(loop.time()):
             if isinstance(action, Ask):
@@ -122,7 +129,7 @@
     def _drop_call(self, action: Drop) -> None:
         task = self._calls.pop(action.call, None)
         if task is not None and task.cancel():
-            log.info("discovery: a request is dropped")
+            log.info("discovery: request without an answer cancelled")
             self._report_failure()
 
     async def _call(self, ask: Ask) -> None:
@@ -142,11 +149,11 @@
             self._counters.count("lists")
             self._on_update(DirectoryUpdate(kind, received.revision, received.entries), received.addresses)
         else:
-            log.info("discovery: an answer of revision %d is ignored", received.revision)
+            log.info("discovery: late or outdated answer with revision %d ignored", received.revision)
         self._run_client()
 
     def _on_failure(self, call: int, failure: Failure, retry_after: float, cause: str) -> None:
-        log.info("discovery failed: %s", cause)
+        log.info("discovery request to %s:%d failed: %s", *self._service, cause)
         self._counters.count("ask failed")
         if self._client.failed(asyncio.get_running_loop().time(), call, failure, retry_after):
             self._report_failure()
@@ -157,22 +164,22 @@
         self._on_update(DirectoryUpdate(ListKind.FAILED, self._client.revision or 0, overdue=overdue), {})
 
     async def _exchange(self, ask: Ask) -> Response:
-        """Send one request; its connection is kept if it succeeds, and closed otherwise."""
+        """Send one request; keep its connection if it succeeds, otherwise close the connection."""
         connection, succeeded = None if ask.anew else self._idle_connection, False
         if connection is not None:
             self._idle_connection = None
         try:
             if connection is None or not connection.usable:
                 connection = await self._connect()
-            response = await connection.exchange(_request(self._service, ask.question))
+            response = await connection.exchange(_encode_request(self._service, ask.question))
             if response.status != 200:
                 after = _parse_retry_after(response.headers.get("retry-after"))
-                raise _DiscoveryError(Failure.ENDED, f"status {response.status}", after)
+                raise _DiscoveryError(Failure.ENDED, f"status {response.status}, expected 200", after)
             succeeded = True
             return response
         except NoResponseError as error:
             raise _DiscoveryError(Failure.ENDED if error.written else Failure.UNSENT, str(error)) from error
-        finally:  # also when this task is cancelled
+        finally:  # runs also when this task is cancelled
             if connection is not None and not succeeded:
                 connection.close()
             elif connection is not None:
@@ -185,13 +192,13 @@
             raise _DiscoveryError(Failure.UNSENT, repr(error)) from error
 
     def _keep_connection(self, connection: Connection | None) -> None:
-        """Keep a connection for the next request, in place of the previous one; None to keep none."""
+        """Keep a connection for the next request and close the previous one; None to keep none."""
         if self._idle_connection is not None:
             self._idle_connection.close()
         self._idle_connection = connection
 
 
-def _request(service: Address, question: Question) -> bytes:
+def _encode_request(service: Address, question: Question) -> bytes:
     path = "/v1/servers"
     if question.since is not None:
         path += f"?since={question.since}&timeout_ms={question.wait * 1000:.0f}"
--- a/emberlatch/net/endpoint.py
+++ b/emberlatch/net/endpoint.py
@@ -1,4 +1,4 @@
-"""What a carrier knows of one target."""
+"""The state of one target in a carrier."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """A target that is listed, or has a call in flight.
+    """A target that is listed or has a call in flight.
 
     Attributes:
-        closed_from: when the usable grace period of its draining ends, in the loop's time.
-        deregistered: it is no longer listed.
-        idle: its idle connections, the last one used most recently; changed by the connection pool alone.
-        in_flight: number of calls.
+        usable_until: when the usable grace period of its draining ends, in the loop's time;
+            infinite while the target is ready.
+        deregistered: whether the target is no longer listed.
+        idle: the idle connections, the most recently used one last; only the connection pool changes them.
+        in_flight: number of calls in flight.
     """
 
     entry: Entry
     address: Address
-    closed_from: float = math.inf
+    usable_until: float = math.inf
     deregistered: bool = False
     idle: list[Connection] = field(default_factory=list)
     in_flight: int = 0
--- a/emberlatch/net/http_carrier.py
+++ b/emberlatch/net/http_carrier.py
@@ -23,7 +23,8 @@
     "gone": (Result.NOT_EXECUTED, True),
     "exhausted": (Result.NOT_EXECUTED, False),
 }
-"""By its name in the response to a batch: the result of one message, and whether the message is completed."""
+"""For each result name in the response to a batch: the result of the message, and whether the message is
+completed."""
 
 STATUS_RESULTS = {
     200: (Result.OK, True),
@@ -34,12 +35,10 @@
     503: (Result.FULL, False),
     504: (Result.NOT_EXECUTED, False),
 }
-"""By the status of a response: the result of all messages of its call, and whether they are completed.
+"""For each status of a response: the result of all messages of its call, and whether they are completed.
 
-Any other status may come after the messages were executed.
+After any other status the messages may have been executed.
 """
-
-
 UNKNOWN_RESULT = (Result.ERROR, False)
 
 
@@ -51,7 +50,7 @@
 
     def _on_no_response(self, call: Call, error: NoResponseError) -> None:
         if error.status == 200 and len(call.items) == 1:
-            call.complete_all(Result.OK, closed=True)  # a status line with 200 is a delivery
+            call.complete_all(Result.OK, closed=True)  # a status line with 200 confirms the delivery
         else:
             super()._on_no_response(call, error)
 
@@ -67,7 +66,12 @@
         if response.status == 503 and response.headers.get("slots-taken") == "1":
             result = Result.NOT_EXECUTED
         if (result is Result.ERROR and response.status != 500) or response.status in (400, 413):
-            log.warning("target %r answered %d", call.target, response.status)
+            log.warning(
+                "target %r responded with status %d to a call with %d message(s)",
+                call.target,
+                response.status,
+                len(call.items),
+            )
         call.complete_all(result, closed, retry_after_s, report)
 
     def _complete_batch(
@@ -100,22 +104,22 @@
 
 
 def _decode_batch(body: bytes | bytearray) -> Iterator[tuple[str, str]]:
-    """The id and the result of each message, from the response to a batch."""
+    """Yield the id and the result of each message in the response to a batch."""
     for line in body.decode("latin-1").splitlines():
         message_id, _, result = line.strip().partition(" ")
         yield message_id, result.strip()
 
 
 def _load_report(text: str, fields: Sequence[str]) -> Iterator[float]:
-    """The values of a load report in the order of `fields`; nothing if it is absent or invalid."""
+    """Yield the values of a load report in the order of `fields`; nothing if it is absent or invalid."""
     if text:
         values_by_name = dict(pair.strip().partition("=")[::2] for pair in text.split(","))
         try:
             values = [float(values_by_name[name]) for name in fields if name in values_by_name]
         except ValueError:
             values = []
-        # One invalid field makes the report invalid: NaN or infinity would stay in the averages of a route.
+        # One invalid value makes the report invalid: NaN or infinity would stay in the averages of a route.
         if len(values) == len(fields) and all(0 <= value < math.inf for value in values):
             yield from values
         else:
-            log.debug("load report cannot be read: %r", text)
+            log.debug("load report %r ignored: expected non-negative numbers for %s", text, fields)
--- a/emberlatch/net/http_connection.py
+++ b/emberlatch/net/http_connection.py
@@ -13,30 +13,32 @@
 from emberlatch.engine import Address
 from emberlatch.store import MAX_BODY
 
-if TYPE_CHECKING:  # the platform's process does without, see `__main__`
+if TYPE_CHECKING:  # the platform's process does not load it, see `__main__`
     import ssl
 
 MAX_HEAD_BYTES = 16 * 1024
-"""Of the head of a request or a response."""
+"""Maximum size of the head of a request or a response."""
 RESPONSE_COMPLETION_TIMEOUT_S = 0.3
-"""From the first byte of a response to its last one: what is missing then won't come."""
+"""Maximum time from the first byte of a response to its last one; after that it counts as incomplete."""
 
 
 class NoResponseError(Exception):
     """There was no valid response.
 
     Attributes:
-        written: whether all of the request had been sent.
-        status: that of an incomplete response; 0 if none was received.
+        written: whether the request had been sent completely.
+        status: the status of an incomplete response; 0 if none was received.
     """
 
     def __init__(self, written: bool, status: int = 0) -> None:
-        super().__init__(f"no response, request {'written' if written else 'not written'}")
+        super().__init__(
+            f"no valid response, request {'sent completely' if written else 'not sent completely'}"
+        )
         self.written, self.status = written, status
 
 
 class InvalidResponseError(Exception):
-    """The received data is no valid response, whatever may follow."""
+    """The received data cannot become a valid response."""
 
 
 @dataclass(slots=True)
@@ -52,13 +54,13 @@
     """Split `host:port`; raises ValueError if it is anything else."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not 0 < int(port) < 65536:
-        raise ValueError(f"not an address: {text!r}")
+        raise ValueError(f"not an address of the form host:port: {text!r}")
     return host, int(port)
 
 
 def has_unread_data(transport: asyncio.BaseTransport) -> bool:
-    """Whether data, or the end of the stream, has arrived on a connection and was not read yet."""
-    is_unread = transport.get_extra_info("unread")  # of a simulated transport, which has no socket
+    """Whether data or the end of the stream has arrived on a connection and has not been read yet."""
+    is_unread = transport.get_extra_info("unread")  # set by a simulated transport, which has no socket
     if is_unread is not None:
         return bool(is_unread())
     poll = select.poll()
@@ -70,9 +72,9 @@
     """One connection to a server, from connect to close.
 
     Attributes:
-        written: whether all data has left the process.
-        closed: whether it can send no more requests.
-        idle_since: when the connection was last released by its user, in the loop's time.
+        written: whether all data has been passed to the operating system.
+        closed: whether no more requests can be sent on the connection.
+        idle_since: when the connection was last returned to its pool, in the loop's time.
     """
 
     def __init__(self, max_body_bytes: int) -> None:
@@ -83,7 +85,7 @@
         self._pending_response: asyncio.Future[Response] | None = None
         self._completion_timeout: asyncio.TimerHandle | None = None
         self._response_started = self._head_complete = False
-        self._head_bytes = 0  # including those of 1xx responses
+        self._head_bytes = 0  # size of the heads received so far, including those of 1xx responses
         self.written = True
         self.closed = False
         self.idle_since = 0.0
@@ -94,11 +96,12 @@
     ) -> asyncio.Future[Response]:
         """Send a request; the future yields a Response, or raises NoResponseError.
 
-        `is_expected` tells a response to this request from a late or second one to an earlier request.
+        `is_expected` returns whether a response belongs to this request, and is not a late or duplicate
+        response to an earlier one.
         """
         self._response_filter = is_expected
-        # Nothing of the previous response may be taken for this one: its 200 would make a failed call a
-        # delivery. So each exchange has its own parser too.
+        # No part of the previous response may be mistaken for this one: its status 200 would turn a failed
+        # call into a delivery. So each exchange has its own parser as well.
         self._parser, self._response = httptools.HttpResponseParser(self), Response()
         self._response_started, self._head_complete, self._head_bytes = False, False, 0
         pending = self._pending_response = asyncio.get_running_loop().create_future()
@@ -110,44 +113,45 @@
 
     @property
     def usable(self) -> bool:
-        """Whether a request may be sent on it: it is open, and no unrequested data has arrived."""
+        """Whether a request may be sent: the connection is open, and no unrequested data has arrived."""
         if not self.closed and has_unread_data(self._transport):
-            # The unread data belongs to no response, or is the end of the stream. Once a request is sent, the
-            # rest of a duplicate response would be taken for the response to it.
+            # The unread data belongs to no response, or is the end of the stream. If a request were sent, the
+            # rest of a duplicate response would be mistaken for the response to it.
             self.close()
         return not self.closed
 
     @property
     def descriptor(self) -> int | None:
-        """The file descriptor of its socket, if it has one."""
+        """The file descriptor of the socket, if there is one."""
         sock = self._transport.get_extra_info("socket")
         return None if sock is None else int(sock.fileno())
 
     def close(self) -> None:
-        """Abort the connection, also with a request in flight."""
+        """Abort the connection, even if a request is in flight."""
         self.closed = True
         self._transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by the event loop, as are the following methods."""
-        self._transport = cast(asyncio.Transport, transport)  # that of another loop need not be of that class
-        # With a limit of 0, pause and resume report whether bytes are buffered in user space. Under TLS they
-        # report it of that layer alone, which would pause at 0 bytes: `written` then becomes true early, so
-        # that an aborted call may be taken for an executed one, never the other way round.
+        self._transport = cast(asyncio.Transport, transport)  # the simulated loop has a class of its own
+        # With a limit of 0, `pause_writing` and `resume_writing` report whether bytes are buffered in user
+        # space. Under TLS they report the buffer of the TLS layer alone, and a limit of 0 would pause writing
+        # even while that buffer is empty. So under TLS `written` may become true too early: a call that was
+        # not sent completely may then be treated as possibly executed, but never the other way round.
         plain = transport.get_extra_info("sslcontext") is None
         self._transport.set_write_buffer_limits(high=0 if plain else 1)
 
     def pause_writing(self) -> None:
-        """Data is buffered in the process."""
+        """Note that data is buffered in the process."""
         self.written = False
 
     def resume_writing(self) -> None:
-        """All data has been passed to the system."""
+        """Note that all data has been passed to the operating system."""
         self.written = True
 
     def data_received(self, data: bytes) -> None:
-        """Parse received data; data that belongs to no response ends the connection."""
-        if self._pending_response is None:  # no request is in flight: it can only be garbage
+        """Parse received data; close the connection if the data belongs to no response."""
+        if self._pending_response is None:  # no request is in flight, so this is no response
             self.close()
             return
         if not self._head_complete:
@@ -157,7 +161,7 @@
             if not self._head_complete and self._head_bytes > MAX_HEAD_BYTES:
                 raise InvalidResponseError
         except (InvalidResponseError, httptools.HttpParserError, httptools.HttpParserUpgrade):
-            # After a complete response this has no effect on it; otherwise there won't be one.
+            # This does not affect a response that is complete; an incomplete one is lost.
             self._fail(written=True)
             self.close()
             return
@@ -167,11 +171,11 @@
             )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the request in flight, unless its response ends with the connection."""
+        """Fail the request in flight, unless the end of the connection completes its response."""
         headers = self._response.headers
         framed = "content-length" in headers or "transfer-encoding" in headers
         if exc is None and not self.closed and self._head_complete and not framed:
-            self._succeed()  # its body ends with the connection
+            self._succeed()  # a body without a length ends with the connection
         self.closed = True
         self._fail(self.written)
 
@@ -202,7 +206,7 @@
 
     def on_message_begin(self) -> None:
         """Called by the parser, as are the following methods."""
-        if self._pending_response is None:  # the response was complete already: this belongs to no request
+        if self._pending_response is None:  # the response is complete, so this data belongs to no request
             raise InvalidResponseError
         self._response_started, self._head_complete, self._response = True, False, Response()
 
@@ -230,10 +234,10 @@
     def on_message_complete(self) -> None:
         """Complete the request, unless this is an interim or an unexpected response."""
         if self._response.status < 200:
-            self._end_response()  # an interim response: the final one may take long
+            self._end_response()  # an interim response: the final one may arrive much later
             return
         if self._response_filter is not None and not self._response_filter(self._response):
-            self._end_response()  # the expected one may still come
+            self._end_response()  # the expected response may still arrive
             return
         if not self._parser.should_keep_alive():
             self.close()
@@ -246,7 +250,7 @@
     """Open a connection for responses with bodies of at most `max_body_bytes`.
 
     Raises:
-        OSError: it was refused, or not established within `timeout_s` seconds.
+        OSError: the connection was refused, or not established within `timeout_s` seconds.
     """
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(timeout_s):
--- a/emberlatch/net/message_api.py
+++ b/emberlatch/net/message_api.py
@@ -1,4 +1,4 @@
-"""The clients' message API: a `POST` request becomes a submission, the engine's decision its response."""
+"""The clients' message API: turns a `POST` request into a submission, and the decision into its response."""
 
 from __future__ import annotations
 
@@ -33,15 +33,15 @@
         self._reply.send(202)
 
     def rejected(self, retry_after: float) -> None:
-        """Respond 429: rejected, and surely not executed; `retry_after` is in seconds."""
+        """Respond 429: the message is rejected and was not executed; `retry_after` is in seconds."""
         self._reply.send(429, retry_after)
 
     def unavailable(self, retry_after: float | None = None) -> None:
-        """Respond 503: it can't be accepted at present; `retry_after` is in seconds."""
+        """Respond 503: the message can't be accepted at present; `retry_after` is in seconds."""
         self._reply.send(503, retry_after)
 
     def failed(self) -> None:
-        """Respond 500."""
+        """Respond 500: no decision was made because of an internal error."""
         self._reply.send(500)
 
 
@@ -56,7 +56,7 @@
         try:
             self._submit(self._decode(request), HttpResponder(reply))
         except BadMessageError as error:
-            log.debug("bad request: %s", error)
+            log.debug("request to %r answered with status 400: %s", request.path, error)
             reply.send(400)
 
     def _decode(self, request: Request) -> Submission:
@@ -75,14 +75,14 @@
                 inherited=retried == "again",
             )
         except KeyError as error:
-            raise BadMessageError(f"{error.args[0]} is missing") from error
+            raise BadMessageError(f"header {error.args[0]} is missing") from error
 
 
 def parse_destination(envelope: str, find_destination: DestinationLookup) -> int:
     """The number of the destination that `dest` names in an `Envelope` header.
 
     Raises:
-        BadMessageError: any part of the header can't be parsed, or there is no `dest`.
+        BadMessageError: a part of the header can't be parsed, or there is no `dest`.
     """
     parts = [part.strip().partition("=") for part in envelope.split(";")]
     fields = {name: value for name, _, value in parts}
@@ -90,15 +90,15 @@
         raise BadMessageError(f"envelope cannot be read: {envelope[:40]!r}")
     if "dest" not in fields:
         raise BadMessageError("envelope names no dest")
-    known = find_destination(fields["dest"])
-    return known if known is not None else parse_number(fields["dest"])
+    number = find_destination(fields["dest"])
+    return number if number is not None else parse_number(fields["dest"])
 
 
 def parse_number(text: str) -> int:
-    """Parse plain ASCII digits: int() would also accept signs, blanks, underscores and other scripts.
+    """Parse plain ASCII digits; int() would also accept signs, blanks, underscores and other scripts.
 
     Raises:
-        BadMessageError: it is anything else.
+        BadMessageError: the text is anything else, or too long.
     """
     if not (text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS):
         raise BadMessageError(f"not a number: {text[:20]!r}")
--- a/emberlatch/net/notification_sender.py
+++ b/emberlatch/net/notification_sender.py
@@ -13,16 +13,16 @@
 log = logging.getLogger(__name__)
 
 INITIAL_TIMEOUT_S = 0.1
-"""For one attempt. The platform answers at once, and a dead connection must not delay a notice."""
+"""Time-out of the first attempt: the platform responds at once, and no dead connection may delay notices."""
 MAX_TIMEOUT_S = 1.0
-"""Limit of the time-out, which doubles after each attempt without a response."""
+"""Upper limit of the time-out, which doubles after each attempt without a response."""
 RETRY_INTERVAL_S = 0.05
 MAX_BATCH_NOTICES = 500
-"""Notices in one request: about 40 KiB."""
+"""Maximum number of notices in one request, about 40 KiB."""
 
 
 class NotificationSender:
-    """Sends each notice until a 204 confirms it; `confirmed` gets the references of those confirmed."""
+    """Sends each notice until a 204 confirms it; `confirmed` gets the references of confirmed notices."""
 
     def __init__(
         self,
@@ -41,12 +41,12 @@
         self._task = tasks.spawn(self._run())
 
     def add(self, ref: int, notice: CompletionNotice) -> None:
-        """Send a notice as soon as possible."""
+        """Add a notice, to be sent as soon as possible."""
         self._unconfirmed[ref] = json.dumps(notice, separators=(",", ":")).encode() + b"\n"
         self._has_unconfirmed.set()
 
     def move(self, platform: Address) -> None:
-        """Send to another address from now on, also what the previous one has not confirmed."""
+        """Send to another address from now on, including notices that the previous one has not confirmed."""
         self._task.cancel()
         if self._connection is not None:
             self._connection.close()
@@ -54,7 +54,7 @@
         self._task = self._tasks.spawn(self._run())
 
     def close(self) -> None:
-        """Stop sending; another process does."""
+        """Stop sending, because another process takes over."""
         self._task.cancel()
         if self._connection is not None:
             self._connection.close()
@@ -73,12 +73,12 @@
             timeout_s = INITIAL_TIMEOUT_S if status else min(2 * timeout_s, MAX_TIMEOUT_S)
             if status == 204 or (status == 400 and len(refs) == 1):
                 if status == 400:
-                    log.error("the platform cannot read %r", self._unconfirmed[refs[0]])
+                    log.error("notice dropped, rejected with status 400: %r", self._unconfirmed[refs[0]])
                 for ref in refs:
                     del self._unconfirmed[ref]
                 self._confirmed(refs)
             elif status == 400:
-                max_notices = 1  # an unreadable notice must not block the others
+                max_notices = 1  # send one at a time: an invalid notice must not block the others
                 continue
             else:
                 await asyncio.sleep(RETRY_INTERVAL_S)
@@ -87,7 +87,7 @@
                 self._has_unconfirmed.clear()
 
     async def _post(self, body: bytes, timeout_s: float) -> int:
-        """Send one request; returns the status of the response, 0 if there was none."""
+        """Send one request; return the status of the response, 0 if there was none."""
         head = "POST %s HTTP/1.1\r\nHost: %s:%d\r\nContent-Length: %d\r\n\r\n"
         try:
             async with asyncio.timeout(timeout_s):
@@ -96,7 +96,7 @@
                 request = (head % (self._path, *self._platform, len(body))).encode() + body
                 return (await self._connection.exchange(request)).status
         except (OSError, NoResponseError) as error:
-            log.info("notices not confirmed: %r", error)
+            log.info("notices not confirmed by %s:%d: %r", *self._platform, error)
             if self._connection is not None:
                 self._connection.close()
                 self._connection = None
--- a/emberlatch/net/pooled_carrier.py
+++ b/emberlatch/net/pooled_carrier.py
@@ -1,6 +1,6 @@
-"""What all carriers share: targets and their draining, Retry-After, pooled connections, the course of a call.
+"""The base class of carriers: targets and their draining, Retry-After, pooled connections, and running calls.
 
-A carrier adds how a call is encoded and how its response is classified, see `PooledCarrier`.
+A subclass adds how a call is encoded and how its response is classified, see `PooledCarrier`.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 log = logging.getLogger(__name__)
 
 USABLE_DRAIN_GRACE_SHARE = 0.8
-"""Share of a draining target's grace period in which calls are sent; the rest allows for a late loop."""
+"""Share of a draining target's grace period in which calls are sent; the rest is a margin for a late loop."""
 
 
 class PooledCarrier(ABC):
-    """Carries out calls; `report` gets one outcome for each message of each.
+    """Carries out calls; `report` gets one outcome for each message of a call.
 
-    Idle connections are closed where there would be more than `max_connections` with those in use; how many
-    calls are in flight at once is for the decision module to limit.
+    Idle connections are closed when there would be more than `max_connections` together with those in use.
+    The decision module limits the number of calls in flight.
 
-    A call passes through `_prepare`, then through `_request` once it has a connection. Its response goes to
-    `_on_response`; without a valid one, `_on_no_response` is called. The outcome of a message that has none
-    after that is unknown.
+    A call is passed to `_prepare`, then to `_request` once it has a connection. Its response is passed to
+    `_on_response`; without a valid response, `_on_no_response` is called. A message that has no outcome after
+    that gets the result ERROR: it may have been executed.
     """
 
     def __init__(
@@ -49,11 +49,11 @@
         self._settings, self._report, self._tasks = settings, report, tasks
         self._counters = counters or Counters()
         self._targets: dict[bytes, Endpoint] = {}
-        self._deregistered: set[bytes] = set()  # with a call in flight
+        self._deregistered: set[bytes] = set()  # still in `_targets`, because calls are in flight
         self._retry_after = RetryAfterTable()
         self._pool = ConnectionPool(max_connections, settings.connection_idle)
         self._calls_in_flight = 0
-        self._calls: dict[tuple[int, int], Call] = {}  # by message and attempt
+        self._calls: dict[tuple[int, int], Call] = {}  # by message reference and attempt
 
     @property
     def in_flight(self) -> int:
@@ -63,7 +63,7 @@
     def update(self, entries: Sequence[Entry], addresses: Addresses, is_complete: bool) -> None:
         """Apply a membership update; a complete one deregisters all targets that it does not list."""
         now = asyncio.get_running_loop().time()
-        closed_from = now + USABLE_DRAIN_GRACE_SHARE * self._settings.rules.drain_grace
+        usable_until = now + USABLE_DRAIN_GRACE_SHARE * self._settings.rules.drain_grace
         for entry in entries:
             address = addresses[entry.target]
             target = self._targets.setdefault(entry.target, Endpoint(entry, address))
@@ -75,17 +75,17 @@
             if target.deregistered:
                 self._deregistered.add(entry.target)
             ready = entry.phase is Phase.READY
-            target.closed_from = math.inf if ready else min(target.closed_from, closed_from)
+            target.usable_until = math.inf if ready else min(target.usable_until, usable_until)
         for name in self._targets.keys() - addresses.keys() if is_complete else ():
             target = self._targets[name]
-            target.deregistered, target.closed_from = True, min(target.closed_from, closed_from)
+            target.deregistered, target.usable_until = True, min(target.usable_until, usable_until)
             self._deregistered.add(name)
         for name in list(self._deregistered):
             self._remove_if_unused(name)
         self._retry_after.expire(now)
 
     def _remove_if_unused(self, name: bytes) -> None:
-        """Forget a deregistered target without calls: each one is replaced some day, and would be a leak."""
+        """Remove a deregistered target without calls in flight, or replaced targets would accumulate."""
         target = self._targets[name]
         if target.deregistered and not target.in_flight:
             self.close_idle(name)
@@ -93,25 +93,25 @@
             self._deregistered.discard(name)
 
     def entry(self, target: bytes) -> Entry | None:
-        """The list's entry of a target that is listed or has a call in flight."""
-        known = self._targets.get(target)
-        return known.entry if known is not None else None
+        """The directory's entry of a target, if the target is listed or has a call in flight."""
+        endpoint = self._targets.get(target)
+        return endpoint.entry if endpoint is not None else None
 
     def call(self, target: bytes, items: list[CallItem]) -> None:
         """Start a call with one or more messages."""
-        call, known = Call(target, items, lambda outcome: self._report(outcome)), self._targets.get(target)
-        if known is None:
+        call, endpoint = Call(target, items, lambda outcome: self._report(outcome)), self._targets.get(target)
+        if endpoint is None:
             call.complete_all(Result.NOT_EXECUTED)
             return
         self._calls_in_flight += 1
-        known.in_flight += 1
+        endpoint.in_flight += 1
         self._calls.update(((item.ref, item.attempt), call) for item in items)
-        self._tasks.spawn(self._run(known, call))
+        self._tasks.spawn(self._run(endpoint, call))
 
     # Handover to another process.
 
     def export_retry_after(self) -> list[tuple[ExportedScope, float]]:
-        """For each Retry-After its scope, a target or a destination, and its end in the loop's time."""
+        """The scope of each Retry-After, a target or a destination, and its end in the loop's time."""
         return self._retry_after.export()
 
     def import_retry_after(self, exported: Iterable[tuple[ExportedScope, float]]) -> None:
@@ -120,22 +120,26 @@
 
     def apply_retry_after(self, target: bytes, retry_after_s: float) -> None:
         """Apply a Retry-After that another process has just received."""
-        if (known := self._targets.get(target)) is not None:
-            self._set_retry_after(known, retry_after_s)
+        if (endpoint := self._targets.get(target)) is not None:
+            self._set_retry_after(endpoint, retry_after_s)
 
     def redirect_outcomes(self, report: Callable[[Outcome], None]) -> None:
-        """Report all outcomes to another function from now on, also those of calls in flight."""
+        """Report all outcomes to another function from now on, including those of calls in flight."""
         self._report = report
 
     def listed_targets(self) -> list[tuple[Entry, Address]]:
         """The listed targets and their addresses."""
-        return [(known.entry, known.address) for known in self._targets.values() if not known.deregistered]
+        return [
+            (endpoint.entry, endpoint.address)
+            for endpoint in self._targets.values()
+            if not endpoint.deregistered
+        ]
 
     def export_connections(self) -> Iterator[tuple[bytes, int]]:
-        """Target and descriptor of each idle connection, which is closed here once the next is requested."""
-        for name, known in self._targets.items():
-            while known.idle:
-                connection = self._pool.take(known)
+        """Yield target and descriptor of each idle connection; close it when the next one is requested."""
+        for name, endpoint in self._targets.items():
+            while endpoint.idle:
+                connection = self._pool.take(endpoint)
                 if connection.usable and (descriptor := connection.descriptor) is not None:
                     yield name, descriptor
                 connection.close()
@@ -146,21 +150,21 @@
         _, connection = await asyncio.get_running_loop().create_connection(
             lambda: Connection(MAX_BODY), sock=sock
         )
-        known = self._targets.get(target)
-        if known is not None and self._pool.has_capacity(in_use=self._calls_in_flight):
-            self._release(known, connection)
+        endpoint = self._targets.get(target)
+        if endpoint is not None and self._pool.has_capacity(in_use=self._calls_in_flight):
+            self._release(endpoint, connection)
         else:
             connection.close()
 
     def cancel(self, ref: int, attempt: int) -> None:
-        """Cancel one message of a call that was sent; after the last one its connection is closed."""
+        """Cancel one message of a call that was sent; after the last one, close the call's connection."""
         if (call := self._calls.get((ref, attempt))) is not None:
             call.cancel(ref, attempt)
 
     def close_idle(self, target: bytes) -> None:
         """Close the idle connections to a target."""
-        if (known := self._targets.get(target)) is not None:
-            self._pool.close_idle(known)
+        if (endpoint := self._targets.get(target)) is not None:
+            self._pool.close_idle(endpoint)
 
     @abstractmethod
     def _request(self, target: Endpoint, call: Call) -> bytes:
@@ -168,17 +172,20 @@
 
     @abstractmethod
     async def _on_response(self, target: Endpoint, call: Call, response: Response) -> None:
-        """Complete each message by the response; after an exception the outcome of the others is unknown."""
+        """Complete each message by the response; after an exception, the others get the result ERROR."""
 
     def _response_filter(self, call: Call) -> Callable[[Response], bool] | None:
-        """What tells a response to this call from one to an earlier call; None if responses don't say."""
+        """A function that returns whether a response belongs to this call and not to an earlier one.
+
+        None if responses do not identify their call.
+        """
         return None
 
     async def _prepare(self, target: Endpoint, call: Call) -> None:  # noqa: B027
         """Prepare a call before it gets a connection; raises OSError if it can't be sent."""
 
     def _is_wanted(self, call: Call) -> bool:
-        """Whether a call is still to be sent, after it got a connection."""
+        """Whether a call that has got a connection is still to be sent."""
         return True
 
     def _is_reusable(self, connection: Connection, call: Call) -> bool:
@@ -205,10 +212,10 @@
         except OSError as error:
             not_executed = call.connection is None and not call.response_received
             if not not_executed:
-                log.error("call to %r: %r", call.target, error)
+                log.error("call to %r failed, its messages may have been executed: %r", call.target, error)
             call.complete_all(Result.CONNECT_FAILED if not_executed else Result.ERROR)
-        except Exception:  # affects only the messages of this call, which may have been executed
-            log.exception("call to %r failed", call.target)
+        except Exception:  # a fault affects only this call, whose messages may have been executed
+            log.exception("call to %r failed with an unexpected error", call.target)
             call.complete_all(Result.ERROR)
         finally:
             self._calls_in_flight -= 1
@@ -219,13 +226,13 @@
                 self._remove_if_unused(call.target)
 
     async def _exchange(self, target: Endpoint, call: Call) -> Response | None:
-        """Send a call; returns its response, or None if all its messages have an outcome already."""
+        """Send a call; return its response, or None if all its messages have an outcome already."""
         await self._prepare(target, call)
         connection = self._pool.acquire(target, lambda idle: self._is_reusable(idle, call))
         if connection is None and (connection := await self._open_connection(target, call)) is None:
             return None
         if not (call.pending and self._accepts_requests(target) and self._is_wanted(call)):
-            # A Retry-After or a draining arrived while the connection was established, or all messages ended.
+            # While the connection was established, a Retry-After or a drain began, or all messages ended.
             self._release(target, connection)
             call.complete_all(Result.NOT_EXECUTED)
             return None
@@ -240,7 +247,7 @@
         finally:
             self._counters.count("dispatches", by=len(call.items) * (connection.written and not sent_at_once))
             if response_future.cancel():
-                connection.close()  # which frees the slot at the target
+                connection.close()  # closing frees the slot at the target
         if response_future.cancelled():
             return None
         response = response_future.result()
@@ -249,7 +256,7 @@
         return response
 
     async def _open_connection(self, target: Endpoint, call: Call) -> Connection | None:
-        """Connect to a target; None if all messages of the call time out before."""
+        """Connect to a target; return None if all messages of the call time out first."""
         self._pool.evict(in_use=self._calls_in_flight)
         self._counters.count_target(call.target, "connects")
         connecting = asyncio.ensure_future(self._connect(target))
@@ -272,7 +279,7 @@
         self._retry_after.block(self._retry_after_scope(target), until)
 
     def _retry_after_scope(self, target: Endpoint) -> Scope:
-        """What a Retry-After of a target applies to: the target if its kind has separate routes, else its
+        """The scope of a Retry-After from a target: the target if its kind has separate routes, else its
         destination."""
         kind = target.entry.kind
         is_separate = any(self._settings.separate_routes[kind : kind + 1])
@@ -281,4 +288,4 @@
     def _accepts_requests(self, target: Endpoint) -> bool:
         now = asyncio.get_running_loop().time()
         is_blocked = self._retry_after.is_blocked(self._retry_after_scope(target), now)
-        return not is_blocked and now < target.closed_from
+        return not is_blocked and now < target.usable_until
--- a/emberlatch/net/reply.py
+++ b/emberlatch/net/reply.py
@@ -38,10 +38,10 @@
 
     @property
     def closes_after_reply(self) -> bool:
-        """Whether the connection is to be closed although the client would keep it open."""
+        """Whether the connection is to be closed even if the client wants to keep it open."""
 
     def on_valid_request(self) -> None:
-        """The reply shows that the request was valid; called before it is encoded."""
+        """Called before a reply is encoded whose status shows that the request was valid."""
 
     def write_replies(self) -> None:
         """Write the replies that are complete, up to the first one that is not."""
@@ -52,7 +52,7 @@
 
     Attributes:
         data: the encoded response; None until `send` is called.
-        keep_alive: whether the connection stays open after it.
+        keep_alive: whether the connection stays open after this reply.
     """
 
     def __init__(self, writer: ReplyWriter, keep_alive: bool) -> None:
@@ -71,9 +71,9 @@
         body: bytes = b"",
         headers: Mapping[str, str] = NO_HEADERS,
     ) -> None:
-        """Send the response; called once.
+        """Send the response; must be called once only.
 
-        `retry_after` is in seconds. Without `headers` the body is JSON.
+        `retry_after` is in seconds. Without `headers`, a body is declared as JSON.
         """
         writer = self._writer
         if status in VALID_REQUEST_STATUSES:
--- a/emberlatch/net/request_parser.py
+++ b/emberlatch/net/request_parser.py
@@ -16,7 +16,7 @@
 from emberlatch.net.reply import REASON_PHRASES
 
 HEADER_OVERHEAD_BYTES = 4
-"""Of a header line beside its name and value: colon, space and line end."""
+"""Bytes of a header line in addition to its name and value: colon, space and line end."""
 _CONTROL_CHARACTER = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
 
 
@@ -36,11 +36,11 @@
 
     @property
     def max_head_bytes(self) -> int:
-        """Of the request line and all headers."""
+        """Maximum size of the request line and all headers."""
 
     @property
     def max_body_bytes(self) -> int:
-        """Of the body."""
+        """Maximum size of the body."""
 
     @property
     def unique_headers(self) -> Set[str]:
@@ -52,19 +52,19 @@
 
 
 class RequestHandler(Protocol):
-    """What the parser reports to."""
+    """Receives the events of a parser."""
 
     def accepts_request(self) -> bool:
         """Whether another request may be pipelined."""
 
     def on_request_started(self) -> None:
-        """The first byte of a request has arrived."""
+        """Called when the first byte of a request has arrived."""
 
     def on_continue_expected(self) -> None:
-        """The client waits for an interim response before it sends the body."""
+        """Called when the client waits for an interim response before it sends the body."""
 
     def on_request(self, request: Request, keep_alive: bool) -> None:
-        """A complete request has arrived; `keep_alive`: its client wants to send more."""
+        """Called with each complete request; `keep_alive`: the client wants to keep the connection open."""
 
 
 class RequestParser:
@@ -80,14 +80,14 @@
         if limits.allow_obs_fold:
             self._parser.set_dangerous_leniencies(lenient_headers=True)
         self.request: Request | None = None
-        self._partial_head: bytes | None = b""  # the received part of an incomplete head; None if not known
-        self._completed_request = False  # by the current piece of data
-        self._head_bytes = 0  # of pieces that contained a part of the current request's incomplete head
-        self._header_bytes = 0  # of its headers
+        self._partial_head: bytes | None = b""  # the received bytes of an incomplete head; None if unknown
+        self._completed_request = False  # whether the current piece of data completed a request
+        self._head_bytes = 0  # size of all pieces with a part of the current, incomplete head
+        self._header_bytes = 0  # size of the current request's headers
         self._error_status = 400
 
     def feed(self, data: bytes) -> int | None:
-        """Parse received data; returns the status of the reply if it is invalid, else None.
+        """Parse received data; return the status of the reply if the data is invalid, else None.
 
         After invalid data the parser can't be used any more.
         """
@@ -100,8 +100,8 @@
         if request is None or request.headers_complete:
             self._partial_head = b""
             return None
-        # The parser does not give back what it has of an incomplete head; a handover needs it.
-        if self._completed_request:  # the head began somewhere in this piece of data
+        # httptools does not expose the bytes of an incomplete head. A handover needs them, so keep them here.
+        if self._completed_request:  # the incomplete head began somewhere in this piece of data
             self._partial_head = None
         elif self._partial_head is not None:
             self._partial_head += data
@@ -109,7 +109,7 @@
         return 431 if self._head_bytes > self._limits.max_head_bytes else None
 
     def unfinished_data(self) -> bytes | None:
-        """The received bytes of the incomplete request, empty between requests; None if not known."""
+        """The received bytes of the incomplete request, empty between requests; None if they are unknown."""
         if self.request is None or not self.request.headers_complete:
             return self._partial_head
         return self._serialize(self.request)
@@ -148,12 +148,12 @@
         request, limits = self.request, self._limits
         assert request is not None
         self._header_bytes += len(name) + len(value) + HEADER_OVERHEAD_BYTES
-        if self._header_bytes > limits.max_head_bytes:  # `_head_bytes` does not cover a head in one piece
+        if self._header_bytes > limits.max_head_bytes:  # `_head_bytes` excludes a head that came in one piece
             raise self._error(431)
         key = name.decode("latin-1").lower()
         if key in limits.unique_headers and key in request.headers:
             raise self._error(400)
-        # The parser rejects these itself unless it is to accept line folding.
+        # httptools rejects control characters itself, unless it is set to accept line folding.
         if limits.allow_obs_fold and _CONTROL_CHARACTER.search(value):
             raise self._error(400)
         request.headers[key] = value.decode("latin-1")
--- a/emberlatch/net/retry_after.py
+++ b/emberlatch/net/retry_after.py
@@ -1,4 +1,4 @@
-"""Retry-After: parsing the header, and until when no call may be sent."""
+"""Retry-After: parses the header, and keeps until when no call may be sent."""
 
 from __future__ import annotations
 
@@ -6,11 +6,12 @@
 from collections.abc import Iterable
 
 MAX_RETRY_AFTER_S = 3600.0
-"""Limit of a Retry-After, also of an infinite one."""
+"""Upper limit of a Retry-After, which also replaces an infinite one."""
 
 Scope = bytes | int
 """What a Retry-After applies to: a target, or all targets of a destination."""
 ExportedScope = str | int
+"""A scope as it is handed over to another process: a target's name is text."""
 
 
 def parse_retry_after(text: str | None) -> float:
@@ -23,7 +24,7 @@
 
 
 class RetryAfterTable:
-    """Until when each scope is blocked, in the event loop's time; of two times the later one applies."""
+    """Keeps until when each scope is blocked, in the loop's time; of two times the later one applies."""
 
     def __init__(self) -> None:
         self._blocked_until: dict[Scope, float] = {}
@@ -40,21 +41,21 @@
         return self._blocked_until.get(scope, now) > now
 
     def expire(self, now: float) -> None:
-        """Forget what is over."""
+        """Remove scopes that are no longer blocked."""
         self._blocked_until = {scope: until for scope, until in self._blocked_until.items() if until > now}
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Remove all scopes."""
         self._blocked_until.clear()
 
     def export(self) -> list[tuple[ExportedScope, float]]:
-        """All scopes and times for another process; a target's name is text."""
+        """All scopes for another process, with the end of their blocking."""
         return [
             (scope.decode() if isinstance(scope, bytes) else scope, until)
             for scope, until in self._blocked_until.items()
         ]
 
     def apply_exported(self, exported: Iterable[tuple[ExportedScope, float]]) -> None:
-        """Block what another process exported."""
+        """Block the scopes that another process exported."""
         for scope, until in exported:
             self.block(scope.encode() if isinstance(scope, str) else int(scope), float(until))
--- a/emberlatch/net/server.py
+++ b/emberlatch/net/server.py
@@ -20,7 +20,7 @@
 
 HEALTH_PATH = b"/healthz"
 MESSAGES_PATH = b"/messages/"
-"""Followed by the id of a message: its state, if the installation keeps that."""
+"""Prefix of the path of a message's state, followed by its id; served if the installation keeps states."""
 UNIQUE_HEADERS = {
     "content-length",
     "envelope",
@@ -32,13 +32,14 @@
     "x-tenant-id",
     "x-timeout-ms",
 }
-"""Headers that a request may have only once: of two values another reader might use the other one."""
+"""Headers that may occur only once in a request: of two values, other software might use the other one."""
 REQUEST_TIMEOUT_S = 2.0
-"""For the first request of a new connection, for any request to arrive, and for replies to be read."""
+"""Time limit for the first request of a new connection, for the arrival of a complete request, and for a
+client to read its replies."""
 IDLE_TIMEOUT_S = 5.0
-"""Between two requests of a connection."""
+"""Maximum time between two requests of a connection."""
 DRAINING_IDLE_TIMEOUT_S = 0.5
-"""The same while connections are to be closed: for those whose request had arrived, and was not read."""
+"""The same while the server stops or drains: idle connections with unread data are not closed at once."""
 TIMEOUT_CHECK_INTERVAL_S = 0.25
 
 
@@ -48,9 +49,9 @@
     `message_status`, if given, returns the state of the message with an id as JSON, None if it is not known.
 
     Attributes:
-        stopping: each connection is closed after its current request, for good.
-        draining: the same until `drain(False)`.
-        paused: nothing is accepted or read, for a handover.
+        stopping: whether each connection is closed after its current request; never reset.
+        draining: whether connections are closed in the same way until `drain(False)`.
+        paused: whether accepting and reading are paused for a handover.
     """
 
     def __init__(
@@ -81,18 +82,18 @@
         self._acceptor: Acceptor | None = None
 
     def start(self) -> None:
-        """Start to listen; raises OSError if the address can't be bound."""
+        """Start listening; raises OSError if the address can't be bound."""
         listener = self._machine.listen(self._address)
         self._acceptor = Acceptor(listener, lambda: ServerConnection(self), self._tasks)
         asyncio.get_running_loop().call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
 
     def stop(self) -> None:
-        """Close idle connections, and each other one after its reply; new ones are still accepted."""
+        """Close idle connections now, and each other one after its reply; new ones are still accepted."""
         self.stopping = True
         self._close_idle_connections()
 
     def drain(self, active: bool) -> None:
-        """Close connections as `stop` does, while all requests are served; or keep them open again."""
+        """Close connections as `stop` does if `active`; otherwise keep connections open again."""
         self.draining = active
         if active:
             self._close_idle_connections()
@@ -115,13 +116,13 @@
     # Handover to another process.
 
     async def pause(self) -> None:
-        """Accept and read nothing: new data stays in the sockets."""
+        """Stop accepting and reading for a handover; new data stays in the sockets."""
         self.paused = True
         if self._acceptor is not None:
             self._acceptor.pause(True)
         for connection in self._connections():
             connection.pause(True)
-        # At most a few turns of the loop: the protocols of accepted connections are attached.
+        # Wait until each accepted connection has its protocol, which takes a few turns of the loop at most.
         while self._acceptor is not None and self._acceptor.connecting:  # noqa: ASYNC110
             await asyncio.sleep(0)
 
@@ -134,7 +135,7 @@
             connection.pause(False)
 
     def export_connections(self) -> Iterator[ExportedConnection]:
-        """The connections that another process can continue, each closed here once the next is requested."""
+        """Yield the connections that another process can continue; close each when the next is requested."""
         for connection in self._connections():
             if (exported := connection.export()) is not None:
                 yield exported
@@ -147,7 +148,7 @@
         self._acceptor.adopt(sock, lambda: ServerConnection(self, data, proven))
 
     def stop_after_handover(self) -> None:
-        """Another process serves: reject requests on the remaining connections with 503, and close them."""
+        """Stop serving: reject requests on the remaining connections with 503, and close the connections."""
         self.stopping, self.paused = True, False
         self.submit = lambda _, reply: reply.send(503)
         self.close_listener()
@@ -164,12 +165,12 @@
         return bool(len(self.limiter))
 
     def add(self, connection: ServerConnection) -> None:
-        """Track a new connection; over the limit, abort the one that the limiter selects, or the new one."""
+        """Track a new connection; at the limit, abort the one that the limiter selects, or this one."""
         if (evicted := self.limiter.add(connection)) is not None:
             evicted.transport.abort()
 
     def route(self, request: Request, reply: Reply) -> None:
-        """Handle a complete request: messages go to `submit`, others are replied to here."""
+        """Handle a complete request: pass a message to `submit`, and reply to any other request here."""
         path = request.path.partition(b"?")[0]
         if self.message_status is not None and path.startswith(MESSAGES_PATH) and request.method == b"GET":
             status_json = self.message_status(unquote(path[len(MESSAGES_PATH) :].decode("latin-1")))
--- a/emberlatch/net/server_connection.py
+++ b/emberlatch/net/server_connection.py
@@ -16,9 +16,9 @@
 log = logging.getLogger(__name__)
 
 LINGER_S = 0.25
-"""In which a client that is still sending can read why it was rejected."""
+"""Time for a client that is still sending to read the reply to its invalid request, before the abort."""
 MAX_PIPELINED_REQUESTS = 8
-"""Requests of one connection without a reply."""
+"""Maximum number of requests of one connection that have no reply yet."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,8 +26,8 @@
     """An open connection that another process can continue.
 
     Attributes:
-        data: what has been read of an incomplete request.
-        proven: whether it has sent a valid request.
+        data: the bytes of an incomplete request that have been read.
+        proven: whether the client has sent a valid request on the connection.
     """
 
     descriptor: int
@@ -40,7 +40,7 @@
 
     @property
     def paused(self) -> bool:
-        """Whether nothing is to be read, for a handover."""
+        """Whether reading is paused for a handover."""
 
     @property
     def closes_connections(self) -> bool:
@@ -48,7 +48,7 @@
 
     @property
     def request_timeout_s(self) -> float:
-        """For the first request, for any request to arrive, and for replies to be read."""
+        """Time limit for the first request, for a complete request to arrive, and for reading replies."""
 
     @property
     def limiter(self) -> ConnectionLimiter[ServerConnection]:
@@ -67,7 +67,7 @@
     transport: asyncio.Transport
 
     def __init__(self, server: ConnectionOwner, data: bytes = b"", proven: bool = False) -> None:
-        """`data` is what another process has read of a request; `proven`: it has received a valid one."""
+        """`data`: bytes of a request that another process read; `proven`: it has received a valid request."""
         self._server, self._initial_data, self._proven = server, data, proven
         self._parser = RequestParser(server, self)
         self._replies: deque[Reply] = deque()
@@ -79,19 +79,19 @@
 
     @property
     def idle(self) -> bool:
-        """Whether it is between requests."""
+        """Whether the connection is between requests: none is incomplete or has no reply yet."""
         return self._parser.request is None and not self._replies
 
     @property
     def has_unread_data(self) -> bool:
-        """Whether data has arrived that was not read yet."""
+        """Whether data has arrived that has not been read yet."""
         return has_unread_data(self.transport)
 
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Track the connection, and parse the data that another process has read."""
-        self.transport = cast(asyncio.Transport, transport)  # that of another loop need not be of that class
+        self.transport = cast(asyncio.Transport, transport)  # the simulated loop has a class of its own
         self._state_since = asyncio.get_running_loop().time()
         self._server.add(self)
         if self._proven:
@@ -106,22 +106,22 @@
         self._server.limiter.remove(self)
 
     def eof_received(self) -> bool:
-        """The client sends no more; a half-closed connection still gets its replies."""
+        """Note that the client sends no more; return whether to stay open for pending replies."""
         self._received_eof = True
         return bool(self._replies)
 
     def pause_writing(self) -> None:
-        """The client does not read its replies: read none of its requests."""
+        """Stop reading requests while the client does not read its replies."""
         self._writing_paused, self._state_since = True, asyncio.get_running_loop().time()
         self.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """The client has read its replies."""
+        """Resume reading, as the client has read its replies."""
         self._writing_paused = False
         self._resume_reading()
 
     def data_received(self, data: bytes) -> None:
-        """Parse received data in pieces, as the parser buffers all of an incomplete head."""
+        """Parse received data in pieces, because the parser buffers an incomplete head without a limit."""
         transport, parser = self.transport, self._parser
         for start in range(0, len(data), MAX_HEAD_BYTES):
             if not self._rejected and not transport.is_closing():
@@ -136,25 +136,25 @@
         return len(self._replies) < MAX_PIPELINED_REQUESTS
 
     def on_request_started(self) -> None:
-        """The first byte of a request has arrived."""
-        if self._has_responded:  # the time for the first request runs from the start of the connection
+        """Start the time limit of a request when its first byte has arrived."""
+        if self._has_responded:  # the limit of the first request starts with the connection
             self._state_since = asyncio.get_running_loop().time()
 
     def on_continue_expected(self) -> None:
-        """The client waits for an interim response before it sends the body."""
+        """Send the interim response that the client waits for before it sends the body."""
         self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_request(self, request: Request, keep_alive: bool) -> None:
-        """A complete request has arrived; `keep_alive`: its client wants to send more."""
+        """Handle a complete request; `keep_alive`: the client wants to keep the connection open."""
         reply = self._add_reply(keep_alive)
         try:
             self._server.route(request, reply)
-        except Exception:  # affects only this request
-            log.exception("request %s failed", request.headers.get("x-request-id"))
+        except Exception:  # a fault affects only this request
+            log.exception("request %s failed with an unexpected error", request.headers.get("x-request-id"))
             reply.send(500)
 
     def _reject(self, status: int) -> None:
-        """Reply to an invalid request, after the requests before it; all data after it is ignored."""
+        """Reply to an invalid request after all earlier requests, and ignore all data after it."""
         self._rejected, self._parser.request = True, None
         self.transport.pause_reading()
         self._add_reply(keep_alive=False).send(status)
@@ -168,11 +168,11 @@
 
     @property
     def closes_after_reply(self) -> bool:
-        """Whether the connection is to be closed although the client would keep it open."""
+        """Whether the connection is to be closed even if the client wants to keep it open."""
         return self._server.closes_connections
 
     def on_valid_request(self) -> None:
-        """A valid request is being replied to; close the connection that the limiter selects, if any."""
+        """Report a valid request to the limiter; close the connection that the limiter selects, if any."""
         limiter = self._server.limiter
         if self.transport.is_closing():
             limiter.remove(self)
@@ -205,7 +205,7 @@
     # Called by the server.
 
     def pause(self, active: bool) -> None:
-        """Read nothing for now, or continue."""
+        """Stop reading if `active`; otherwise resume."""
         if active:
             self.transport.pause_reading()
         else:
@@ -216,12 +216,12 @@
             self.transport.resume_reading()
 
     def close_if_idle(self) -> None:
-        """Close it unless a request is in progress, or has arrived and would be lost."""
+        """Close the connection, unless a request is in progress, or has arrived and would be lost."""
         if self.idle and not self.has_unread_data:
             self.transport.close()
 
     def check_timeouts(self, now: float, idle_timeout_s: float) -> None:
-        """Close it after a time-out; the reply to an incomplete request is 408."""
+        """Close the connection after a time-out; an incomplete request is replied to with 408."""
         elapsed_s = now - self._state_since
         if self._writing_paused and elapsed_s > self._server.request_timeout_s:
             self.transport.abort()
@@ -231,7 +231,7 @@
             self.transport.close()
 
     def export(self) -> ExportedConnection | None:
-        """What another process needs to continue this connection; None if that is not possible."""
+        """Return what another process needs to continue this connection; None if it can't be continued."""
         transport = self.transport
         busy = self._replies or self._rejected or self._received_eof or self._writing_paused
         if busy or transport.is_closing() or transport.get_write_buffer_size():
--- a/emberlatch/platform/handover.py
+++ b/emberlatch/platform/handover.py
@@ -1,4 +1,4 @@
-"""The hand-over of a forwarder on the platform, to its successor and from its predecessor."""
+"""The handover of a forwarder on the platform, to its successor and from its predecessor."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PlatformHandover:
-    """Freezes a forwarder's parts and hands over what they own; see `takeover.Predecessor`, `Successor`."""
+    """Freezes a forwarder's parts and hands over their state; see `takeover.Predecessor` and `Successor`."""
 
     def __init__(
         self,
@@ -27,16 +27,18 @@
     ) -> None:
         self._engine, self._server, self._carrier = engine, server, carrier
         self._directory, self._notifier = directory, notifier
-        self._report: Callable[[api.Outcome], None] | None = None  # receives outcomes while we are frozen
+        self._report: Callable[[api.Outcome], None] | None = (
+            None  # gets the outcomes while the engine is frozen
+        )
 
-    # To a successor.
+    # Handover to a successor.
 
     async def pause_ingress(self) -> None:
-        """Accept and read nothing: what clients send waits in the sockets."""
+        """Stop accepting and reading; data that clients send stays in the sockets."""
         await self._server.pause()
 
     def freeze(self, report: Callable[[api.Outcome], None]) -> StateSnapshot:
-        """Decide and write no more; the state to hand over. Outcomes of calls go to `report` from now on."""
+        """Stop deciding and writing; return the state to hand over. `report` gets outcomes from now on."""
         module = self._engine.freeze()
         self._report = report
         self._carrier.redirect_outcomes(report)
@@ -44,24 +46,24 @@
         return StateSnapshot(module, self._carrier.export_retry_after(), known)
 
     def thaw(self) -> None:
-        """Continue as before: no process has succeeded."""
+        """Resume after a handover that failed."""
         self._report = None
         self._carrier.redirect_outcomes(self._engine.outcome)
         self._engine.thaw()
         self._server.resume()
 
     def client_connections(self) -> Iterator[tuple[int, ClientConnection]]:
-        """Connections of clients that can be handed over: the descriptor, and what was read from it."""
-        for kept in self._server.export_connections():
-            yield kept.descriptor, ClientConnection(kept.data, kept.proven)
+        """Yield the client connections that can be handed over: the descriptor, and its data and state."""
+        for exported in self._server.export_connections():
+            yield exported.descriptor, ClientConnection(exported.data, exported.proven)
 
     def target_connections(self) -> Iterator[tuple[int, bytes]]:
-        """Idle connections to targets: descriptor and target."""
+        """Yield the descriptor and the target of each idle connection."""
         for target, descriptor in self._carrier.export_connections():
             yield descriptor, target
 
     def begin_drain(self) -> None:
-        """The successor owns the messages: stop all but the calls in flight."""
+        """Stop everything except calls in flight, as the successor owns the messages now."""
         self._directory.close()
         self._notifier.close()
         self._engine.leave()
@@ -69,7 +71,7 @@
 
     @property
     def in_flight(self) -> int:
-        """Calls in flight here, and attempts whose outcomes the predecessor relays."""
+        """Number of calls in flight here, and of attempts whose outcomes the predecessor relays."""
         return self._carrier.in_flight + len(self._engine.relayed)
 
     @property
@@ -77,29 +79,29 @@
         """Whether any client is connected."""
         return self._server.has_clients
 
-    # From a predecessor.
+    # Handover from a predecessor.
 
     def receive(self, received: ReceivedHandover) -> None:
-        """Continue with the predecessor's list of targets and their `Retry-After` times."""
-        self._directory.set_known_list(received.known)
+        """Apply the predecessor's list of targets and their Retry-After times."""
+        self._directory.set_initial_list(received.known)
         self._carrier.import_retry_after(received.blocked_until)
 
     def adopt_client(self, connection: socket.socket, data: bytes, proven: bool) -> None:
-        """Continue with a client's connection, of which `data` was read."""
+        """Continue a client's connection, from which the predecessor has read `data`."""
         self._server.adopt_connection(connection, data, proven)
 
     async def adopt_target_connection(self, target: bytes, connection: socket.socket) -> None:
-        """Continue with an idle connection to a target."""
+        """Continue to use an idle connection to a target."""
         await self._carrier.adopt_connection(target, connection)
 
     def on_relayed_outcome(self, outcome: api.Outcome) -> None:
-        """The outcome of an attempt that was in flight in the predecessor."""
+        """Apply the outcome of an attempt that was in flight in the predecessor."""
         if outcome.retry_after > 0:
             self._carrier.apply_retry_after(outcome.target, outcome.retry_after)
         self._engine.relayed.discard(outcome)
         (self._report or self._engine.outcome)(outcome)
 
     def on_relay_closed(self) -> None:
-        """The predecessor relays no more: attempts without an outcome may have been executed."""
+        """Give relayed attempts without an outcome the result RESET, as they may have been executed."""
         for outcome in self._engine.relayed.as_reset():
             self.on_relayed_outcome(outcome)
