--- a/emberlatch/admission/connection_limiter.py
+++ b/emberlatch/admission/connection_limiter.py
@@ -1,10 +1,10 @@
 """Decides which client connections are kept, and which are closed to free capacity for others.
 
 A connection is unproven until it has sent a valid request. A proven one is kept according to how likely its
-client is to use it again: one that sends requests regularly is spared; one that sent a single request, or has
-been idle for much longer than it used to be, only occupies a connection slot. Clients limit how many
-connections they open; if all of those are idle here, they can open none for a new request. So idle ones are
-closed before all slots are in use, and not only then.
+client is to use it again: one that is used regularly is kept; one on which a single request was sent, or that
+has been idle for much longer than usual, only occupies a connection slot. Clients limit how many connections
+they open; if all of those are idle here, they can open none for a new request. So idle connections are closed
+even before all slots are in use.
 
 Nothing here reads a clock or touches a socket; times are seconds of a monotonic clock.
 """
@@ -17,33 +17,33 @@
 from typing import Generic, Protocol, TypeVar
 
 UNPROVEN_SHARE = 0.25
-"""Share of the slots from which on idle unproven connections are the first to be closed."""
-# Clients hold at most a third of the descriptors for requests, which is 0.69 to 0.76 of the slots at 1,024 to
-# 256 descriptors: if more were kept they could open none for a new request.
+"""With at least this share of the slots, unproven connections are closed first; otherwise proven ones are."""
+# Clients open connections for at most a third of the descriptors, which is 0.69 of the slots with 1,024
+# descriptors and 0.76 with 256. If all of these were kept idle, clients could open none for a new request.
 PROVEN_SHARE = 0.5
-"""Share of the slots over which idle proven connections are closed."""
+"""Share of the slots; idle connections are closed while proven ones occupy more than that."""
 IDLE_GAP_FACTOR = 4.0
 """Multiple of its average request gap after which an idle client is not expected to return."""
 MIN_REQUEST_GAP_S = 0.25
-"""Lower bound of a gap: pipelined or immediate requests say nothing about the next gap."""
+"""Lower bound of a request gap: pipelined or immediate requests do not predict the next gap."""
 ADOPTED_REQUEST_GAP_S = 1.0
-"""Assumed for a connection that another process handed over without its history."""
+"""Assumed average request gap of a connection that another process handed over without its history."""
 GAP_SMOOTHING = 0.3
 """Weight of the latest gap in the moving average."""
 MAX_EVICTION_CANDIDATES = 8
-"""Connections checked for one to close: the first ones are nearly always idle."""
+"""Maximum number of connections checked to find one to close: the first ones are nearly always idle."""
 
 
 class ClientConnection(Protocol):
-    """What the limiter needs to know of a connection."""
+    """The properties of a connection that the limiter uses."""
 
     @property
     def idle(self) -> bool:
-        """Whether it is between requests."""
+        """Whether the connection is between requests."""
 
     @property
     def has_unread_data(self) -> bool:
-        """Whether data has arrived on it that was not read yet; it would be lost with the connection."""
+        """Whether data has arrived that has not been read yet; closing the connection would lose it."""
 
 
 ConnectionT = TypeVar("ConnectionT", bound=ClientConnection)
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class _RequestGaps:
-    """When a client got its last reply, and the average time between its requests; 0 after a single one."""
+    """When a client got its last reply, and the average time between its requests (0 after a single one)."""
 
     last_reply_at: float
     average_s: float = 0.0
@@ -67,9 +67,13 @@
 
     def __init__(self, slots: int, proven_share: float = PROVEN_SHARE) -> None:
         self._slots, self._max_proven = slots, proven_share * slots
-        self._unproven: dict[ConnectionT, None] = {}  # the oldest first
-        self._single_request: dict[ConnectionT, _RequestGaps] = {}  # the least recently used first
-        self._repeated_requests: dict[ConnectionT, _RequestGaps] = {}  # the least recently used first
+        self._unproven: dict[ConnectionT, None] = {}  # ordered from oldest to newest
+        self._single_request: dict[
+            ConnectionT, _RequestGaps
+        ] = {}  # ordered from the least to the most recently used
+        self._repeated_requests: dict[
+            ConnectionT, _RequestGaps
+        ] = {}  # ordered from the least to the most recently used
 
     def __len__(self) -> int:
         return len(self._unproven) + len(self._single_request) + len(self._repeated_requests)
@@ -81,18 +85,18 @@
 
     @property
     def proven(self) -> list[ConnectionT]:
-        """The connections that have sent a valid request."""
+        """The connections on which a valid request was sent."""
         return [*self._single_request, *self._repeated_requests]
 
     def is_proven(self, connection: ConnectionT) -> bool:
-        """Whether it has sent a valid request."""
+        """Whether a valid request was sent on the connection."""
         return connection in self._single_request or connection in self._repeated_requests
 
     def add(self, connection: ConnectionT) -> ConnectionT | None:
-        """Track a new connection; returns the one to be closed for it, if any, which may be itself.
+        """Track a new connection; return the one to be closed for it, if any, which may be the new one.
 
-        Unproven connections have a share of the slots: with more they would displace proven ones, with none
-        each would displace the one before it.
+        Unproven connections have a share of the slots: with a larger one they would displace proven ones,
+        with none each new one would displace the previous one.
         """
         evicted: ConnectionT | None = None
         if len(self) >= self._slots:
@@ -103,7 +107,7 @@
         return evicted
 
     def on_valid_request(self, connection: ConnectionT, now: float) -> ConnectionT | None:
-        """A valid request gets its reply; returns an idle connection to be closed, if any."""
+        """Record that a valid request gets its reply; return an idle connection to be closed, if any."""
         gaps = self._single_request.pop(connection, None) or self._repeated_requests.pop(connection, None)
         self._unproven.pop(connection, None)
         if gaps is None:
@@ -132,7 +136,7 @@
         self._repeated_requests.pop(connection, None)
 
     def _eviction_candidate(self) -> ConnectionT | None:
-        """Which connection is to be closed when all slots are in use; None if all proven ones are busy."""
+        """The connection to be closed when all slots are in use; None if all are proven and busy."""
         unproven = next((other for other in self._unproven if other.idle), None)
         proven = next(
             (other for other in chain(self._single_request, self._repeated_requests) if other.idle), None
@@ -142,7 +146,7 @@
         return first or second or next(iter(self._unproven), None)
 
     def _expendable(self, used: ConnectionT, now: float) -> Iterator[ConnectionT]:
-        """Idle connections that are not expected to be used again, those with a single request first."""
+        """Yield idle connections that will hardly be used again, those with a single request first."""
         for connection in islice(self._single_request, MAX_EVICTION_CANDIDATES):
             if connection is not used and connection.idle and not connection.has_unread_data:
                 yield connection
