--- a/emberlatch/directory/assumed_delivery.py
+++ b/emberlatch/directory/assumed_delivery.py
@@ -1,8 +1,8 @@
 """The deadline by which the service assumes that answers were delivered, whether or not they arrived.
 
 A discovery service that keeps track of what it has sent (docs/design/directory.md, "What counts as
-delivered") expects its clients to act on each answer from some time after the request on. So a request that
-was written and got no answer sets a deadline: a later request must be answered before it.
+delivered") expects its clients to act on each answer within a certain time of the request. So a request that
+was written and got no answer sets a deadline, before which a later request must be answered.
 """
 
 from __future__ import annotations
@@ -13,9 +13,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliveryTerms:
-    """After how many seconds the service assumes that its answer was delivered.
+    """When the service assumes that its answer was delivered.
 
-    After a look-up was requested, after the end of a watch's wait, and after a move to another address.
+    Attributes:
+        after_lookup_s: seconds after the request of a look-up.
+        after_watch_s: seconds after the end of a watch's wait.
+        after_move_s: seconds after a change of the service's address.
     """
 
     after_lookup_s: float = 6.0
@@ -27,7 +30,7 @@
 
 
 class AssumedDelivery:
-    """Requests that may have been answered although no answer arrived; only the earliest deadline is kept."""
+    """The earliest deadline of all requests that may have been answered although no answer arrived."""
 
     def __init__(self, terms: DeliveryTerms = DEFAULT_TERMS) -> None:
         self.terms = terms
@@ -35,17 +38,17 @@
         """When the first of the lost answers counts as delivered; infinite if none was lost."""
 
     def answer_lost(self, sent_at: float, wait_s: float | None) -> None:
-        """No answer arrived to the request sent at `sent_at`.
+        """Record that the request sent at `sent_at` got no answer.
 
-        `wait_s` is how long the service was allowed to hold a watch; None for a look-up.
+        `wait_s` is how long the service was allowed to wait for changes; None for a look-up.
         """
         delay = self.terms.after_lookup_s if wait_s is None else wait_s + self.terms.after_watch_s
         self.deadline = min(self.deadline, sent_at + delay)
 
     def service_moved(self, now: float) -> None:
-        """The service has another address: earlier deadlines are void, the new address sets its own."""
+        """Replace all deadlines by that of the service's new address."""
         self.deadline = now + self.terms.after_move_s
 
     def answer_accepted(self) -> None:
-        """A later request was answered; its answer includes what the lost ones contained."""
+        """Clear the deadline: the answer to a later request includes what the lost answers contained."""
         self.deadline = math.inf
--- a/emberlatch/directory/backoff.py
+++ b/emberlatch/directory/backoff.py
@@ -4,25 +4,27 @@
 
 import random
 
-INITIAL_DELAY_S, MAX_DELAY_S = 0.15, 2.0  # the longest delay without a Retry-After
-RETRIES_BEFORE_DEADLINE = 8.0
+INITIAL_DELAY_S, MAX_DELAY_S = 0.15, 2.0  # first and longest delay without a Retry-After
+RETRIES_BEFORE_DEADLINE = 8.0  # a delay is at most an eighth of the time until the deadline
 MIN_DELAY_S = 0.1
-OVERDUE_DELAY_S = 0.5  # upper bound once the deadline has passed, when haste gains nothing more
+OVERDUE_DELAY_S = 0.5  # upper bound after the deadline, when faster retries are of no use
 SERVICE_TIME_PER_CALL_S = 0.2
-UNSTAGGERED_CALLERS = 3  # so many callers may well send their requests at the same moment
+UNSTAGGERED_CALLERS = 3  # number of callers that may send requests at the same moment
 MAX_ROUND_S = 8.0
 MAX_EXPONENT = 10
-DEADLINE_MARGIN_S = 1.0  # what a Retry-After must leave before the deadline
+DEADLINE_MARGIN_S = 1.0  # minimum time between the end of a Retry-After and the deadline
 
 
 class Backoff:
-    """Doubles with each failure, with jitter over the upper half so that clients do not retry in step, and is
-    capped so that enough retries fit before the deadline: a failed request must not delay a list too long.
+    """Computes delays that double with each failure.
 
-    All of it scales with a ROUND, the time in which the service can answer each of its callers once. Forty
-    callers that send a request at the same moment fill its queue for longer than a request may wait there; if
-    those that failed retry within a second the queue never empties, and none is ever answered. With few
-    callers the round is zero.
+    Jitter over the upper half of a delay prevents clients from retrying in step. A cap leaves time for enough
+    retries before the deadline, so that a failed request does not delay a list too long.
+
+    All delays scale with the *round*, the time in which the service can answer each of its callers once. If
+    forty callers send a request at the same moment, the last ones wait in the service's queue for longer than
+    it allows. If those that failed retry within a second, the queue never empties, and no request is ever
+    answered. With few callers the round is zero.
     """
 
     def __init__(self, seed: int, callers: int = 1) -> None:
@@ -32,11 +34,11 @@
         self._failures = 0
 
     def reset(self) -> None:
-        """A request succeeded: the next delay is the initial one again."""
+        """Return to the initial delay, after a request has succeeded."""
         self._failures = 0
 
     def first_delay_s(self) -> float:
-        """Seconds until the first request after a start or a move, when all callers begin at once."""
+        """Random seconds until the first request after a start or a move, when all callers begin at once."""
         return self._random.uniform(0.0, self.round_s)
 
     def next_delay_s(self, until_deadline_s: float, retry_after_s: float = 0.0) -> float:
@@ -54,7 +56,7 @@
         delay = min(exponential, max(cap, self.round_s / 4)) * self._random.uniform(0.5, 1.0)
         requested = 0.0
         if retry_after_s > 0:
-            # A Retry-After is honoured, unless it left no time for one retry before the deadline.
+            # A Retry-After is shortened if it leaves no time for one retry before the deadline.
             latest = max(until_deadline_s - DEADLINE_MARGIN_S, MIN_DELAY_S)
             requested = min(retry_after_s * self._random.uniform(1.0, 1.3), latest)
         return max(MIN_DELAY_S * self._random.uniform(1.0, 1.5), delay, requested)
--- a/emberlatch/directory/client.py
+++ b/emberlatch/directory/client.py
@@ -7,13 +7,12 @@
 | requesting | answer with an older revision | delayed by the backoff | next, fetch the complete list |
 | requesting | failure | delayed by the backoff | |
 | requesting | time-out | requesting | send a new watch, which supersedes the old one |
-| delayed | the delay is over | requesting | send a watch |
+| delayed | the delay has passed | requesting | send a watch |
 | requesting, delayed | `move()` | requesting | drop all requests, fetch the complete list |
 | requesting, delayed | `watch(False)` | idle after the current request | |
 
-A superseded watch is dropped once its successor is answered or times out. A look-up runs independently beside
-the watch. The caller calls `act` after each event, and again at `due` at
-the latest.
+A superseded watch is dropped when its successor is answered or times out. A look-up runs independently of the
+watch. The caller calls `act` after each event, and no later than at `due`.
 """
 
 from __future__ import annotations
@@ -26,30 +25,40 @@
 from emberlatch.directory.backoff import Backoff
 
 WATCH_WAIT_S = 20.0
-"""How long the service may hold a watch: what a lost answer contained counts as delivered only after that."""
+"""How long the service may wait for changes before it answers a watch.
+
+The contents of a lost answer count as delivered only after this time.
+"""
 WATCH_TIMEOUT_S = 5.0
-"""After which an unanswered watch is sent anew while changes or failures are frequent; doubled each time,
-until the empty answer at the end of the wait comes first and leaves nothing lost."""
+"""Time after which an unanswered watch is sent again, following a change or a failure.
+
+It doubles with each time-out up to the end of the watch's wait. By then the service sends an empty answer,
+and no answer counts as lost.
+"""
 EMPTY_ANSWER_GRACE_S = 0.6
-"""How late the empty answer at the end of a watch's wait may be."""
+"""How long after the end of a watch's wait its empty answer may arrive."""
 LOOKUP_TIMEOUT_S = 2.0
 URGENT_LOOKUP_TIMEOUT_S = 1.0
 WATCH_GAP_S = 0.05
-"""Between two requests of a watch; the service regards it as continued if the next comes within 0.2 s."""
+"""Delay before the next request of a watch, which continues the watch if it arrives within 0.2 s."""
 
 
 class Failure(Enum):
     """How a request ended without an answer that can be accepted."""
 
-    UNSENT = "unsent"  # the connection broke before the last byte was written: the service never saw it
-    ENDED = "ended"  # the connection ended, or the answer was an error
+    UNSENT = "unsent"  # not written completely: the service has not received the request
+    ENDED = "ended"  # the connection ended without an answer, or the answer was an error
     UNREADABLE = "unreadable"  # the answer could not be decoded
 
 
 @dataclass(frozen=True, slots=True)
 class Question:
-    """What a request asks for: the complete list (`since` is None), or changes after a revision, for which
-    the service may wait `wait` seconds."""
+    """The content of a request.
+
+    Attributes:
+        since: the revision after which changes are requested; None to request the complete list.
+        wait: how many seconds the service may wait for changes.
+    """
 
     since: int | None
     wait: float
@@ -57,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """Send a request. `anew`: on a new connection, since the existing one may be dead."""
+    """The action to send a request; `anew`: on a new connection, as the existing one may be dead."""
 
     call: int
     question: Question
@@ -66,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Drop:
-    """Cancel a request: its connection is closed and a late answer is ignored."""
+    """The action to cancel a request: close its connection, and ignore a late answer."""
 
     call: int
 
@@ -86,7 +95,7 @@
 class Client:
     """Decides which requests to send; at most one watch and one look-up are current at a time.
 
-    A watch that timed out stays in flight beside its successor until that one is answered or times out too.
+    A watch that timed out stays in flight until the watch that supersedes it is answered or times out.
     """
 
     def __init__(self, seed: int, terms: DeliveryTerms = DEFAULT_TERMS, callers: int = 1) -> None:
@@ -99,7 +108,7 @@
         self._watch_not_before = -math.inf
         self._calls: dict[int, _Call] = {}
         self._watch_call: int | None = None
-        self._superseded_call: int | None = None  # a watch that timed out: its answer may be on its way
+        self._superseded_call: int | None = None  # a watch that timed out, but may still be answered
         self._lookup_call: int | None = None
         self._last_call = 0
         self._needs_new_connection = False
@@ -118,7 +127,7 @@
         self.revision, self._watch_not_before = revision, now + self._backoff.first_delay_s()
 
     def watch(self, active: bool) -> None:
-        """Watch for changes, or stop after the current request. Idempotent."""
+        """Watch for changes if `active`; otherwise stop after the current request. Idempotent."""
         self._watch_wanted = active
 
     def look_up(self) -> None:
@@ -126,7 +135,7 @@
         self._lookup_wanted = self._lookup_wanted or self._lookup_call is None
 
     def move(self, now: float) -> None:
-        """The service has another address. Revisions are valid only at the address that issued them."""
+        """Start anew at another address; revisions are valid only at the address that issued them."""
         for call in self._calls:
             self._pending_actions.append(Drop(call))
         self._lookup_wanted = self._lookup_wanted or self._lookup_call is not None
@@ -140,22 +149,26 @@
         self.assumed_delivery.service_moved(now)
 
     def answered(self, now: float, call: int, revision: int, complete: bool) -> bool:
-        """An answer was decoded; `complete` says whether it has the complete list or changes.
+        """Handle a decoded answer; `complete`: it contains the complete list, otherwise changes.
 
-        Returns whether the answer is to be accepted and passed on.
+        Returns whether the answer is accepted and is to be passed on.
         """
-        answered = self._calls.pop(call, None)
-        if answered is None:
+        answered_call = self._calls.pop(call, None)
+        if answered_call is None:
             return False
         known = self.revision
-        if known is not None and revision < known and (answered.sent_at < self._accepted_at or not complete):
-            self._reject_older(now, call, answered)
+        if (
+            known is not None
+            and revision < known
+            and (answered_call.sent_at < self._accepted_at or not complete)
+        ):
+            self._reject_older(now, call, answered_call)
             return False
         if revision != known:
             self._watch_timeout_s = self._initial_timeout_s
         self.revision, self._accepted_at = revision, now
         if call == self._watch_call:
-            # Before the deadline is cleared: this answer includes what the superseded watch's would have.
+            # Must precede clearing the deadline, as the answer includes what the superseded watch lost.
             self._drop_superseded()
         self.assumed_delivery.answer_accepted()
         self._backoff.reset()
@@ -163,17 +176,17 @@
         return True
 
     def failed(self, now: float, call: int, failure: Failure, retry_after: float = 0.0) -> bool:
-        """A request failed; `retry_after` is the delay in seconds that the service asked for.
+        """Handle a failed request; `retry_after` is the delay in seconds that the service asked for.
 
-        Returns whether this is a new failure: a dropped or superseded request has been reported before.
+        Returns whether the failure is new: that of a dropped or superseded request was reported before.
         """
-        failed = self._calls.pop(call, None)
-        if failed is None:
+        failed_call = self._calls.pop(call, None)
+        if failed_call is None:
             return False
         if failure is Failure.UNREADABLE:
-            self.revision = None  # its content is unknown, so the complete list is needed
+            self.revision = None  # the contents are unknown, so the complete list is needed
         if failure is not Failure.UNSENT:
-            self._record_lost_answer(failed)
+            self._record_lost_answer(failed_call)
         if call == self._superseded_call:
             self._superseded_call = None
             return False
@@ -183,7 +196,7 @@
     # Actions.
 
     def act(self, now: float) -> list[Action]:
-        """What is to be done now, in order."""
+        """Return the actions that are due now, in order."""
         for number, call in list(self._calls.items()):
             if now >= call.times_out_at:
                 self._time_out(now, number, call)
@@ -197,7 +210,7 @@
 
     @property
     def due(self) -> float:
-        """When `act` must be called at the latest if no event comes before."""
+        """The latest time at which `act` must be called, unless an event occurs before."""
         if self._pending_actions or self._lookup_wanted:
             return -math.inf
         next_watch = self._watch_not_before if self._watch_wanted and self._watch_call is None else math.inf
@@ -209,13 +222,13 @@
 
     # Private.
 
-    def _reject_older(self, now: float, call: int, answered: _Call) -> None:
-        """An answer has an older revision than the list that is known."""
-        if answered.sent_at >= self._accepted_at:
-            # Changes up to an older revision in answer to a newer request: the service has lost its state.
+    def _reject_older(self, now: float, call: int, answered_call: _Call) -> None:
+        """Handle an answer with an older revision than the list that was accepted last."""
+        if answered_call.sent_at >= self._accepted_at:
+            # The answer to a newer request has changes up to an older revision: the service lost its state.
             self.revision = None
             self._retry_later(now, call, 0.0)
-        elif call == self._watch_call:  # a late answer, overtaken by one that was accepted meanwhile
+        elif call == self._watch_call:  # a late answer: another one was accepted after its request
             self._finish(call, now + WATCH_GAP_S)
 
     def _watch_question(self) -> Question:
@@ -233,7 +246,7 @@
         return self._last_call
 
     def _time_out(self, now: float, number: int, call: _Call) -> None:
-        """Drop a look-up; let a watch go on beside a new one that supersedes it."""
+        """Drop a look-up that timed out; keep a watch that timed out, and have a new one supersede it."""
         if number == self._lookup_call:
             self._drop(number)
         else:
@@ -262,7 +275,7 @@
         self._finish(call, now + self._backoff.next_delay_s(until_deadline_s, retry_after))
 
     def _finish(self, call: int, next_watch_at: float) -> None:
-        """A request is over; if it was the current watch, the next one is sent at `next_watch_at`."""
+        """End a request; if it is the current watch, the next one is to be sent at `next_watch_at`."""
         if call == self._lookup_call:
             self._lookup_call = None
         elif call == self._watch_call:
