--- a/emberlatch/operations/__init__.py
+++ b/emberlatch/operations/__init__.py
@@ -1,12 +1,12 @@
 """The operators' interface: an HTTP address of its own for readiness, metrics and draining."""
 
 from emberlatch.operations.handlers import OperatorHandlers
-from emberlatch.operations.http_server import MAX_CONNECTIONS, Endpoint, OperatorServer
+from emberlatch.operations.http_server import MAX_CONNECTIONS, OperatorEndpoint, OperatorServer
 from emberlatch.operations.reload import missing_key, with_reloadable
 
 __all__ = [
     "MAX_CONNECTIONS",
-    "Endpoint",
+    "OperatorEndpoint",
     "OperatorHandlers",
     "OperatorServer",
     "missing_key",
--- a/emberlatch/operations/handlers.py
+++ b/emberlatch/operations/handlers.py
@@ -1,4 +1,4 @@
-"""What the operators' interface serves: readiness, metrics and draining of a forwarder."""
+"""The handlers of the operators' interface: readiness, metrics and draining of a forwarder."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 
 from emberlatch.engine import Engine
 from emberlatch.net.server import Server
-from emberlatch.operations.http_server import Endpoint
+from emberlatch.operations.http_server import OperatorEndpoint
 from emberlatch.operations.metrics import render_metrics
 
 log = logging.getLogger(__name__)
 
 
 class OperatorHandlers:
-    """The handlers of `/ops/...`; each returns status and text of the response."""
+    """The handlers of `/ops/...`; each returns the status and the text of the response."""
 
     def __init__(self, engine: Engine, server: Server) -> None:
         self._engine, self._server = engine, server
         self._serving = False
 
-    def endpoints(self) -> Mapping[bytes, Endpoint]:
+    def endpoints(self) -> Mapping[bytes, OperatorEndpoint]:
         """The handler and the method of each path."""
         return {
-            b"/ops/readiness": Endpoint(b"GET", self.readiness),
-            b"/ops/stats": Endpoint(b"GET", lambda: (HTTPStatus.OK, self.metrics())),
-            b"/ops/drain/start": Endpoint(b"POST", lambda: self.drain(True)),
-            b"/ops/drain/stop": Endpoint(b"POST", lambda: self.drain(False)),
+            b"/ops/readiness": OperatorEndpoint(b"GET", self.readiness),
+            b"/ops/stats": OperatorEndpoint(b"GET", lambda: (HTTPStatus.OK, self.metrics())),
+            b"/ops/drain/start": OperatorEndpoint(b"POST", lambda: self.drain(True)),
+            b"/ops/drain/stop": OperatorEndpoint(b"POST", lambda: self.drain(False)),
         }
 
     def on_started(self) -> None:
-        """The forwarder accepts clients from now on."""
+        """Report readiness from now on, as the forwarder accepts clients."""
         self._serving = True
 
     def readiness(self) -> tuple[int, str]:
-        """200 if this process accepts clients, else 503 with the reason."""
+        """Return 200 if this process accepts clients, else 503 with the reason."""
         if not self._serving:
             return HTTPStatus.SERVICE_UNAVAILABLE, "starting\n"
         if self._server.stopping:
@@ -45,7 +45,7 @@
         return HTTPStatus.OK, "ready\n"
 
     def metrics(self) -> str:
-        """The metrics of this process, one a line."""
+        """Return the metrics of this process, one per line."""
         engine = self._engine
         open_messages = len(engine.messages.open)
         return render_metrics(engine.counters, engine.categories, open_messages, *engine.count_endpoints())
--- a/emberlatch/operations/http_server.py
+++ b/emberlatch/operations/http_server.py
@@ -18,37 +18,37 @@
 MAX_CONNECTIONS = 16
 """Connections that may be open at the same time."""
 REQUEST_TIMEOUT_S = 1.0
-"""In which a request must be complete."""
+"""Time limit for a complete request to arrive."""
 LINGER_S = 0.25
-"""In which a client that is still sending can read its response."""
+"""Time for a client that is still sending to read its response, before the abort."""
 MAX_REQUEST_BYTES = 8 * 1024
 
 
 @dataclass(frozen=True, slots=True)
-class Endpoint:
-    """A request that is served: its method, and the handler that returns status and text of the response."""
+class OperatorEndpoint:
+    """What serves a path: the method, and the handler that returns status and text of the response."""
 
     method: bytes
     handler: Callable[[], tuple[int, str]]
 
 
 class OperatorServer:
-    """Listens for operators and passes each request to the `Endpoint` of its path."""
+    """Listens for operators and passes each request to the `OperatorEndpoint` of its path."""
 
     def __init__(
         self,
         address: Address,
-        endpoints: Mapping[bytes, Endpoint],
+        endpoints: Mapping[bytes, OperatorEndpoint],
         tasks: Tasks,
         machine: Machine = REAL_MACHINE,
     ) -> None:
         self.endpoints = endpoints
         self._address, self._tasks, self._machine = address, tasks, machine
-        self._connections: dict[_Connection, None] = {}  # the oldest first
+        self._connections: dict[_Connection, None] = {}  # ordered from oldest to newest
         self._acceptor: Acceptor | None = None
 
     def start(self) -> None:
-        """Begin to listen; raises OSError if the address cannot be bound."""
+        """Start listening; raises OSError if the address cannot be bound."""
         listener = self._machine.listen(self._address)
         self._acceptor = Acceptor(listener, lambda: _Connection(self), self._tasks)
 
@@ -59,7 +59,7 @@
             self._acceptor = None
 
     def add(self, connection: _Connection) -> None:
-        """Track a connection; over the limit the oldest one is aborted, preferably one with its response."""
+        """Track a connection; at the limit, abort the oldest one, preferably one that was answered."""
         if len(self._connections) >= MAX_CONNECTIONS:
             answered = (other for other in self._connections if other.answered)
             oldest = next(answered, next(iter(self._connections)))
@@ -124,11 +124,11 @@
         else:
             self._handle(endpoint)
 
-    def _handle(self, endpoint: Endpoint) -> None:
+    def _handle(self, endpoint: OperatorEndpoint) -> None:
         try:
             status, text = endpoint.handler()
-        except Exception:  # must not affect other requests
-            log.exception("operator request %r failed", self._path)
+        except Exception:  # a fault affects only this request
+            log.exception("operator request %r failed with an unexpected error", self._path)
             self._respond(HTTPStatus.INTERNAL_SERVER_ERROR)
         else:
             self._respond(HTTPStatus(status), text)
@@ -148,7 +148,7 @@
         head += "Content-Type: text/plain; charset=utf-8\r\n"
         head += f"Allow: {allow.decode()}\r\n" if allow else ""
         self.transport.write((head + "Connection: close\r\n\r\n").encode() + body)
-        # If it were closed with unread data, the connection would be reset and the response might be lost.
+        # Closing with unread data would reset the connection, and the response might be lost.
         self.transport.write_eof()
         if self._timeout is not None:
             self._timeout.cancel()
--- a/emberlatch/operations/metrics.py
+++ b/emberlatch/operations/metrics.py
@@ -11,16 +11,16 @@
     "overload": ("rejected", "journal full", "bounced"),
     "error": ("failed at submission", "dead", "closed by target"),
 }
-"""The counters that each outcome adds up, by their keys in `Counters`; a message has exactly one outcome."""
+"""For each outcome, the keys in `Counters` whose values are added up; a message has exactly one outcome."""
 
 
 def render_metrics(
     counters: Counters, categories: Iterable[str], concurrent: int, targets: int, targets_disabled: int
 ) -> str:
-    """One `app.NAME=VALUE` a line, with each class of the settings and each class that has counters.
+    """Render one `app.NAME=VALUE` per line, for each class in the settings and each class that has counters.
 
-    `concurrent` is the number of messages without an outcome yet; `targets_disabled` is how many of the
-    `targets` get no message at the moment.
+    `concurrent` is the number of messages without an outcome; `targets_disabled` is the number of `targets`
+    that get no messages at the moment.
     """
     metrics: dict[str, int] = {}
     for category in dict.fromkeys([*categories, *sorted(counters.categories())]):
--- a/emberlatch/operations/reload.py
+++ b/emberlatch/operations/reload.py
@@ -19,20 +19,22 @@
     "retry_after",
     "max_retry_after",
 )
-"""Settings that take effect at once. Lists and calls in flight depend on the rest, which needs a restart."""
+"""Settings that take effect at once. The others need a restart: lists and calls in flight depend on them."""
 MEMBER_LIST_KEY = "known"
 """The list of targets: its items differ and are validated one by one, so their keys are not compared."""
 
 
-def with_reloadable(now: api.Settings, new: api.Settings) -> api.Settings:
+def with_reloadable(current: api.Settings, new: api.Settings) -> api.Settings:
     """The current settings with the reloadable ones of `new`."""
-    return replace(now, **{name: getattr(new, name) for name in RELOADABLE_SETTINGS})
+    return replace(current, **{name: getattr(new, name) for name in RELOADABLE_SETTINGS})
 
 
-def missing_key(now: Mapping[str, object], new: Mapping[str, object], path: str = "") -> str | None:
-    """The path of the first key that is in the current file and missing or null in the new one; None if all
-    are there. Each object in a list, such as a class, must have the keys common to all current ones."""
-    for key, value in now.items():
+def missing_key(current: Mapping[str, object], new: Mapping[str, object], path: str = "") -> str | None:
+    """Return the path of the first key of the current file that the new one lacks or sets to null, or None.
+
+    Each object in a list, such as a class, must have the keys that all objects of the current list have.
+    """
+    for key, value in current.items():
         key_path = f"{path}{key}"
         new_value = new.get(key)
         if value is not None and new_value is None:
@@ -51,12 +53,12 @@
     return None
 
 
-def _missing_key_in_list(now: Sequence[object], new: Sequence[object], path: str) -> str | None:
-    """As `missing_key`, for the objects of a list; lists of anything else are not compared."""
-    current = [item for item in now if isinstance(item, Mapping)]
-    if not current or len(current) < len(now):
+def _missing_key_in_list(current: Sequence[object], new: Sequence[object], path: str) -> str | None:
+    """Do the same for the objects of a list; a list with anything else is not compared."""
+    objects = [item for item in current if isinstance(item, Mapping)]
+    if not objects or len(objects) < len(current):
         return None
-    common = {key: value for key, value in current[0].items() if all(key in item for item in current)}
+    common = {key: value for key, value in objects[0].items() if all(key in item for item in objects)}
     for item in new:
         if not isinstance(item, Mapping):
             return path.removesuffix(".")
--- a/emberlatch/platform/__init__.py
+++ b/emberlatch/platform/__init__.py
@@ -1,4 +1,4 @@
-"""One forwarder on the platform: its configuration (EDGE_*) and the parts that serve it there."""
+"""A forwarder on the platform: its configuration (EDGE_*), its parts and its handover."""
 
 from emberlatch.platform.config import ConfigError, PlatformConfig, read_config
 from emberlatch.platform.forwarder import PlatformForwarder
--- a/emberlatch/platform/config.py
+++ b/emberlatch/platform/config.py
@@ -19,47 +19,47 @@
 
 BYTES_PER_MB = 1_000_000
 OPERATOR_DESCRIPTORS = 1 + MAX_CONNECTIONS
-"""Reserved for the operators' interface: its listener and its connections."""
+"""Descriptors reserved for the operators' interface: its listener and its connections."""
 
 
 class ConfigError(Exception):
-    """A setting is missing or invalid; the text names it."""
+    """A setting is missing or invalid; the text contains its name."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformConfig:
-    """What a forwarder is configured with at its start."""
+    """The configuration with which a forwarder starts."""
 
     name: str
     listen: Address
     discovery: Address
     operators: Address | None
-    """Where the operators' interface listens; None if it doesn't."""
+    """The address of the operators' interface; None if there is no such interface."""
     state: Path
     """The folder of the journal."""
     seed: int
     connection_limits: ConnectionLimits
     journal_bytes: int
-    """Limit of all files of the journal."""
+    """Maximum size of all files of the journal together."""
     known: Mapping[str, object]
-    """The list of targets to start with, in the form of the discovery service."""
+    """The initial list of targets, in the form of the discovery service."""
     raw_settings: Mapping[str, object]
     settings: api.Settings
     document: Mapping[str, object] = field(default_factory=dict)
-    """The complete file, to be compared with at a reload."""
+    """The complete file, with which a reload compares a new one."""
 
 
 def read_config(environment: Mapping[str, str]) -> PlatformConfig:
     """Read the configuration file and the folder that the environment names; raises ConfigError."""
     path, state = (str(_required(environment, name)) for name in ("EDGE_CONFIG", "EDGE_STATE"))
     if not os.access(state, os.W_OK | os.X_OK) or not Path(state).is_dir():
-        raise ConfigError(f"EDGE_STATE: {state!r} is not a folder that can be written")
+        raise ConfigError(f"EDGE_STATE: {state!r} is not a writable folder")
     try:
         document = json.loads(Path(path).read_bytes())
     except (OSError, ValueError) as error:
         raise ConfigError(f"EDGE_CONFIG: {error}") from error
     if not isinstance(document, dict):
-        raise ConfigError("EDGE_CONFIG: must hold a JSON object")
+        raise ConfigError(f"EDGE_CONFIG: must contain a JSON object, got {type(document).__name__}")
     limits, settings = _object(document, "limits"), _object(document, "settings")
     operators = _operators_address(document, environment)
     connection_limits = _connection_limits(limits, operators)
@@ -88,7 +88,7 @@
 def _object(section: Mapping[str, object], name: str) -> Mapping[str, object]:
     value = _required(section, name)
     if not isinstance(value, Mapping):
-        raise ConfigError(f"{name}: must be an object")
+        raise ConfigError(f"{name}: must be an object, got {value!r:.40}")
     return value
 
 
@@ -102,7 +102,7 @@
 def _positive(limits: Mapping[str, object], name: str) -> float:
     value = _required(limits, name, "limits.")
     if isinstance(value, bool) or not isinstance(value, int | float) or value <= 0:
-        raise ConfigError(f"limits.{name}: must be a number over 0")
+        raise ConfigError(f"limits.{name}: must be a number greater than 0, got {value!r:.40}")
     return float(value)
 
 
@@ -121,7 +121,7 @@
 
 
 def _operators_address(document: Mapping[str, object], environment: Mapping[str, str]) -> Address | None:
-    """The environment overrides the file, which two processes may share."""
+    """Return the operators' address; the environment overrides the file, which two processes may share."""
     if text := environment.get("EDGE_OPS"):
         try:
             return parse_address(text)
--- a/emberlatch/platform/forwarder.py
+++ b/emberlatch/platform/forwarder.py
@@ -1,4 +1,4 @@
-"""One forwarder on the platform: the gateway's core with the platform's discovery and notifications."""
+"""A forwarder on the platform: the gateway's core with the platform's discovery and notifications."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     """The engine with the platform's ingress, carrier, membership and notifier."""
 
     def __init__(self, config: PlatformConfig, machine: Machine = REAL_MACHINE) -> None:
-        """Raises ValueError if the journal's limit is too low."""
+        """Connect the parts; raises ValueError if the journal's limit is too low."""
         self._discovery = config.discovery
         self._settings, self._document = config.settings, config.document
         self._files = machine.files
@@ -58,7 +58,7 @@
             self.operators = OperatorServer(config.operators, self._handlers.endpoints(), tasks, machine)
 
     def open(self) -> None:
-        """Listen for operators, to whom the forwarder is starting; raises ConfigError."""
+        """Listen for operators, who see the forwarder as starting until `start` ends; raises ConfigError."""
         if self.operators is not None:
             try:
                 self.operators.start()
@@ -66,7 +66,7 @@
                 raise ConfigError(f"ops: {error}") from error
 
     async def start(self, received: ReceivedHandover | None = None) -> None:
-        """Continue with what the journal and the predecessor's state contain, then listen for clients."""
+        """Continue from the journal and the predecessor's state, then listen for clients."""
         if received is not None:
             self.handover.receive(received)
         await self.engine.start(received)
@@ -75,7 +75,7 @@
             self.tasks.spawn(received.follow(self.handover))
 
     async def stop(self) -> None:
-        """Shut down gracefully; what is not completed in time stays in the journal."""
+        """Shut down gracefully; messages that are not completed in time stay in the journal."""
         await self.engine.stop()
         if self.operators is not None:
             self.operators.close()
@@ -83,7 +83,7 @@
     # Reload of the configuration.
 
     def check(self, config: PlatformConfig) -> None:
-        """Validate the parts of a new configuration that are read at a start only.
+        """Validate the parts of a new configuration that are otherwise read only at a start.
 
         Raises ConfigError, ValueError or an error of `DirectoryMembership.codec.decode`.
         """
@@ -93,7 +93,7 @@
         self.directory.codec.decode(config.known)
 
     def is_outdated(self) -> bool:
-        """Whether the file has changed since it was read: a SIGHUP may have gone to the predecessor."""
+        """Whether the file has changed since it was read; its SIGHUP may have gone to the predecessor."""
         try:
             return bool(json.loads(Path(os.environ.get("EDGE_CONFIG", "")).read_bytes()) != self._document)
         except (OSError, ValueError):
@@ -104,17 +104,20 @@
         self._document = config.document
         settings = with_reloadable(self._settings, config.settings)
         if settings != self._settings:
-            log.info("new settings: classes %s", ", ".join(each.name for each in settings.categories))
+            log.info(
+                "new settings applied, with the classes %s",
+                ", ".join(each.name for each in settings.categories),
+            )
             self._settings = settings
             self.engine.apply_settings(settings)
         self.move(config.discovery)
         self.engine.counters.count("reload_success")
 
     def move(self, discovery: Address) -> None:
-        """Discovery, which also receives the notifications, is at another address from now on."""
+        """Use discovery, which also receives the notifications, at another address from now on."""
         if discovery == self._discovery:
             return
-        log.info("discovery moves to %s:%d", *discovery)
+        log.info("discovery address changes from %s:%d to %s:%d", *self._discovery, *discovery)
         self._discovery = discovery
         self.directory.move(discovery)
         self.notifier.move(discovery)
