--- a/emberlatch/net/http_carrier.py
+++ b/emberlatch/net/http_carrier.py
@@ -122,4 +122,4 @@
         if len(values) == len(fields) and all(0 <= value < math.inf for value in values):
             yield from values
         else:
-            log.debug("load report %r ignored: expected non-negative numbers for %s", text, fields)
+            log.debug("load report %r ignored: expected finite numbers of at least 0 for %s", text, fields)
