--- a/tests/admission/test_connection_limiter.py
+++ b/tests/admission/test_connection_limiter.py
@@ -1,4 +1,4 @@
-"""Which connections are kept and which are closed."""
+"""Which client connections the limiter keeps, and which ones it selects to be closed."""
 
 from __future__ import annotations
 
@@ -31,33 +31,33 @@
 
 
 def test_idle_connections_with_a_single_request_are_closed_before_all_slots_are_in_use() -> None:
-    """Their clients may open no more connections: if these were kept, no new request could be sent."""
+    """Clients limit their connections: if all of these stayed open, they could not send a new request."""
     limiter: ConnectionLimiter[StubConnection] = ConnectionLimiter(20)
-    gone = [limiter.on_valid_request(each, 1.0 + n / 10) for n, each in enumerate(connect(limiter, 20))]
-    assert gone[:10] == [None] * 10
-    assert [each.name for each in gone[10:] if each is not None] == [f"c{n}" for n in range(10)]
+    closed = [limiter.on_valid_request(each, 1.0 + n / 10) for n, each in enumerate(connect(limiter, 20))]
+    assert closed[:10] == [None] * 10
+    assert [each.name for each in closed[10:] if each is not None] == [f"c{n}" for n in range(10)]
     assert len(limiter) == 10 == PROVEN_SHARE * 20
 
 
-def test_clients_with_repeated_requests_are_spared() -> None:
+def test_connections_with_repeated_requests_are_kept() -> None:
     limiter: ConnectionLimiter[StubConnection] = ConnectionLimiter(20)
-    often = connect(limiter, 10, "often")
+    repeated = connect(limiter, 10, "often")
     for at in (1.0, 2.0):
-        assert [limiter.on_valid_request(each, at) for each in often] == [None] * 10
-    once = connect(limiter, 4, "once")
-    assert [limiter.on_valid_request(each, 2.1) for each in once] == [None, *once[:3]]
-    assert limiter.proven == [once[3], *often]
+        assert [limiter.on_valid_request(each, at) for each in repeated] == [None] * 10
+    single = connect(limiter, 4, "once")
+    assert [limiter.on_valid_request(each, 2.1) for each in single] == [None, *single[:3]]
+    assert limiter.proven == [single[3], *repeated]
 
 
-def test_one_idle_for_much_longer_than_its_average_gap_is_closed() -> None:
+def test_a_connection_idle_for_much_longer_than_its_average_gap_is_closed() -> None:
     limiter: ConnectionLimiter[StubConnection] = ConnectionLimiter(4)
-    often = connect(limiter, 3)
+    connections = connect(limiter, 3)
     for at in (1.0, 2.0):
-        for each in often[:2]:
+        for each in connections[:2]:
             limiter.on_valid_request(each, at)
-    limiter.on_valid_request(often[2], 2.0)
-    assert limiter.on_valid_request(often[2], 2.0 + IDLE_GAP_FACTOR - 0.1) is None
-    assert limiter.on_valid_request(often[2], 2.0 + IDLE_GAP_FACTOR + 0.1) is often[0]
+    limiter.on_valid_request(connections[2], 2.0)
+    assert limiter.on_valid_request(connections[2], 2.0 + IDLE_GAP_FACTOR - 0.1) is None
+    assert limiter.on_valid_request(connections[2], 2.0 + IDLE_GAP_FACTOR + 0.1) is connections[0]
 
 
 def test_a_busy_connection_or_one_with_unread_data_is_not_closed() -> None:
@@ -74,24 +74,24 @@
 
 def test_unproven_connections_have_a_limited_share_of_the_slots() -> None:
     limiter: ConnectionLimiter[StubConnection] = ConnectionLimiter(8)
-    known = connect(limiter, 4, "known")
-    for each in known:
+    proven = connect(limiter, 4, "known")
+    for each in proven:
         limiter.on_valid_request(each, 1.0)
-    silent = connect(limiter, 4, "silent")
-    assert len(silent) > UNPROVEN_SHARE * 8
-    assert [limiter.add(StubConnection("new")) for _ in range(4)] == silent
-    assert limiter.proven == known
+    unproven = connect(limiter, 4, "silent")
+    assert len(unproven) > UNPROVEN_SHARE * 8
+    assert [limiter.add(StubConnection("new")) for _ in range(4)] == unproven
+    assert limiter.proven == proven
 
 
-def test_with_few_unproven_the_least_recently_used_is_closed() -> None:
+def test_with_few_unproven_connections_the_least_recently_used_proven_one_is_closed() -> None:
     limiter: ConnectionLimiter[StubConnection] = ConnectionLimiter(4, proven_share=1.0)
-    known = connect(limiter, 4, "known")
-    for each in known:
+    proven = connect(limiter, 4, "known")
+    for each in proven:
         limiter.on_valid_request(each, 1.0)
-    assert limiter.add(StubConnection("new")) is known[0]
+    assert limiter.add(StubConnection("new")) is proven[0]
 
 
-def test_if_all_are_busy_the_new_connection_is_closed() -> None:
+def test_if_all_connections_are_busy_the_new_one_is_closed() -> None:
     limiter: ConnectionLimiter[StubConnection] = ConnectionLimiter(2)
     for each in connect(limiter, 2):
         limiter.on_valid_request(each, 1.0)
@@ -114,26 +114,28 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_the_limit_holds_and_every_connection_stays_tracked(seed: int) -> None:
-    """Random events; a proven one is closed before an idle unproven one only if few are unproven."""
-    drawn, slots = random.Random(seed), 32
+def test_under_random_events_the_limit_holds_and_every_open_connection_is_tracked(seed: int) -> None:
+    """A proven connection is closed before an idle unproven one only if few connections are unproven."""
+    rng, slots = random.Random(seed), 32
     limiter: ConnectionLimiter[StubConnection] = ConnectionLimiter(slots)
     open_connections: set[StubConnection] = set()
     now = 0.0
     for number in range(3000):
-        now += drawn.expovariate(50)
-        event = drawn.random()
+        now += rng.expovariate(50)
+        event = rng.random()
         if event < 0.4:
             new, unproven = StubConnection(f"n{number}"), len(limiter.unproven)
-            had_idle = any(each.idle for each in limiter.unproven)
-            victim = limiter.add(new)
+            had_idle_unproven = any(each.idle for each in limiter.unproven)
+            evicted = limiter.add(new)
             open_connections.add(new)
-            if victim is not None:
-                open_connections.discard(victim)
-                many = unproven >= UNPROVEN_SHARE * slots
-                assert not (many and had_idle and victim not in (new,) and victim.name == "proven")
+            if evicted is not None:
+                open_connections.discard(evicted)
+                many_unproven = unproven >= UNPROVEN_SHARE * slots
+                assert not (
+                    many_unproven and had_idle_unproven and evicted not in (new,) and evicted.name == "proven"
+                )
         elif event < 0.8 and open_connections:
-            each = drawn.choice(sorted(open_connections, key=lambda one: one.name + str(id(one))))
+            each = rng.choice(sorted(open_connections, key=lambda one: one.name + str(id(one))))
             each.name = "proven"
             expendable = limiter.on_valid_request(each, now)
             if expendable is not None:
@@ -144,7 +146,7 @@
             open_connections.discard(each)
             limiter.remove(each)
         elif open_connections:
-            each = drawn.choice(sorted(open_connections, key=lambda one: one.name + str(id(one))))
-            each.idle, each.has_unread_data = drawn.random() < 0.7, drawn.random() < 0.2
+            each = rng.choice(sorted(open_connections, key=lambda one: one.name + str(id(one))))
+            each.idle, each.has_unread_data = rng.random() < 0.7, rng.random() < 0.2
         assert len(limiter) == len(open_connections) <= slots
         assert {*limiter.unproven, *limiter.proven} == open_connections
--- a/tests/directory/test_client.py
+++ b/tests/directory/test_client.py
@@ -17,76 +17,76 @@
 )
 
 
-def asked(client: Client, now: float) -> Ask:
-    """The one call that is to be made now."""
+def due_request(client: Client, now: float) -> Ask:
+    """The only request that is due now."""
     (ask,) = (action for action in client.act(now) if isinstance(action, Ask))
     return ask
 
 
-def watching(seed: int = 1) -> tuple[Client, Ask]:
-    """A client that knows revision 5 and has begun to watch at 0."""
+def watching_client(seed: int = 1) -> tuple[Client, Ask]:
+    """A client that knows revision 5, and the watch that it has sent at time 0."""
     client = Client(seed)
     client.known(0.0, 5)
     client.watch(True)
-    return client, asked(client, 0.0)
+    return client, due_request(client, 0.0)
 
 
-def test_a_watch_starts_from_the_known_revision_and_continues_at_once() -> None:
-    client, ask = watching()
+def test_a_watch_starts_from_the_known_revision_and_continues_after_each_answer() -> None:
+    client, ask = watching_client()
     assert ask.question == Question(5, WATCH_WAIT_S)
     assert client.answered(3.0, ask.call, 6, complete=False)
     assert client.due == pytest.approx(3.0 + WATCH_GAP_S) and not client.act(3.0)
-    again = asked(client, client.due)
-    assert again.question == Question(6, WATCH_WAIT_S) and not again.anew
-    client.watch(True)  # said again: nothing changes
+    next_watch = due_request(client, client.due)
+    assert next_watch.question == Question(6, WATCH_WAIT_S) and not next_watch.anew
+    client.watch(True)  # a repeated call changes nothing
     assert not client.act(4.0)
     client.watch(False)
-    assert client.answered(5.0, again.call, 6, complete=False)
+    assert client.answered(5.0, next_watch.call, 6, complete=False)
     assert not client.act(9.0) and client.due == math.inf
 
 
 def test_a_lost_answer_is_requested_again() -> None:
-    """The service is at revision 6; the lost changes are requested again, soon, on a new connection."""
-    client, ask = watching()
+    """The service is at revision 6; the client requests the lost changes soon, on a new connection."""
+    client, ask = watching_client()
     assert client.failed(3.0, ask.call, Failure.ENDED)
     assert client.due < 3.3
-    again = asked(client, client.due)
-    assert again.question.since == 5 and again.anew
+    next_watch = due_request(client, client.due)
+    assert next_watch.question.since == 5 and next_watch.anew
 
 
 def test_with_every_second_answer_lost_each_retry_is_prompt() -> None:
-    client, ask = watching()
+    client, ask = watching_client()
     now = 1.0
     for revision in range(6, 40):
         client.failed(now, ask.call, Failure.ENDED)
         assert client.due < now + 0.3
-        ask = asked(client, client.due)
+        ask = due_request(client, client.due)
         now = client.due - WATCH_TIMEOUT_S + 0.1
         assert client.answered(now, ask.call, revision, complete=False)
         now = client.due
-        ask = asked(client, now)
+        ask = due_request(client, now)
         now += 0.5
 
 
 def test_backoff_grows_but_many_retries_fit_before_the_deadline() -> None:
-    client, ask = watching()
+    client, ask = watching_client()
     now, retries, longest = 1.0, 0, 0.0
     while now < WATCH_WAIT_S + DeliveryTerms().after_watch_s:
         client.failed(now, ask.call, Failure.ENDED)
         longest = max(longest, client.due - now)
         now = client.due
-        ask = asked(client, now)
+        ask = due_request(client, now)
         now += 0.25
         retries += 1
     assert retries > 14 and 1.0 < longest < 2.5
     assert client.overdue(now)
     assert client.answered(now, ask.call, 9, complete=False) and not client.overdue(now)
-    again = asked(client, client.due)
-    client.failed(now + 1, again.call, Failure.ENDED)
+    next_watch = due_request(client, client.due)
+    client.failed(now + 1, next_watch.call, Failure.ENDED)
     assert client.due - (now + 1) < 0.3  # the first success resets the backoff
 
 
-def test_ten_clients_in_step_fall_out_of_step() -> None:
+def test_ten_clients_that_fail_at_the_same_time_retry_at_different_times() -> None:
     backoffs = [Backoff(seed) for seed in range(10)]
     for _ in range(4):
         last = sorted(backoff.next_delay_s(20.0) for backoff in backoffs)
@@ -94,33 +94,35 @@
     assert all(later - sooner < 0.5 for sooner, later in pairwise(last))
 
 
-def test_retry_after_is_honoured_unless_it_passes_the_deadline() -> None:
+def test_a_retry_after_is_respected_unless_it_passes_the_deadline() -> None:
     assert 3.0 <= Backoff(1).next_delay_s(20.0, retry_after_s=3.0) <= 3.9
     assert Backoff(1).next_delay_s(2.5, retry_after_s=30.0) <= 1.5
-    assert Backoff(1).next_delay_s(-5.0, retry_after_s=0.0) >= 0.1  # overdue: soon, but not in a busy loop
+    assert (
+        Backoff(1).next_delay_s(-5.0, retry_after_s=0.0) >= 0.1
+    )  # after the deadline: soon, but not at once
 
 
 def test_a_request_that_was_not_sent_sets_no_deadline() -> None:
-    client, ask = watching()
+    client, ask = watching_client()
     client.failed(1.0, ask.call, Failure.UNSENT)
     assert client.assumed_delivery.deadline == math.inf
-    ask = asked(client, client.due)
+    ask = due_request(client, client.due)
     client.failed(9.0, ask.call, Failure.ENDED)
     assert client.assumed_delivery.deadline < math.inf
 
 
-def test_an_unanswered_watch_is_sent_anew_with_a_doubled_time_out() -> None:
-    client, ask = watching()
+def test_an_unanswered_watch_is_sent_again_with_a_doubled_time_out() -> None:
+    client, ask = watching_client()
     waits = []
     now = 0.0
-    former: list[Ask] = []
+    superseded: list[Ask] = []
     for _ in range(4):
         waits.append(client.due - now)
         now = client.due
-        *drops, again = client.act(now)
-        assert drops == [Drop(call.call) for call in former]  # the one before the last
-        assert isinstance(again, Ask) and again.anew and again.question.since == 5
-        former, ask = [ask], again
+        *drops, next_watch = client.act(now)
+        assert drops == [Drop(call.call) for call in superseded]  # the watch before the previous one
+        assert isinstance(next_watch, Ask) and next_watch.anew and next_watch.question.since == 5
+        superseded, ask = [ask], next_watch
     assert waits == [
         WATCH_TIMEOUT_S,
         2 * WATCH_TIMEOUT_S,
@@ -130,83 +132,83 @@
     assert isinstance(drops[0], Drop)
     assert not client.answered(now, drops[0].call, 9, complete=True)  # dropped: a late answer is ignored
     client.answered(now + WATCH_WAIT_S, ask.call, 5, complete=False)  # an empty answer: no changes
-    asked(client, now + WATCH_WAIT_S + WATCH_GAP_S)
+    due_request(client, now + WATCH_WAIT_S + WATCH_GAP_S)
     assert client.due - now > 2 * WATCH_WAIT_S
     ask = Ask(client._watch_call or 0, Question(5, WATCH_WAIT_S), False)
     client.answered(now + 2 * WATCH_WAIT_S, ask.call, 6, complete=False)  # a change: more may follow
-    asked(client, client.due)
+    due_request(client, client.due)
     assert client.due - now - 2 * WATCH_WAIT_S < WATCH_TIMEOUT_S + 1
 
 
-def test_an_answer_that_crosses_the_next_request_is_accepted() -> None:
-    client, superseded = watching()
-    again = asked(client, WATCH_TIMEOUT_S)
+def test_an_answer_to_a_superseded_watch_is_accepted_and_its_failure_is_not_reported() -> None:
+    client, superseded = watching_client()
+    next_watch = due_request(client, WATCH_TIMEOUT_S)
     assert client.answered(WATCH_TIMEOUT_S + 0.01, superseded.call, 6, complete=False)
     assert client.revision == 6
-    # The same once more does no harm.
-    assert client.answered(WATCH_TIMEOUT_S + 0.02, again.call, 6, complete=False)
-    client, superseded = watching()
-    again = asked(client, WATCH_TIMEOUT_S)
-    # No backoff: its successor is in flight.
+    # The next watch may have the same answer.
+    assert client.answered(WATCH_TIMEOUT_S + 0.02, next_watch.call, 6, complete=False)
+    client, superseded = watching_client()
+    next_watch = due_request(client, WATCH_TIMEOUT_S)
+    # No backoff, as the next watch is in flight.
     assert not client.failed(WATCH_TIMEOUT_S + 0.01, superseded.call, Failure.ENDED)
-    assert client.answered(WATCH_TIMEOUT_S + 0.02, again.call, 6, complete=False)
-    client, superseded = watching()
-    again = asked(client, WATCH_TIMEOUT_S)
-    assert client.answered(WATCH_TIMEOUT_S + 0.01, again.call, 6, complete=False)
+    assert client.answered(WATCH_TIMEOUT_S + 0.02, next_watch.call, 6, complete=False)
+    client, superseded = watching_client()
+    next_watch = due_request(client, WATCH_TIMEOUT_S)
+    assert client.answered(WATCH_TIMEOUT_S + 0.01, next_watch.call, 6, complete=False)
     assert client.act(WATCH_TIMEOUT_S + 0.01) == [Drop(superseded.call)]
-    # The answer includes what that of the superseded watch would have.
+    # The answer includes the contents of the superseded watch's answer.
     assert client.assumed_delivery.deadline == math.inf
 
 
 def test_a_late_answer_older_than_an_accepted_one_is_ignored() -> None:
-    client, watch = watching()
+    client, watch = watching_client()
     client.look_up()
-    look = asked(client, 0.1)
-    assert look.question.since is None and look.anew
+    lookup = due_request(client, 0.1)
+    assert lookup.question.since is None and lookup.anew
     assert client.answered(1.0, watch.call, 8, complete=False)
-    assert not client.answered(1.5, look.call, 7, complete=True)
+    assert not client.answered(1.5, lookup.call, 7, complete=True)
     assert client.revision == 8
 
 
 def test_a_service_that_lost_its_state_is_accepted_with_a_complete_list() -> None:
-    client, ask = watching()
+    client, ask = watching_client()
     assert client.answered(1.0, ask.call, 2, complete=True) and client.revision == 2
-    ask = asked(client, client.due)
+    ask = due_request(client, client.due)
     # Changes up to an older revision than the known one.
     assert not client.answered(2.0, ask.call, 1, complete=False)
-    ask = asked(client, client.due)
+    ask = due_request(client, client.due)
     assert ask.question.since is None
 
 
 def test_an_undecodable_answer_is_followed_by_a_request_for_the_complete_list() -> None:
-    client, ask = watching()
+    client, ask = watching_client()
     client.failed(1.0, ask.call, Failure.UNREADABLE)
-    assert asked(client, client.due).question.since is None
+    assert due_request(client, client.due).question.since is None
 
 
-def test_a_move_during_a_retry() -> None:
-    client, ask = watching()
+def test_after_a_move_earlier_requests_are_ignored_and_many_retries_fit_before_the_deadline() -> None:
+    client, ask = watching_client()
     client.failed(1.0, ask.call, Failure.ENDED)
-    ask = asked(client, client.due)
+    ask = due_request(client, client.due)
     client.move(2.0)
     drop, new = client.act(2.0)
     assert isinstance(drop, Drop) and drop.call == ask.call
     assert isinstance(new, Ask) and new.question.since is None and new.anew
-    assert not client.failed(2.1, ask.call, Failure.ENDED)  # of the old address: no backoff at the new one
+    assert not client.failed(2.1, ask.call, Failure.ENDED)  # at the old address: no backoff at the new one
     assert not client.answered(2.1, ask.call, 99, complete=True)
     assert client.assumed_delivery.deadline == 2.0 + DeliveryTerms().after_move_s
     now, retries = 2.2, 0
     while now < 6.0:
         client.failed(now, new.call, Failure.ENDED)
         now = client.due
-        new = asked(client, now)
+        new = due_request(client, now)
         now, retries = now + 0.1, retries + 1
     assert retries >= 10
     assert client.answered(now, new.call, 3, complete=True) and client.revision == 3
 
 
-def test_a_new_address_without_answers_is_asked_several_times_before_the_deadline() -> None:
-    client, _ = watching()
+def test_a_new_address_that_does_not_answer_gets_several_requests_before_the_deadline() -> None:
+    client, _ = watching_client()
     client.move(1.0)
     client.act(1.0)
     asks, now = 1, 1.0
@@ -215,21 +217,21 @@
     assert asks == 4
 
 
-def test_a_look_up_that_hangs_is_dropped_and_a_move_sends_it_again() -> None:
+def test_an_unanswered_look_up_is_dropped_and_one_in_flight_at_a_move_is_sent_again() -> None:
     client = Client(1)
     client.look_up()
-    look = asked(client, 0.0)
+    lookup = due_request(client, 0.0)
     client.look_up()
-    assert not client.act(1.0)  # one is in flight already
+    assert not client.act(1.0)  # a look-up is in flight already
     assert client.due == LOOKUP_TIMEOUT_S
-    assert client.act(LOOKUP_TIMEOUT_S) == [Drop(look.call)]
+    assert client.act(LOOKUP_TIMEOUT_S) == [Drop(lookup.call)]
     client.look_up()
-    second = asked(client, 3.0)
+    second = due_request(client, 3.0)
     client.move(3.5)
     assert Drop(second.call) in (actions := client.act(3.5)) and any(isinstance(a, Ask) for a in actions)
 
 
-def test_the_earliest_deadline_is_kept() -> None:
+def test_of_several_lost_answers_the_earliest_deadline_is_kept() -> None:
     assumed = AssumedDelivery(DeliveryTerms())
     assumed.answer_lost(1.0, 20.0)
     assert assumed.deadline == 23.0
--- a/tests/directory/test_many_callers.py
+++ b/tests/directory/test_many_callers.py
@@ -16,34 +16,37 @@
 
 @dataclass
 class Service:
-    """Answers requests in order. One that would wait too long is rejected, which takes time too; one that has
-    waited too long fails when its turn comes, and so has cost as much as an answer."""
+    """Answers requests in order.
+
+    A request that would wait too long is rejected, which takes time too. A request that has waited too long
+    fails when it is served, which takes as long as an answer.
+    """
 
     free_at: float = 0.0
-    asked: int = 0
+    requests: int = 0
 
     def ask(self, now: float) -> tuple[float, bool]:
-        """When the request ends, and whether it is answered."""
-        self.asked += 1
-        waits = max(0.0, self.free_at - now)
-        work = ANSWER_TIME_S if waits <= MAX_QUEUE_TIME_S else REJECTION_TIME_S
+        """Send a request; return when it ends, and whether it is answered."""
+        self.requests += 1
+        wait_s = max(0.0, self.free_at - now)
+        work = ANSWER_TIME_S if wait_s <= MAX_QUEUE_TIME_S else REJECTION_TIME_S
         self.free_at = max(now, self.free_at) + work
-        if waits > MAX_QUEUE_TIME_S:
+        if wait_s > MAX_QUEUE_TIME_S:
             return now + 0.03, False
-        late = waits + ANSWER_TIME_S > MAX_QUEUE_TIME_S
-        return now + min(waits + ANSWER_TIME_S, MAX_QUEUE_TIME_S), not late
+        is_late = wait_s + ANSWER_TIME_S > MAX_QUEUE_TIME_S
+        return now + min(wait_s + ANSWER_TIME_S, MAX_QUEUE_TIME_S), not is_late
 
 
 @dataclass
 class Fleet:
-    """Clients that start at the same moment; `answered_at` is when each had its first answer."""
+    """Clients that start at the same moment; `answered_at` has the time of each client's first answer."""
 
     clients: list[Client]
     service: Service = field(default_factory=Service)
     answered_at: dict[int, float] = field(default_factory=dict)
 
-    def play(self, until: float) -> None:
-        events: list[tuple[float, int, int, int, bool]] = []  # when, order, client, call (-1: look), answered
+    def run(self, until: float) -> None:
+        events: list[tuple[float, int, int, int, bool]] = []  # time, order, client, call (-1: none), answered
         order = itertools.count()
         for number, client in enumerate(self.clients):
             client.known(0.0, 0)
@@ -60,26 +63,26 @@
                 client.failed(now, call, Failure.ENDED)
             for action in client.act(now):
                 if isinstance(action, Ask):
-                    end, good = self.service.ask(now)
-                    heapq.heappush(events, (end, next(order), number, action.call, good))
+                    end, is_answered = self.service.ask(now)
+                    heapq.heappush(events, (end, next(order), number, action.call, is_answered))
             if client.due < until:
                 heapq.heappush(events, (max(client.due, now + 1e-6), next(order), number, -1, False))
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_forty_that_start_at_the_same_moment_all_get_an_answer(seed: int) -> None:
+def test_forty_clients_that_start_at_the_same_moment_all_get_an_answer(seed: int) -> None:
     fleet = Fleet([Client(100 * seed + number, callers=40) for number in range(40)])
-    fleet.play(16.0)
+    fleet.run(16.0)
     assert len(fleet.answered_at) == 40
-    assert fleet.service.asked < 100
+    assert fleet.service.requests < 100
 
 
-def test_forty_that_each_behave_as_the_only_caller_keep_the_queue_full() -> None:
-    """What was seen on the bench: no call of a whole day was answered."""
+def test_forty_clients_that_each_assume_to_be_the_only_one_keep_the_queue_full() -> None:
+    """The failure that the round prevents: on the bench no request of a full day was answered."""
     fleet = Fleet([Client(number) for number in range(40)])
-    fleet.play(16.0)
+    fleet.run(16.0)
     assert len(fleet.answered_at) < 30
-    assert fleet.service.asked > 200
+    assert fleet.service.requests > 200
 
 
 @pytest.mark.parametrize("callers", [1, 2, 3])
@@ -90,7 +93,7 @@
     ]
 
 
-def test_the_round_is_bounded_and_limits_retries_near_the_deadline() -> None:
+def test_the_round_is_bounded_and_sets_a_minimum_delay_at_the_deadline() -> None:
     assert Backoff(1, 120).round_s == Backoff(1, 1 << 40).round_s == MAX_ROUND_S
     backoff = Backoff(1, 40)
     assert backoff.round_s == pytest.approx(37 * SERVICE_TIME_PER_CALL_S)
@@ -98,11 +101,11 @@
         assert backoff.next_delay_s(until_deadline_s) >= backoff.round_s / 8
 
 
-def test_after_a_move_all_send_requests_in_time() -> None:
+def test_after_a_move_every_client_sends_a_request_before_the_deadline() -> None:
     for seed in range(20):
         client = Client(seed, callers=120)
         client.known(0.0, 4)
         client.watch(True)
         client.act(10.0)
         client.move(10.0)
-        assert client.due <= 12.0  # its list counts as delivered after 4 s
+        assert client.due <= 12.0  # the list counts as delivered 4 s after the move
--- a/tests/net/test_http_carrier.py
+++ b/tests/net/test_http_carrier.py
@@ -1,4 +1,4 @@
-"""The HTTP carrier with targets on loopback sockets: responses, and the outcomes that they become."""
+"""The HTTP carrier with targets on loopback sockets: which response leads to which outcome."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 
 
 class Caller:
-    """The calling side with one target."""
+    """A carrier with one target, and the outcomes of its calls."""
 
     def __init__(self, address: str) -> None:
         self.outcomes: asyncio.Queue[Outcome] = asyncio.Queue()
         settings = decode_settings(json.dumps(SETTINGS).encode())
         self.carrier = HttpCarrier(settings, 100, self.outcomes.put_nowait, Tasks())
         self.address = parse_address(address)
-        self.listed()
+        self.update_target()
 
-    def listed(self, phase: Phase = Phase.READY) -> None:
+    def update_target(self, phase: Phase = Phase.READY) -> None:
         self.carrier.update([Entry(TARGET, 7, phase)], {TARGET: self.address}, is_complete=True)
 
     async def call(self, *ids: str, timeout: float = 10.0, body: bytes = b"x") -> list[Outcome]:
@@ -62,7 +62,7 @@
         (410, {}, Result.NOT_EXECUTED, True, 0.0),
     ],
 )
-def test_each_response_status_has_its_outcome(
+def test_each_response_status_leads_to_its_outcome(
     status: int, headers: dict[str, Any], result: Result, closed: bool, retry_after_s: float
 ) -> None:
     async def test() -> None:
@@ -77,7 +77,7 @@
     run(test())
 
 
-def test_a_refused_connection_was_not_executed_and_a_silent_target_times_out() -> None:
+def test_a_refused_connection_is_connect_failed_and_an_unanswered_call_is_a_timeout() -> None:
     async def test() -> None:
         (outcome,) = await Caller(f"127.0.0.1:{await free_port()}").call()
         assert outcome.result is Result.CONNECT_FAILED
@@ -85,15 +85,15 @@
             caller = Caller(peer.address)
             (outcome,) = await caller.call(timeout=0.1)
             assert outcome.result is Result.TIMEOUT
-            # Giving up ends the connection, which frees the slot at the target.
+            # After the time-out the carrier closes the connection, which frees the slot at the target.
             seen = await peer.next()
             assert await seen.reader.read() == b""
 
     run(test())
 
 
-def test_a_reset_on_a_used_connection_is_no_delivery() -> None:
-    """Found on sockets: the 200 of the previous call was taken for the response, and messages were lost."""
+def test_a_reset_on_a_reused_connection_is_not_a_delivery() -> None:
+    """Guards against taking the 200 of the previous call for the response, by which messages were lost."""
 
     async def handle(exchange: Exchange) -> None:
         await exchange.answer(200) if exchange.headers["x-request-id"] == "m1" else exchange.reset()
@@ -108,7 +108,7 @@
     run(test())
 
 
-def test_a_request_that_breaks_off_before_its_last_byte_was_not_executed() -> None:
+def test_a_connection_aborted_before_the_last_byte_of_the_request_is_connect_failed() -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read(1)
         writer.transport.abort()
@@ -123,7 +123,7 @@
     run(test())
 
 
-def test_a_status_line_with_200_is_a_delivery_though_the_rest_is_lost() -> None:
+def test_a_status_line_with_200_is_a_delivery_although_the_body_is_incomplete() -> None:
     async def handle(exchange: Exchange) -> None:
         exchange.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab")
         await exchange.writer.drain()
@@ -132,13 +132,13 @@
     async def test() -> None:
         async with Peer(handle) as peer:
             assert (await Caller(peer.address).call())[0].result is Result.OK
-            one, two = await Caller(peer.address).call("a", "b")  # of a batch the whole answer is needed
+            one, two = await Caller(peer.address).call("a", "b")  # a batch needs the complete response
             assert one.result is two.result is Result.RESET
 
     run(test())
 
 
-def test_the_response_to_a_batch_has_each_result_and_its_retry_after_applies() -> None:
+def test_a_batch_response_gives_each_message_its_result_and_its_retry_after_stops_calls() -> None:
     lines = b"a ok\r\nb error\r\nc later\r\nd gone\r\ne exhausted\r\n"
 
     async def test() -> None:
@@ -155,7 +155,9 @@
             assert {o.retry_after for o in outcomes} == {5.0}
             seen = await peer.next()
             assert (seen.path, seen.body[:14]) == ("/v1/messages:batch", b"a k-a 4\r\nhi\r\n\r")
-            assert (await caller.call("f"))[0].result is Result.NOT_EXECUTED  # held back: the wait binds all
+            assert (await caller.call("f"))[
+                0
+            ].result is Result.NOT_EXECUTED  # the Retry-After applies to all messages
             assert peer.exchanges.empty()
 
     run(test())
@@ -175,14 +177,16 @@
         monkeypatch.setattr("emberlatch.net.pooled_carrier.USABLE_DRAIN_GRACE_SHARE", 0.0)
         async with Peer(accept) as peer:
             caller = Caller(peer.address)
-            caller.listed(Phase.DRAINING)
+            caller.update_target(Phase.DRAINING)
             assert (await caller.call())[0].result is Result.NOT_EXECUTED
             assert peer.exchanges.empty()
 
     run(test())
 
 
-def test_connections_are_reused_but_not_near_their_idle_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connection_is_reused_unless_its_idle_timeout_is_about_to_end(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
         async with Peer(accept) as peer:
             caller = Caller(peer.address)
@@ -196,7 +200,7 @@
     run(test())
 
 
-def test_garbage_from_a_target_affects_one_call() -> None:
+def test_an_invalid_response_affects_only_its_own_call() -> None:
     async def handle(exchange: Exchange) -> None:
         if exchange.headers["x-request-id"] == "m1":
             exchange.writer.write(b"\x00garbage\r\n\r\n")
@@ -214,11 +218,11 @@
 
 INVALID_RESPONSES = [
     b"\x00\x07noise",
-    b"HTTP/1.1 503 X\r\nRetry-After",  # a head that does not end
+    b"HTTP/1.1 503 X\r\nRetry-After",  # an incomplete head
     b"HTTP/1.1 503 X\r\nContent-Length: 500\r\n\r\nshort",
     b"HTTP/1.1 503 X\r\nContent-Length: -1\r\n\r\n",
     b"HTTP/1.1 500 X\r\nContent-Length: 3000000000\r\n\r\n" + bytes(1000),
-    b"HTTP/1.1 503 X\r\n\r\n" + bytes(200_000),  # no length, and over any that is allowed
+    b"HTTP/1.1 503 X\r\n\r\n" + bytes(200_000),  # no length, and a body over the limit
     b"HTTP/1.1 503 X\r\nA: " + b"a" * 40_000,
     b"HTTP/1.1 503 X\r\nContent-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n",
     b"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
@@ -226,8 +230,8 @@
 
 
 @pytest.mark.parametrize("answer", INVALID_RESPONSES)
-def test_after_an_invalid_response_the_outcome_is_unknown_and_the_connection_closed(answer: bytes) -> None:
-    """The target keeps the connection open: only closing it frees the slot there before the time-out."""
+def test_after_an_invalid_response_the_outcome_is_reset_and_the_connection_is_closed(answer: bytes) -> None:
+    """The target keeps the connection open: only closing it here frees the slot before the time-out."""
 
     async def handle(exchange: Exchange) -> None:
         if exchange.headers["x-request-id"] != "m1":
@@ -239,7 +243,7 @@
     async def test() -> None:
         async with Peer(handle) as peer:
             caller = Caller(peer.address)
-            assert (await caller.call("m0"))[0].result is Result.OK  # what came before does not speak for it
+            assert (await caller.call("m0"))[0].result is Result.OK  # this success must not count for m1
             assert (await caller.call("m1"))[0].result is Result.RESET
             assert (await caller.call("m2"))[0].result is Result.OK
             assert peer.connections == 2
@@ -260,9 +264,8 @@
             caller = Caller(peer.address)
             (outcome,) = await caller.call("m1")
             assert (outcome.result, outcome.closed) == (Result.OK, True)
-            assert {o.result for o in await caller.call("a", "b")} == {
-                Result.RESET
-            }  # of several it says nothing
+            # For a batch the status line alone confirms nothing.
+            assert {o.result for o in await caller.call("a", "b")} == {Result.RESET}
 
     run(test())
 
@@ -286,10 +289,10 @@
     async def test() -> None:
         async with Peer(handle) as peer:
             caller = Caller(peer.address)
-            assert (await caller.call("m1"))[0].result is Result.FULL  # a good answer all the same
+            assert (await caller.call("m1"))[0].result is Result.FULL  # the response itself is valid
             if late:
                 (connection,) = caller.carrier._pool.idle
-                while connection.usable:  # until the rest has come
+                while connection.usable:  # until the extra data has arrived
                     await asyncio.sleep(0.001)
             assert (await caller.call("m2"))[0].result is Result.OK
             assert peer.connections == 2
@@ -300,9 +303,8 @@
 def test_interim_responses_are_ignored() -> None:
     async def handle(exchange: Exchange) -> None:
         exchange.writer.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n")
-        await asyncio.sleep(
-            2 * RESPONSE_COMPLETION_TIMEOUT_S
-        )  # the time for the rest of an answer does not run between two
+        # The time limit for completing a response does not run between two responses.
+        await asyncio.sleep(2 * RESPONSE_COMPLETION_TIMEOUT_S)
         await exchange.answer(429, Retry_After="0.5")
 
     async def test() -> None:
@@ -328,7 +330,9 @@
 @pytest.mark.parametrize(
     ("text", "retry_after_s"), [("nan", 0.0), ("-1", 0.0), ("soon", 0.0), ("inf", 3600.0)]
 )
-def test_an_invalid_retry_after_is_ignored_and_an_infinite_one_cut(text: str, retry_after_s: float) -> None:
+def test_an_invalid_retry_after_is_ignored_and_an_infinite_one_limited(
+    text: str, retry_after_s: float
+) -> None:
     async def test() -> None:
         async with Peer(respond_with(429, Retry_After=text)) as peer:
             assert (await Caller(peer.address).call())[0].retry_after == retry_after_s
@@ -346,25 +350,25 @@
                 caller.carrier.update([Entry(name, 7)], {name: caller.address}, is_complete=True)
                 caller.carrier.call(name, [CallItem(0, 0, "x", "", b"", 10.0)])
                 await caller.outcomes.get()
-                caller.listed()
+                caller.update_target()
             await caller.call()
-            await asyncio.sleep(0.002)  # the last wait is over
-            caller.listed()
+            await asyncio.sleep(0.002)  # the last Retry-After has ended
+            caller.update_target()
             assert len(caller.carrier._targets) == 1
             assert not caller.carrier._retry_after and len(caller.carrier._pool) <= 1
-            # A late call to one that is gone never ran.
+            # A call to a target that is no longer listed is not executed.
             caller.carrier.call(b"s-3", [CallItem(0, 0, "late", "", b"", 10.0)])
             assert (await caller.outcomes.get()).result is Result.NOT_EXECUTED
 
     run(test())
 
 
-def test_a_call_in_flight_to_a_deregistered_target_has_its_outcome() -> None:
+def test_a_call_in_flight_to_a_deregistered_target_gets_its_outcome() -> None:
     async def test() -> None:
-        go = asyncio.Event()
+        may_respond = asyncio.Event()
 
         async def handle(exchange: Exchange) -> None:
-            await go.wait()
+            await may_respond.wait()
             await exchange.answer(200)
 
         async with Peer(handle) as peer:
@@ -372,7 +376,7 @@
             call = asyncio.ensure_future(caller.call())
             await peer.next()
             caller.carrier.update([], {}, is_complete=True)
-            go.set()
+            may_respond.set()
             assert (await call)[0].result is Result.OK
             await asyncio.sleep(0)
             assert not caller.carrier._targets
@@ -380,33 +384,33 @@
     run(test())
 
 
-def test_a_message_that_times_out_while_its_call_connects_has_its_outcome_at_once(
+def test_a_message_that_times_out_while_its_call_connects_gets_its_outcome_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Found on sockets: in a call with others it waited for the connection, and its outcome was late."""
+    """Guards against a late outcome: a message in a call with others used to wait for the connection."""
 
     async def test() -> None:
         async with Peer(accept) as peer:
-            caller, up = Caller(peer.address), asyncio.Event()
+            caller, may_connect = Caller(peer.address), asyncio.Event()
 
-            async def slow(address: Address, timeout: float) -> Connection:
-                await up.wait()
+            async def connect_late(address: Address, timeout: float) -> Connection:
+                await may_connect.wait()
                 return await connect(address, timeout)
 
-            monkeypatch.setattr("emberlatch.net.pooled_carrier.connect", slow)
+            monkeypatch.setattr("emberlatch.net.pooled_carrier.connect", connect_late)
             items = [CallItem(0, 0, "brief", "", b"x", 0.02), CallItem(1, 0, "long", "", b"x", 10.0)]
             caller.carrier.call(TARGET, items)
             first = await caller.outcomes.get()
             assert (first.ref, first.result) == (0, Result.CONNECT_FAILED)
-            up.set()
+            may_connect.set()
             second = await caller.outcomes.get()
             assert (second.ref, second.result) == (1, Result.OK)
-            assert (await peer.next()).headers["x-request-id"] == "long"  # it goes alone
+            assert (await peer.next()).headers["x-request-id"] == "long"  # the other message is not sent
 
     run(test())
 
 
-def test_a_cancelled_call_has_an_unknown_outcome_and_its_connection_is_closed() -> None:
+def test_a_call_whose_messages_are_all_cancelled_closes_its_connection() -> None:
     async def test() -> None:
         async with Peer(never_respond) as peer:
             caller = Caller(peer.address)
@@ -417,10 +421,10 @@
             caller.carrier.cancel(0, 0)
             first = await caller.outcomes.get()
             assert (first.ref, first.result) == (0, Result.CANCELLED)
-            assert caller.carrier.in_flight == 1  # the other message waits on
+            assert caller.carrier.in_flight == 1  # the other message is still pending
             caller.carrier.cancel(1, 0)
             assert (await caller.outcomes.get()).result is Result.CANCELLED
-            assert await seen.reader.read() == b""  # which frees the slot at the target
+            assert await seen.reader.read() == b""  # closing frees the slot at the target
             while caller.carrier.in_flight:
                 await asyncio.sleep(0)
             assert caller.outcomes.empty() and not caller.carrier._calls
@@ -429,11 +433,11 @@
 
 
 def test_a_cancelled_message_that_is_delivered_after_all_is_completed() -> None:
-    """Its call continued for others, and the response contains ok for it too."""
-    told = asyncio.Event()
+    """The call continues for another message, and its response confirms both."""
+    may_respond = asyncio.Event()
 
     async def handle(exchange: Exchange) -> None:
-        await told.wait()
+        await may_respond.wait()
         await exchange.answer(200, b"m0 ok\r\nm1 ok\r\n")
 
     async def test() -> None:
@@ -443,9 +447,9 @@
             await peer.next()
             caller.carrier.cancel(0, 0)
             assert (await caller.outcomes.get()).result is Result.CANCELLED
-            told.set()
-            ends = [await caller.outcomes.get() for _ in range(2)]
-            assert sorted((o.ref, o.result, o.closed) for o in ends) == [
+            may_respond.set()
+            outcomes = [await caller.outcomes.get() for _ in range(2)]
+            assert sorted((o.ref, o.result, o.closed) for o in outcomes) == [
                 (0, Result.OK, True),
                 (1, Result.OK, True),
             ]
