--- a/tests/operations/test_http_server.py
+++ b/tests/operations/test_http_server.py
@@ -1,4 +1,4 @@
-"""The operators' address of a forwarder in this process: readiness, metrics, draining, bad requests."""
+"""The operators' interface of a forwarder in this process: readiness, metrics, draining, invalid requests."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         ("GET", "/" + "x" * 9000, 431),
     ],
 )
-def test_each_request_has_its_status(tmp_path: Path, method: str, path: str, status: int) -> None:
+def test_each_request_gets_its_status(tmp_path: Path, method: str, path: str, status: int) -> None:
     async def test() -> None:
         async with forwarder_with_operators(tmp_path) as (_, operators, _, _):
             assert (await call(operators, method, path))[0] == status
@@ -44,7 +44,7 @@
     run(test)
 
 
-def test_an_invalid_request_gets_400_and_affects_no_other(tmp_path: Path) -> None:
+def test_an_invalid_request_gets_400_and_does_not_affect_others(tmp_path: Path) -> None:
     async def test() -> None:
         async with forwarder_with_operators(tmp_path) as (_, operators, _, _):
             reader, writer = await asyncio.open_connection("127.0.0.1", operators)
@@ -56,12 +56,12 @@
     run(test)
 
 
-def test_every_class_is_reported_from_zero_on(tmp_path: Path) -> None:
+def test_every_class_is_reported_before_it_has_messages(tmp_path: Path) -> None:
     async def test() -> None:
         async with forwarder_with_operators(tmp_path) as (_, operators, _, _):
             metrics = await read_metrics(operators)
             assert {
-                f"{end}.{c}" for end in ("success", "overload", "error") for c in ("payout", "order")
+                f"{outcome}.{c}" for outcome in ("success", "overload", "error") for c in ("payout", "order")
             } < set(metrics)
             assert {metrics.pop("targets")} | set(metrics.values()) == {0, 1}
 
@@ -126,7 +126,7 @@
 
 
 def test_a_request_that_arrived_before_a_drain_is_answered(tmp_path: Path) -> None:
-    """The connection looks idle until it is read: if it were closed, the request would be lost with it."""
+    """The connection looks idle until the request is read; closing it then would lose the request."""
 
     async def test() -> None:
         async with forwarder_with_operators(tmp_path) as (port, _, _, under_test):
@@ -185,7 +185,7 @@
         read_config(environment | {"EDGE_OPS": address})
 
 
-def test_the_environment_overrides_the_file(tmp_path: Path) -> None:
+def test_the_address_in_the_environment_overrides_the_one_in_the_file(tmp_path: Path) -> None:
     (tmp_path / "config.json").write_text(json.dumps(config("127.0.0.1:1", {}, 1) | {"ops": "127.0.0.1:2"}))
     environment = {"EDGE_CONFIG": str(tmp_path / "config.json"), "EDGE_STATE": str(tmp_path)}
     assert read_config(environment).operators == ("127.0.0.1", 2)
--- a/tests/operations/test_reload.py
+++ b/tests/operations/test_reload.py
@@ -43,9 +43,10 @@
 PAYOUT, STATUS, ORDER = SETTINGS["categories"]
 
 
-def path_of(document: dict[str, Any], path: str) -> tuple[Any, str]:
-    *way, last = path.split(".")
-    for step in way:
+def find_section(document: dict[str, Any], path: str) -> tuple[Any, str]:
+    """The section that contains the last key of a path, and that key."""
+    *steps, last = path.split(".")
+    for step in steps:
         document = document[int(step)] if isinstance(document, list) else document[step]
     return document, last
 
@@ -69,7 +70,7 @@
 @pytest.mark.parametrize("how", ["gone", "null"])
 def test_a_file_that_lacks_a_key_is_rejected(tmp_path: Path, path: str, how: str) -> None:
     document = copy.deepcopy(GOOD)
-    section, last = path_of(document, path)
+    section, last = find_section(document, path)
     section[last] = None
     if how == "gone":
         del section[last]
@@ -93,11 +94,11 @@
     ],
 )
 @pytest.mark.parametrize("value", ["soon", "24", "", 0, -1, True, False, [], {}, math.nan, math.inf, [24]])
-def test_a_value_that_is_no_positive_number_is_rejected_with_its_key(
+def test_a_value_that_is_not_a_positive_number_is_rejected_with_its_key(
     tmp_path: Path, path: str, value: Any
 ) -> None:
     document = copy.deepcopy(GOOD)
-    section, last = path_of(document, path)
+    section, last = find_section(document, path)
     section[last] = value
     with pytest.raises(ConfigError, match=last):
         load_config(tmp_path, document)
@@ -111,22 +112,24 @@
     assert missing_key(GOOD, load_config(memory_path, text).document) is None
 
 
-def test_a_class_may_lack_a_key_that_not_all_classes_had(tmp_path: Path) -> None:
+def test_a_class_may_lack_a_key_that_not_all_current_classes_have(tmp_path: Path) -> None:
     new = load_config(tmp_path, with_classes(GOOD, STATUS, ORDER, ORDER | {"name": "order-2"}))
     assert missing_key(GOOD, new.document) is None
 
 
-def test_terms_are_read_back_from_their_text() -> None:
+def test_encoded_terms_decode_to_the_same_terms() -> None:
     for category in CATEGORIES:
         terms = api.Terms(category, 3)
         assert decode_terms(encode_terms(terms)) == terms
 
 
-def test_a_class_is_added_and_removed_while_messages_of_it_wait(tmp_path: Path) -> None:
+def test_after_its_class_is_removed_a_message_in_flight_is_still_completed_and_counted(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         async with forwarder_with_operators(tmp_path, never_respond) as (port, operators, target, under_test):
-            first = under_test._document
-            assert isinstance(first, dict)
+            initial = under_test._document
+            assert isinstance(initial, dict)
 
             def reload(document: dict[str, Any]) -> None:
                 new = load_config(tmp_path / "state", document)
@@ -138,14 +141,13 @@
                 return (await request(port, "POST", "/api", request_headers, b"x"))[0]
 
             assert await submit("m0", "payout-2", Idempotency_Key="k") == 400
-            reload(with_classes(first, PAYOUT, STATUS, PAYOUT | {"name": "payout-2"}))
+            reload(with_classes(initial, PAYOUT, STATUS, PAYOUT | {"name": "payout-2"}))
             assert await submit("m1", "payout-2", Idempotency_Key="k", X_Timeout_Ms="900") == 202
-            await target.next()  # it is in flight, and is not answered
-            reload(with_classes(first, STATUS))
+            await target.next()  # m1 is in flight, and the target does not respond
+            reload(with_classes(initial, STATUS))
             assert await submit("m2", "payout-2", Idempotency_Key="k") == 400
-            metrics = await read_metrics(
-                operators
-            )  # in the same loop iteration in which the class was removed
+            # In the same turn of the loop in which the class was removed.
+            metrics = await read_metrics(operators)
             assert metrics["concurrent"] == 1 and metrics["reload_success"] == 2
             metrics = await until(operators, {"concurrent": 0, "error.payout-2": 1})
             assert metrics["success.status-update"] == 0
@@ -159,13 +161,13 @@
 def test_a_rejected_file_changes_nothing(tmp_path: Path) -> None:
     async def test() -> None:
         async with forwarder_with_operators(tmp_path) as (port, _, _, under_test):
-            first = under_test._document
-            assert isinstance(first, dict)
-            bad = with_classes(first, STATUS)
+            initial = under_test._document
+            assert isinstance(initial, dict)
+            bad = with_classes(initial, STATUS)
             del bad["limits"]
             with pytest.raises(ConfigError, match="limits"):
                 load_config(tmp_path / "state", bad)
-            lacks = changed(with_classes(first, STATUS), rules={})
+            lacks = changed(with_classes(initial, STATUS), rules={})
             with pytest.raises(ConfigError, match=r"settings\.rules"):
                 under_test.check(load_config(tmp_path / "state", lacks))
             request_headers = message_headers("m1", X_Priority_Class="payout", Idempotency_Key="k")
@@ -182,7 +184,7 @@
 
 
 def test_a_message_keeps_the_effect_under_which_it_was_submitted() -> None:
-    """Keyed within a zone yesterday, safe today: no retry of it leaves that zone."""
+    """The class is keyed within a zone, then becomes safe: retries of the message stay in that zone."""
     settings = make_settings(separate=True)
     safe = tuple(replace(c, effect=Effect.SAFE, scope=Scope.ALL) for c in CATEGORIES)
     for seed in range(20):
@@ -191,24 +193,24 @@
         lost = api.Outcome(1, 0, first, api.Result.RESET, 0.1)
         new = api.SettingsChanged(replace(settings, categories=safe))
         actions = forwarder.handle(0.1, [new, lost, api.Arrival(2, 2, 0, 6.0)])
-        again = [a.target for a in actions if isinstance(a, api.Send) and a.ref == 1]
-        assert again in ([], [first])
+        retries = [a.target for a in actions if isinstance(a, api.Send) and a.ref == 1]
+        assert retries in ([], [first])
 
 
-def test_a_message_keeps_its_number_of_attempts() -> None:
+def test_a_message_keeps_the_number_of_attempts_under_which_it_was_submitted() -> None:
     settings = make_settings(separate=True)
     forwarder = Forwarder(settings, 1)
     (target,) = sent(forwarder.handle(0.0, [LISTED, api.Arrival(1, 0, 0, 4.0)]))
     fewer = api.SettingsChanged(replace(settings, max_attempts=1))
     lost = api.Outcome(1, 0, target, api.Result.RESET, 0.1)
-    assert sent(forwarder.handle(0.1, [fewer, lost]))  # six were allowed when it was submitted
+    assert sent(forwarder.handle(0.1, [fewer, lost]))  # six attempts were allowed at the submission
     forwarder = Forwarder(settings, 1)
     (target,) = sent(forwarder.handle(0.2, [LISTED, fewer, api.Arrival(2, 0, 0, 4.0)]))
     actions = forwarder.handle(0.3, [api.Outcome(2, 0, target, api.Result.RESET, 0.1)])
     assert any(isinstance(a, api.Reject) and a.ref == 2 for a in actions)
 
 
-def test_a_change_of_slots_keeps_the_count_of_those_in_use() -> None:
+def test_a_change_of_slots_keeps_the_count_of_slots_in_use() -> None:
     settings = make_settings(separate=True, slots=6)
     forwarder = Forwarder(settings, 1)
     (target,) = sent(forwarder.handle(0.0, [LISTED, api.Arrival(1, 0, 0, 4.0)]))
@@ -219,7 +221,7 @@
 
 
 def journal_bytes(folder: Path) -> bytes:
-    """The only file of a journal."""
+    """The contents of the only file of a journal."""
     return next(folder.iterdir()).read_bytes()
 
 
@@ -250,18 +252,18 @@
     store.add(entry(3, old))
     assert path.read_bytes().count(b'"is":') == 2
     for ref in range(4, 3000):  # until the first segments have been compacted
-        passing = entry(ref, new)
-        store.add(passing)
-        store.remove(passing)
+        completed = entry(ref, new)
+        store.add(completed)
+        store.remove(completed)
     assert not path.exists()
-    again = {e.ref: e for e in Journal(Folder(tmp_path), 400_000).load()}
-    assert [again[e.ref] for e in kept] == kept
+    loaded = {e.ref: e for e in Journal(Folder(tmp_path), 400_000).load()}
+    assert [loaded[e.ref] for e in kept] == kept
 
 
 def test_a_class_removed_and_added_with_another_effect_does_not_change_old_messages(
     tmp_path: Path,
 ) -> None:
-    """Submitted as keyed, outcome unknown, then the class is safe; after a crash it is still keyed."""
+    """A message submitted as keyed is still keyed after a crash, although its class has become safe."""
     terms = api.Terms(CATEGORIES[2], 6)
     store = Journal(Folder(tmp_path), 3_000_000)
     store.load()
@@ -270,7 +272,9 @@
     assert decode_terms(found.terms) == terms
 
 
-def test_an_earlier_journal_without_terms_is_read_with_the_current_classes(tmp_path: Path) -> None:
+def test_a_journal_of_an_earlier_version_without_terms_gets_those_of_the_current_classes(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         store = Journal(Folder(tmp_path), 3_000_000)
         store.load()
--- a/tests/platform/test_forwarder.py
+++ b/tests/platform/test_forwarder.py
@@ -1,4 +1,4 @@
-"""The engine on real sockets in this process: clients, waits, batches, discovery, notices."""
+"""A forwarder on real sockets in this process: clients, Retry-After, batches, discovery, notices."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 async def running_forwarder(
     folder: Path, handler: Handler, flavor: str = "rural-bank", discovery: str = "ask", **limits: float
 ) -> AsyncIterator[tuple[int, Peer, PlatformService, PlatformForwarder]]:
-    """A forwarder in this process; its port, target and platform."""
+    """Run a forwarder in this process; yield its port, its target, the platform and the forwarder."""
     async with listed_target(handler, flavor=flavor) as (target, platform, service):
         port = await free_port()
         document = config(service.address, platform.document(), port, **limits)
@@ -66,7 +66,7 @@
         ("POST", "/other", {}, 0, 404),
         ("POST", "/api", {"X_Request_ID": ""}, 1, 400),
         ("POST", "/api", {"X_Priority_Class": "nope"}, 1, 400),
-        ("POST", "/api", {"X_Priority_Class": "payout"}, 1, 400),  # keyed, and no key
+        ("POST", "/api", {"X_Priority_Class": "payout"}, 1, 400),  # a keyed class without a key
         ("POST", "/api", {"X_Tenant_Id": "nobody"}, 1, 400),
         ("POST", "/api", {"Envelope": "dest=8"}, 1, 400),
         ("POST", "/api", {"Envelope": "x"}, 1, 400),
@@ -76,7 +76,7 @@
         ("POST", "/api", {"Idempotency_Key": "a b"}, 1, 400),
     ],
 )
-def test_each_request_has_its_status(
+def test_each_request_gets_its_status(
     tmp_path: Path, method: str, path: str, changes: dict[str, str], size: int, status: int
 ) -> None:
     async def test() -> None:
@@ -88,18 +88,18 @@
     run(test)
 
 
-def test_malformed_and_broken_clients_do_not_affect_others(tmp_path: Path) -> None:
+def test_invalid_and_incomplete_requests_do_not_affect_other_clients(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_forwarder(tmp_path, accept) as (port, target, _, _):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(b"nonsense\r\n\r\n")
             assert (await reader.readline()).split()[1] == b"400"
-            await reader.read()  # to the end: the connection is closed after the answer
+            await reader.read()  # ends when the connection is closed after the response
             writer.close()
-            _, half = await asyncio.open_connection("127.0.0.1", port)
-            half.write(b"POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nabc")
-            await half.drain()
-            half.transport.abort()
+            _, incomplete = await asyncio.open_connection("127.0.0.1", port)
+            incomplete.write(b"POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nabc")
+            await incomplete.drain()
+            incomplete.transport.abort()
             assert await submit(port) == 202
             assert (await target.next()).headers["x-request-id"] == "m1"
 
@@ -119,7 +119,9 @@
     run(test)
 
 
-def test_a_request_that_never_ends_is_answered_408(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_incomplete_request_is_answered_with_408_after_the_time_limit(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def test() -> None:
         monkeypatch.setattr(server_module, "REQUEST_TIMEOUT_S", 0.05)
         monkeypatch.setattr(server_module, "TIMEOUT_CHECK_INTERVAL_S", 0.02)
@@ -132,7 +134,7 @@
     run(test)
 
 
-def test_a_connection_over_the_limit_closes_an_idle_one(tmp_path: Path) -> None:
+def test_a_new_connection_at_the_limit_causes_an_idle_one_to_be_closed(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_forwarder(tmp_path, accept, sockets=34) as (port, _, _, _):
             first = await asyncio.open_connection("127.0.0.1", port)
@@ -145,8 +147,12 @@
     run(test)
 
 
-def test_clients_that_keep_idle_connections_do_not_lock_themselves_out(tmp_path: Path) -> None:
-    """They open a third of the descriptors at most, fewer than there are places here (incident rf29a1f)."""
+def test_clients_that_keep_idle_connections_can_still_open_new_ones(tmp_path: Path) -> None:
+    """Clients open connections for at most a third of the descriptors, and the forwarder has more slots.
+
+    If it closed idle connections only when all slots are in use, clients could open none for a new request
+    (incident rf29a1f).
+    """
 
     async def test() -> None:
         async with running_forwarder(tmp_path, accept, sockets=128) as (port, _, _, _):
@@ -184,7 +190,7 @@
 
 
 async def pipeline(port: int, names: list[str], **timeouts: str) -> list[int]:
-    """Several messages in one write; the statuses of their answers."""
+    """Submit several messages in one write; return the statuses of the responses."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     for name in names:
         writer.write(message_bytes(name, b"\0", X_Timeout_Ms=timeouts.get(name, "24000")))
@@ -193,18 +199,18 @@
     return statuses
 
 
-def test_messages_of_one_decision_do_not_overfill_the_journal_between_them(tmp_path: Path) -> None:
+def test_messages_of_one_decision_are_accepted_only_while_the_journal_has_capacity(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_forwarder(tmp_path, never_respond, disk_mb=1) as (port, _, _, under_test):
-            room = iter([True, True, False])
-            under_test.journal.has_capacity = lambda size: next(room)  # type: ignore[method-assign]
+            capacities = iter([True, True, False])
+            under_test.journal.has_capacity = lambda size: next(capacities)  # type: ignore[method-assign]
             assert await pipeline(port, ["a", "b", "c"]) == [202, 202, 503]
             assert [entry.id for entry in under_test.engine.messages.open.values()] == ["a", "b"]
 
     run(test)
 
 
-def test_a_failed_decision_fails_one_message(tmp_path: Path) -> None:
+def test_a_failure_during_a_decision_fails_only_the_message_concerned(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_forwarder(tmp_path, accept) as (port, target, _, under_test):
             arrive = under_test.engine._forwarder.event_handlers[Arrival]
@@ -232,7 +238,7 @@
 
 
 async def deliver(port: int, target: Peer, forwarder: PlatformForwarder, name: str) -> None:
-    """Submit a message, and wait until it is delivered and over."""
+    """Submit a message, and wait until it is delivered and completed."""
     assert await submit(port, name) == 202
     await target.next()
     while forwarder.engine.messages.open:
@@ -240,17 +246,17 @@
 
 
 def batch_ids(body: bytes) -> list[bytes]:
-    """The messages of a batch, in their order."""
+    """The ids of the messages of a batch, in order."""
     return [line.split()[0] for line in body.split(b"\r\n")[::2] if line]
 
 
-def test_a_burst_is_sent_as_one_batch_and_a_retry_after_is_kept(tmp_path: Path) -> None:
+def test_a_burst_is_sent_as_one_batch_and_its_retry_after_is_respected(tmp_path: Path) -> None:
     times: list[float] = []
 
     async def handle(exchange: Exchange) -> None:
         times.append(asyncio.get_running_loop().time())
         if len(times) == 1:
-            await asyncio.sleep(0.1)  # the usual pace, by which the brief wait for a lease is measured
+            await asyncio.sleep(0.1)  # the usual latency, which limits the wait for a lease
             await exchange.answer(200)
         elif len(times) == 2:
             await exchange.answer(429, Retry_After="0.7")
@@ -268,16 +274,16 @@
             await deliver(port, target, under_test, "m0")
             # One write with three requests is one loop turn, so it makes one call.
             assert await pipeline(port, ["a", "b", "c"]) == [202] * 3
-            refused = await target.next()
-            assert refused.path == "/v1/messages:batch" and refused.body.count(b"\r\n") == 6
+            rejected = await target.next()
+            assert rejected.path == "/v1/messages:batch" and rejected.body.count(b"\r\n") == 6
             await target.next()
             assert times[2] - times[1] >= 0.7
 
     run(test)
 
 
-def test_the_first_of_a_batch_is_the_one_with_the_latest_deadline(tmp_path: Path) -> None:
-    """A hung partner that answers a batch once its first message is over must find all of it over."""
+def test_a_batch_is_ordered_by_deadline_with_the_latest_first(tmp_path: Path) -> None:
+    """A hung partner may answer a batch when its first message expires: all must have expired by then."""
 
     async def test() -> None:
         async with running_forwarder(tmp_path, accept, flavor="wallet-operator") as (
@@ -295,7 +301,7 @@
     run(test)
 
 
-def test_a_rejection_in_the_same_decision_is_429_without_a_notice(tmp_path: Path) -> None:
+def test_a_message_rejected_in_the_same_decision_gets_429_and_no_notice(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_forwarder(tmp_path, never_respond) as (port, _, platform, _):
             status, headers = await request(
@@ -308,7 +314,7 @@
     run(test)
 
 
-def test_a_later_rejection_is_a_bounced_notice_with_a_retry_after(tmp_path: Path) -> None:
+def test_a_message_rejected_later_gets_a_bounced_notice_with_a_retry_after(tmp_path: Path) -> None:
     async def refuse(exchange: Exchange) -> None:
         await exchange.answer(503)
 
@@ -329,22 +335,22 @@
             assert (await platform.notice())["ref"] == "m1"
             platform.notice_status = 204
             assert await submit(port, "m2", X_Timeout_Ms="100") == 202
-            while (await platform.notice())["ref"] != "m2":  # the first may have been tried once more
+            while (await platform.notice())["ref"] != "m2":  # the notice of m1 may have been sent once more
                 pass
 
     run(test)
 
 
-@pytest.mark.parametrize("discovery", ["ask", "push"])  # pushed: the module asks for nothing, yet it is told
-def test_a_listed_drain_moves_new_messages_to_another_target(tmp_path: Path, discovery: str) -> None:
+@pytest.mark.parametrize("discovery", ["ask", "push"])  # with push, lists arrive without being requested
+def test_new_messages_are_not_sent_to_a_target_listed_as_draining(tmp_path: Path, discovery: str) -> None:
     async def test() -> None:
         async with (
             Peer(accept) as other,
             running_forwarder(tmp_path, accept, discovery=discovery) as (port, target, platform, _),
         ):
-            await platform_watched(platform)
+            await wait_for_watch(platform)
             platform.change([member(target.address, phase="DRAINING"), member(other.address, "s-2")])
-            await platform_watched(platform)  # the next call of the watch says that the change was heard
+            await wait_for_watch(platform)  # the next watch shows that the change was received
             assert await submit(port) == 202
             assert (await other.next()).headers["x-request-id"] == "m1"
             assert target.exchanges.empty()
@@ -352,16 +358,16 @@
     run(test)
 
 
-def test_the_watch_continues_at_once_and_is_restarted_after_a_failure(tmp_path: Path) -> None:
+def test_a_watch_continues_after_a_change_and_is_restarted_after_a_failure(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_forwarder(tmp_path, accept) as (_, target, platform, _):
-            await platform_watched(platform)
+            await wait_for_watch(platform)
             platform.change([member(target.address)])
             loop = asyncio.get_running_loop()
             answered = loop.time()
             assert await asyncio.wait_for(platform.watches.get(), 10) - answered < 0.2
             platform.down = True
-            platform.change([])  # the open call ends as usual, the next ones with 503
+            platform.change([])  # the open watch gets its answer, the next ones get 503
             assert await asyncio.wait_for(platform.watches.get(), 10)
             platform.down = False
             assert await asyncio.wait_for(platform.watches.get(), 10)
@@ -369,12 +375,12 @@
     run(test)
 
 
-def test_a_discovery_that_hangs_is_requested_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_watch_without_an_answer_is_sent_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr("emberlatch.directory.client.WATCH_TIMEOUT_S", 0.05)
         async with running_forwarder(tmp_path, accept) as (port, target, platform, _):
-            await platform_watched(platform)  # it gets no answer
-            await platform_watched(platform)
+            await wait_for_watch(platform)  # this watch gets no answer
+            await wait_for_watch(platform)
             assert await submit(port) == 202
             assert (await target.next()).headers["x-request-id"] == "m1"
 
@@ -387,10 +393,10 @@
             Peer(accept) as other,
             running_forwarder(tmp_path, accept) as (port, target, platform, under_test),
         ):
-            await platform_watched(platform)
-            platform.members = [member(other.address, "s-2")]  # what was listed before is gone
+            await wait_for_watch(platform)
+            platform.members = [member(other.address, "s-2")]  # the previous target is no longer listed
             under_test.directory.look_up()
-            await platform_watched(platform)
+            await wait_for_watch(platform)
             while b"s-2" not in under_test.carrier._targets:
                 await asyncio.sleep(0.01)
             assert await submit(port) == 202
@@ -400,7 +406,7 @@
     run(test)
 
 
-def test_a_journal_that_cannot_be_written_rejects_submissions_and_sends_nothing(
+def test_while_the_journal_cannot_be_written_submissions_get_503_and_nothing_is_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -419,7 +425,7 @@
     run(test)
 
 
-async def platform_watched(platform: PlatformService) -> None:
+async def wait_for_watch(platform: PlatformService) -> None:
     await asyncio.wait_for(platform.watches.get(), 10)
 
 
@@ -461,7 +467,7 @@
 def test_after_an_invalid_request_a_connection_is_answered_once_and_closed(
     tmp_path: Path, sent: bytes, status: int
 ) -> None:
-    """Another message may hide in what follows: nothing of it is looked at, also behind a good request."""
+    """The data after an invalid request may contain another message: it must be ignored."""
 
     async def test() -> None:
         async with running_forwarder(tmp_path, never_respond) as (port, _, _, under_test):
@@ -497,7 +503,7 @@
     run(test)
 
 
-def test_pipelined_requests_on_one_connection_are_bounded(tmp_path: Path) -> None:
+def test_pipelined_requests_over_the_limit_get_429(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_forwarder(tmp_path, never_respond) as (port, _, _, under_test):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -522,7 +528,7 @@
                 client.setblocking(False)
                 loop = asyncio.get_running_loop()
                 with pytest.raises(ConnectionError):
-                    while True:  # in the end nothing of it is taken, and then the connection breaks
+                    while True:  # the forwarder stops reading, and then closes the connection
                         await loop.sock_sendall(client, b"GET /none HTTP/1.1\r\n\r\n")
             assert not under_test.server.has_clients
 
@@ -545,7 +551,7 @@
             proven[1].write(b"GET /healthz HTTP/1.1\r\n\r\n")
             assert await read_status(proven[0]) == 200
             monkeypatch.setattr(server_module, "REQUEST_TIMEOUT_S", 0.05)
-            for reader, writer in silent:  # and the others when their time is over
+            for reader, writer in silent:  # the others are closed after the time limit
                 with suppress(ConnectionError):
                     assert await reader.read() == b""
                 writer.close()
@@ -554,7 +560,7 @@
     run(test)
 
 
-def test_the_forwarder_survives_running_out_of_descriptors(tmp_path: Path) -> None:
+def test_a_connection_that_arrives_without_free_descriptors_is_accepted_later(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_forwarder(tmp_path, accept) as (port, _, _, _):
             soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -562,7 +568,7 @@
             used = len(os.listdir("/proc/self/fd"))
             resource.setrlimit(resource.RLIMIT_NOFILE, (used - 1, hard))
             try:
-                await asyncio.sleep(0.1)  # it is accepted as soon as there is room again
+                await asyncio.sleep(0.1)  # the connection is accepted once descriptors are free again
             finally:
                 resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
             waiting.sendall(b"GET /healthz HTTP/1.1\r\n\r\n")
@@ -574,12 +580,12 @@
 
 
 def test_changing_targets_clients_and_keys_do_not_accumulate(tmp_path: Path) -> None:
-    """A soak: sizes are those of what is there now, not of what has been."""
+    """After many changes the tables contain only current entries."""
 
     async def test() -> None:
         async with running_forwarder(tmp_path, accept) as (port, target, platform, under_test):
             for n in range(40):
-                await platform_watched(platform)
+                await wait_for_watch(platform)
                 name = f"s-{n}"
                 platform.change([member(target.address, name)])
                 while name.encode() not in under_test.carrier._targets:
@@ -594,11 +600,11 @@
             assert len(under_test.carrier._pool) <= 1
             assert [len(pool.routes) for pool in module.pools.values()] == [1]
             assert module.queue.key_order.is_empty
-            for rest in (
+            for table in (
                 module.open_messages,
                 under_test.engine.messages._open_ids,
             ):
-                assert not rest
+                assert not table
             assert (
                 not under_test.engine.messages.completed
                 and not under_test.engine._submissions._pending
@@ -611,17 +617,17 @@
 def test_a_list_with_invalid_members_keeps_the_others_and_the_watch(tmp_path: Path) -> None:
     async def test() -> None:
         async with Peer(accept) as other, running_forwarder(tmp_path, accept) as (port, _, platform, _):
-            await platform_watched(platform)
-            broken: list[Any] = [
+            await wait_for_watch(platform)
+            invalid: list[Any] = [
                 None,
                 7,
                 {},
                 member("nowhere", "s-2"),
                 member(other.address, "s-3", cell="x"),
             ]
-            broken += [member(other.address, "s-4", phase="ODD"), member(other.address, "s-5", size="nan")]
-            platform.change([*broken, member(other.address, "s-6")])
-            await platform_watched(platform)  # the watch goes on
+            invalid += [member(other.address, "s-4", phase="ODD"), member(other.address, "s-5", size="nan")]
+            platform.change([*invalid, member(other.address, "s-6")])
+            await wait_for_watch(platform)  # the watch continues
             assert await submit(port) == 202
             assert (await other.next()).headers["x-request-id"] == "m1"
 
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -1,4 +1,4 @@
-"""The real program in a process of its own: kills at each stage of the journal, stops, bad settings."""
+"""The program in a process of its own: kills at each stage of a message, shutdown, invalid settings."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 async def running_process(
     folder: Path, handler: Handler, **limits: float
 ) -> AsyncIterator[tuple[Process, Peer, PlatformService, Peer]]:
-    """A forwarder, one target and a platform."""
+    """Run a forwarder; yield its process, its target, the platform and the platform's server."""
     async with listed_target(handler) as (target, platform, service):
         process = Process(folder, service, platform.document(), **limits)
         await process.start()
@@ -51,8 +51,8 @@
             await process.kill()
 
 
-def has_an_end(state: Path) -> bool:
-    """Whether the journal says of some message that it is over and that nothing is owed for it."""
+def has_completed_message(state: Path) -> bool:
+    """Whether the journal has a message that is completed and has no notice to be sent."""
     return any(b'"over"' in path.read_bytes() for path in state.iterdir())
 
 
@@ -67,8 +67,8 @@
     run(test)
 
 
-def test_after_a_kill_a_queued_message_is_sent_after_the_restart(tmp_path: Path) -> None:
-    """Accepted, no attempt yet: the target was listed as draining, then as serving."""
+def test_a_message_queued_at_a_kill_is_sent_after_the_restart(tmp_path: Path) -> None:
+    """The message has no attempt before the kill, because its target is listed as draining until then."""
 
     async def test() -> None:
         async with running_process(tmp_path, accept) as (process, target, platform, _):
@@ -90,10 +90,10 @@
     ("headers", "repeated"),
     [({}, True), (PAYOUT, True), ({"X_Priority_Class": "order"}, False)],
 )
-def test_after_a_kill_a_call_in_flight_may_have_been_executed(
+def test_a_message_in_flight_at_a_kill_is_retried_only_if_its_class_allows_it(
     tmp_path: Path, headers: dict[str, Any], repeated: bool
 ) -> None:
-    """Only classes that allow it are retried; an unsafe message fails, and is not rejected."""
+    """It may have been executed, so an unsafe message fails and is not reported as rejected."""
 
     async def test() -> None:
         async with running_process(tmp_path, never_respond) as (process, target, platform, _):
@@ -147,10 +147,10 @@
             platform.notice_status = 204
             await process.start()
             assert await platform.notice() == first
-            while not has_an_end(tmp_path / "state"):
-                await asyncio.sleep(0.01)  # until the confirmation has been read, it is still owed
+            while not has_completed_message(tmp_path / "state"):
+                await asyncio.sleep(0.01)  # until the confirmation has been read, the notice is repeated
             await process.kill()
-            await process.start()  # confirmed: no more is owed
+            await process.start()  # a confirmed notice is not sent again
             target.handler = accept
             assert await process.submit("m2") == 202
             while (await target.next()).headers["x-request-id"] != "m2":
@@ -165,7 +165,7 @@
         async with running_process(tmp_path, accept) as (process, target, platform, _):
             assert await process.submit("m1") == 202
             await target.next()
-            while not has_an_end(tmp_path / "state"):
+            while not has_completed_message(tmp_path / "state"):
                 await asyncio.sleep(0.01)
             await process.kill()
             await process.start()
@@ -189,7 +189,9 @@
     run(test)
 
 
-def test_deadlines_are_kept_while_discovery_is_down_and_targets_do_not_respond(tmp_path: Path) -> None:
+def test_an_expired_message_is_notified_while_discovery_is_down_and_targets_do_not_respond(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         async with running_process(tmp_path, never_respond) as (process, _, platform, _):
             platform.down = True
@@ -199,7 +201,7 @@
     run(test)
 
 
-def test_sigterm_completes_calls_in_flight_and_leaves_the_rest_to_the_journal(tmp_path: Path) -> None:
+def test_sigterm_completes_calls_in_flight_and_leaves_other_messages_in_the_journal(tmp_path: Path) -> None:
     async def test() -> None:
         gate = Gate()
         async with running_process(tmp_path, gate) as (process, target, platform, _):
@@ -228,16 +230,16 @@
 
 
 def test_sigterm_answers_a_request_on_a_connection_accepted_just_before(tmp_path: Path) -> None:
-    """The process used to end with its listener when nothing was held, and reset such a client."""
+    """Guards against a reset: without open messages, the process used to end when it closed its listener."""
 
     async def test() -> None:
         async with running_process(tmp_path, accept) as (process, _, _, _):
             idle = await asyncio.open_connection("127.0.0.1", process.port)
             process.process.send_signal(signal.SIGTERM)
-            assert await idle[0].read() == b""  # the signal has been heard
+            assert await idle[0].read() == b""  # the signal has been handled
             reader, writer = await asyncio.open_connection("127.0.0.1", process.port)
             with pytest.raises(OSError):
-                while True:  # until the listener is gone
+                while True:  # until the listener is closed
                     (await asyncio.open_connection("127.0.0.1", process.port))[1].close()
                     await asyncio.sleep(0.01)
             writer.write(message_bytes("m1", b"x"))
@@ -254,7 +256,7 @@
             assert await process.submit("m1", X_Priority_Class="order") == 202
             await target.next()
             process.process.send_signal(signal.SIGTERM)
-            # SIGKILL would come 3.7 s after it; the exit code says that it was not needed.
+            # SIGKILL would follow 3.7 s after SIGTERM; exit code 0 shows that it was not needed.
             assert await asyncio.wait_for(process.process.wait(), 10) == 0
             await process.start()
             assert await platform.notice() == {"ref": "m1", "result": "dead"}
@@ -263,14 +265,14 @@
     run(test)
 
 
-def test_a_full_journal_rejects_new_messages_and_has_capacity_for_outcomes(tmp_path: Path) -> None:
+def test_a_full_journal_rejects_new_messages_but_still_stores_outcomes(tmp_path: Path) -> None:
     async def test() -> None:
         gate = Gate()
         async with running_process(tmp_path, gate, disk_mb=1) as (process, _, _, _):
             statuses = [await process.submit(f"m{n}", bytes(65536)) for n in range(20)]
             assert statuses[0] == 202 and statuses[-1] == 503
             gate.open()
-            # The outcomes are written, room comes back, and through it all the limit is kept.
+            # Outcomes are written and space becomes free, while the limit is never exceeded.
             n = 0
             while await process.submit(f"n{n}", bytes(65536)) != 202:
                 n += 1
@@ -301,7 +303,7 @@
 Change = Callable[[dict[str, Any]], object]
 
 
-def start_with(tmp_path: Path, change: Change) -> subprocess.CompletedProcess[str]:
+def start_with_changed_config(tmp_path: Path, change: Change) -> subprocess.CompletedProcess[str]:
     document = config("127.0.0.1:9", {"revision": 1, "complete": True, "members": []}, 1)
     change(document)
     (tmp_path / "config.json").write_text(json.dumps(document))
@@ -324,7 +326,7 @@
     ],
 )
 def test_an_invalid_setting_is_named_in_one_line(tmp_path: Path, name: str, change: Change) -> None:
-    done = start_with(tmp_path, change)
+    done = start_with_changed_config(tmp_path, change)
     lines = [line for line in done.stderr.splitlines() if " INFO " not in line]
     assert done.returncode == 2
     assert len(lines) == 1 and name in lines[0]
@@ -338,7 +340,11 @@
 
 
 def test_sighup_moves_discovery_and_notices_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
-    """SIGHUP used to end the process. The old place is silent: what is held and owed goes to the new one."""
+    """Guards against SIGHUP ending the process.
+
+    The old address does not confirm the notice and its target does not respond: the notice and the message m2
+    must be sent to the new addresses.
+    """
 
     async def test() -> None:
         async with (
@@ -352,10 +358,10 @@
             for text in ("{", json.dumps({"discovery": "127.0.0.1:1"})):
                 process.configure(text)
                 process.process.send_signal(signal.SIGHUP)
-            assert await process.submit("m2") == 202  # held: the one target answers nothing
+            assert await process.submit("m2") == 202  # stays open: the only target does not respond
             while (await target.next()).headers["x-request-id"] != "m2":
                 pass
-            for revision in (1, 2):  # more than once; the second has no higher revision to offer
+            for revision in (1, 2):  # two changes; the second service has no higher revision
                 new = PlatformService([member(other.address, f"s-{revision + 1}")])
                 async with Peer(new.handle) as service:
                     process.configure(process.document(service.address))
@@ -363,7 +369,7 @@
                     first = await asyncio.wait_for(service.exchanges.get(), 10)
                     while first.path == "/reports":
                         first = await service.next()
-                    assert first.path == "/v1/servers"  # the whole list, not what is new since the old one's
+                    assert first.path == "/v1/servers"  # the complete list, not the changes since a revision
                     if revision == 1:
                         assert (await new.notice())["ref"] == "m1"
                         assert (await other.next()).headers["x-request-id"] == "m2"
