--- a/emberlatch/admission/connection_limiter.py
+++ b/emberlatch/admission/connection_limiter.py
@@ -17,11 +17,11 @@
 from typing import Generic, Protocol, TypeVar
 
 UNPROVEN_SHARE = 0.25
-"""With at least this share of the slots, unproven connections are closed first; otherwise proven ones are."""
+"""If unproven connections occupy at least this share of the slots, they are closed before proven ones."""
 # Clients open connections for at most a third of the descriptors, which is 0.69 of the slots with 1,024
 # descriptors and 0.76 with 256. If all of these were kept idle, clients could open none for a new request.
 PROVEN_SHARE = 0.5
-"""Share of the slots; idle connections are closed while proven ones occupy more than that."""
+"""If proven connections occupy more than this share of the slots, idle ones are closed."""
 IDLE_GAP_FACTOR = 4.0
 """Multiple of its average request gap after which an idle client is not expected to return."""
 MIN_REQUEST_GAP_S = 0.25
--- a/emberlatch/directory/backoff.py
+++ b/emberlatch/directory/backoff.py
@@ -5,7 +5,7 @@
 import random
 
 INITIAL_DELAY_S, MAX_DELAY_S = 0.15, 2.0  # first and longest delay without a Retry-After
-RETRIES_BEFORE_DEADLINE = 8.0  # a delay is at most an eighth of the time until the deadline
+RETRIES_BEFORE_DEADLINE = 8.0  # caps a delay at an eighth of the time until the deadline
 MIN_DELAY_S = 0.1
 OVERDUE_DELAY_S = 0.5  # upper bound after the deadline, when faster retries are of no use
 SERVICE_TIME_PER_CALL_S = 0.2
--- a/emberlatch/net/server.py
+++ b/emberlatch/net/server.py
@@ -32,7 +32,7 @@
     "x-tenant-id",
     "x-timeout-ms",
 }
-"""Headers that may occur only once in a request: of two values, other software might use the other one."""
+"""Headers that may occur only once in a request: of two values, other software might use another one."""
 REQUEST_TIMEOUT_S = 2.0
 """Time limit for the first request of a new connection, for the arrival of a complete request, and for a
 client to read its replies."""
--- a/tests/directory/test_client.py
+++ b/tests/directory/test_client.py
@@ -97,9 +97,8 @@
 def test_a_retry_after_is_respected_unless_it_passes_the_deadline() -> None:
     assert 3.0 <= Backoff(1).next_delay_s(20.0, retry_after_s=3.0) <= 3.9
     assert Backoff(1).next_delay_s(2.5, retry_after_s=30.0) <= 1.5
-    assert (
-        Backoff(1).next_delay_s(-5.0, retry_after_s=0.0) >= 0.1
-    )  # after the deadline: soon, but not at once
+    # After the deadline the next retry is soon, but not at once.
+    assert Backoff(1).next_delay_s(-5.0, retry_after_s=0.0) >= 0.1
 
 
 def test_a_request_that_was_not_sent_sets_no_deadline() -> None:
--- a/tests/net/test_http_carrier.py
+++ b/tests/net/test_http_carrier.py
@@ -155,9 +155,8 @@
             assert {o.retry_after for o in outcomes} == {5.0}
             seen = await peer.next()
             assert (seen.path, seen.body[:14]) == ("/v1/messages:batch", b"a k-a 4\r\nhi\r\n\r")
-            assert (await caller.call("f"))[
-                0
-            ].result is Result.NOT_EXECUTED  # the Retry-After applies to all messages
+            # The Retry-After applies to all later calls.
+            assert (await caller.call("f"))[0].result is Result.NOT_EXECUTED
             assert peer.exchanges.empty()
 
     run(test())
