--- a/emberlatch/faults/as2/__init__.py
+++ b/emberlatch/faults/as2/__init__.py
@@ -1,7 +1,7 @@
-"""Runs with AS2 partners, each drawn from one seed: the real engine, carrier and front end.
+"""Simulated runs with AS2 partners: the gateway's real engine, carrier and front end, each run from one seed.
 
-Partners lose, delay, duplicate and corrupt receipts; endpoints have outages, and the process is killed. The
-checks go by what partners executed and what notices say, not by what the gateway believes.
+Partners lose, delay, duplicate and corrupt receipts; endpoints have outages, and the gateway's process is
+killed. The checks compare what the partners executed with the gateway's notices, not with its own state.
 """
 
 from emberlatch.faults.as2.environment import As2Environment, run_as2_seed
--- a/emberlatch/faults/as2/environment.py
+++ b/emberlatch/faults/as2/environment.py
@@ -1,4 +1,4 @@
-"""One run with AS2 partners: the gateway, its partners, traffic and faults, all drawn from one seed."""
+"""One run with AS2 partners: gateway, partners, traffic and faults, all drawn from one seed."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 START_POLL_S, RESTART_POLL_S = 0.05, 0.1
 MAX_OUTAGES, OUTAGE_PAUSE_S = 3, (0.5, 4.0)
 KILL_COUNTS, KILL_PAUSE_S = (0, 0, 1, 2, 3), (0.3, 6.0)
-KILL_CALLS = (1, 8)  # of a disk, after which a process is killed in one
+KILL_CALLS = (1, 8)  # range of the number of disk calls until the one at which the process is killed
 
 
 class As2Environment:
-    """One run. `identities` has the keys of each party by its name: making them takes long."""
+    """One run. `identities` maps party names to keys; it is passed in because keys are slow to generate."""
 
     def __init__(self, seed: int, loop: VirtualLoop, identities: Mapping[str, Own]) -> None:
         self.seed, self.loop, self.identities = seed, loop, identities
@@ -38,7 +38,8 @@
         self.breaches: list[str] = []
         self.messages: dict[str, SubmittedMessage] = {}
         certificate = identities[GATEWAY].identity.key_pairs[0][0]
-        self._unix_time_at_zero = certificate.not_valid_before_utc.timestamp()  # all are valid from then on
+        # The loop's clock starts when the certificates become valid:
+        self._unix_time_at_zero = certificate.not_valid_before_utc.timestamp()
         self.behaviour = PartnerBehaviour(self.random, loop.time)
         self.parties = configure(identities, self.behaviour.signed_receipts)
         self.partners = SimulatedPartners()
@@ -59,23 +60,23 @@
 
     @property
     def side(self) -> As2Side | None:
-        """The gateway's AS2 side while it runs."""
+        """The AS2 part of the running gateway process, None while no process serves."""
         return self.gateway.side
 
     def unix_time(self) -> float:
-        """Unix time in this run."""
+        """The current simulated Unix time, in seconds."""
         return self._unix_time_at_zero + self.loop.time()
 
     def breach(self, text: str) -> None:
-        """Record a breach at the present time."""
+        """Record a breach with the current virtual time."""
         self.breaches.append(f"{self.loop.time():.3f} {text}")
 
     def on_completed(self, name: str, completion: Completion) -> None:
-        """Check a notice of the gateway."""
+        """Check a completion notice from the gateway."""
         self.checks.on_completed(name, completion)
 
     def draw_script(self) -> Script:
-        """What becomes of the next message at a partner."""
+        """Draw how a partner handles the next message."""
         return self.behaviour.draw_script()
 
     def _script_source(self, destination: int) -> Callable[[], Script]:
@@ -87,7 +88,7 @@
         return script
 
     async def start(self) -> None:
-        """Start the partners and the gateway, and wait until it serves."""
+        """Start the partners and the gateway, and wait until the gateway serves."""
         await self.partners.start(self.identities, self._script_source, self.unix_time)
         self.gateway.start()
         await self.wait_until_ready()
@@ -98,7 +99,7 @@
             await asyncio.sleep(poll_interval_s)
 
     async def run(self) -> None:
-        """Play the run to its end, and check its results."""
+        """Run traffic and faults for `DURATION_S`, then check the results."""
         await self.start()
         activities = (
             self.clients.submit_messages(),
@@ -113,7 +114,7 @@
         self.checks.check()
 
     async def _inject_outages(self) -> None:
-        """Stop and restart endpoints of partners."""
+        """Stop and restart partner endpoints at random times."""
         for _ in range(self.random.randint(0, MAX_OUTAGES)):
             await asyncio.sleep(self.random.uniform(*OUTAGE_PAUSE_S))
             endpoint = self.random.choice(list(self.endpoints.values()))
@@ -122,7 +123,7 @@
             await endpoint.start()
 
     async def _inject_kills(self) -> None:
-        """Kill the gateway's process at some time, or at a system call on one of its disks."""
+        """Kill the gateway's process at random times, or at a random later call on one of its disks."""
         for _ in range(self.random.choice(KILL_COUNTS)):
             await asyncio.sleep(self.random.uniform(*KILL_PAUSE_S))
             process = self.gateway.process
@@ -136,17 +137,17 @@
 
 
 def run_as2_seed(seed: int, identities: Mapping[str, Own]) -> As2Environment:
-    """Play one seed in this thread; see `As2Environment.breaches`."""
+    """Run one seed in this thread; `breaches` of the returned environment has the rule violations."""
     loop = VirtualLoop()
     environment = As2Environment(seed, loop, identities)
     logging.disable(logging.CRITICAL)
     try:
         loop.run_until_complete(environment.run())
     except DeadlockError as error:
-        environment.breach(f"stuck: {error}")
+        environment.breach(f"run did not finish: {error}")
     finally:
         close_loop(loop)
         logging.disable(logging.NOTSET)
     for failure in loop.failures:
-        environment.breach(f"crash: {failure}")
+        environment.breach(f"unhandled exception: {failure}")
     return environment
--- a/emberlatch/faults/as2/gateway.py
+++ b/emberlatch/faults/as2/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway of a run: the real code in simulated processes, on a machine that outlives them."""
+"""The gateway of a run: the real code in simulated processes, on a machine that survives their deaths."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 from emberlatch.gateway_core import ClientInterface, ConnectionLimits, GatewayCore, JournalSettings
 from emberlatch.net.http_connection import parse_address
 
-RESTART_DELAY_S = 0.6  # from a kill to the next start
+RESTART_DELAY_S = 0.6  # time between the death of a process and the next start
 DESCRIPTORS = 256
 CONNECTION_LIMITS = ConnectionLimits(clients=50, calls=50)
-MAX_LEASE_SHARE = 0.75  # of the slots, for one destination
+MAX_LEASE_SHARE = 0.75  # share of the slots that one destination may use
 
 
 class GatewayObserver(Protocol):
-    """What watches the gateway of a run, over all of its processes."""
+    """Receives what the gateway of a run reports, across restarts of its process."""
 
     def on_completed(self, name: str, completion: Completion) -> None:
-        """A notice of the completion of a message has come."""
+        """Handle a notice that a message was completed."""
 
     def breach(self, text: str) -> None:
-        """The gateway has broken a rule."""
+        """Record that the gateway broke a rule."""
 
 
 class CompletionReporter:
-    """An `engine.CompletionNotifier` that reports notices of every process, and confirms each at once."""
+    """An `engine.CompletionNotifier` that passes each notice to the observer and confirms it immediately."""
 
     notifies_deliveries = True
     pending = False
@@ -53,7 +53,7 @@
 
 
 class FixedMembership:
-    """An `engine.Membership` that reports the partners at the start, and never changes."""
+    """An `engine.Membership` that reports the partners once at the start and never changes."""
 
     def __init__(self, core: GatewayCore, partners: SimulatedPartners) -> None:
         self._core, self._partners = core, partners
@@ -67,16 +67,18 @@
         self._core.engine.listed(api.DirectoryUpdate(api.ListKind.CACHED, 1, entries), addresses)
 
     def watch(self, active: bool) -> None:
-        """Nothing changes."""
+        """Do nothing: the list of partners never changes."""
 
     def look_up(self) -> None:
-        """Nothing changes."""
+        """Do nothing: the list of partners never changes."""
 
 
 class SimulatedGateway:
-    """One gateway; `core` and `side` are those of the present process once it serves, else None.
+    """One gateway, restarted after each death of its process.
 
-    `ready_at` is since when it serves: minus infinity before the first start, infinity after a death.
+    `core` is that of the current process once it serves, else None; `side` is its AS2 part, None while no
+    process runs. `ready_at` is when the current process began to serve, in seconds of the loop's clock: minus
+    infinity before the first start, infinity while no process serves after a death.
     """
 
     def __init__(
@@ -95,7 +97,7 @@
         self._network, self._observer = machine.network, observer
 
     def start(self) -> None:
-        """Start a process on what the disks have."""
+        """Start a process on the current content of the disks."""
         self._machine.restart_disks()
         process = self.process = Process("forwarder", DESCRIPTORS)
         process.on_death = self._on_process_death
@@ -125,19 +127,21 @@
             core.connect(FixedMembership(core, self._partners), side.end, [side.front], side.carrier)
             await core.engine.start()
         except Exception as error:
-            self._observer.breach(f"the forwarder did not start: {error!r}")
+            self._observer.breach(f"the gateway process did not start: {error!r}")
             return
         self.core, self.ready_at = core, self._network.loop.time()
 
     def _observe_leases(self, core: GatewayCore, side: As2Side) -> None:
-        """Check calls in flight to each destination: no partner may take all slots (`dest_cap`)."""
+        """Check at each call that no destination has over `MAX_LEASE_SHARE` of the slots (`dest_cap`)."""
         call, outcome, leased = side.carrier.call, core.engine.outcome, dict[tuple[int, int], int]()
 
         def observed_call(target: bytes, items: list[CallItem]) -> None:
             destination = self._partners.destination_of(target)
             leased.update({(item.ref, item.attempt): destination for item in items})
             if list(leased.values()).count(destination) > math.ceil(SLOTS * MAX_LEASE_SHARE):
-                self._observer.breach(f"destination {destination} has three quarters of the slots and more")
+                self._observer.breach(
+                    f"destination {destination} has over {MAX_LEASE_SHARE:.0%} of {SLOTS} slots"
+                )
             call(target, items)
 
         def observed_outcome(result: api.Outcome) -> None:
--- a/emberlatch/faults/as2/messages.py
+++ b/emberlatch/faults/as2/messages.py
@@ -1,4 +1,4 @@
-"""What clients and partners know of the messages that they submitted."""
+"""Submitted messages, with what their clients or partners have observed of each."""
 
 from __future__ import annotations
 
@@ -9,16 +9,19 @@
 
 
 class Completion(NamedTuple):
-    """A notice that came at that time of the loop's clock (seconds)."""
+    """A completion notice; `at` is when it arrived, in seconds of the loop's clock."""
 
     at: float
-    ref: int  # the gateway's number of the message
+    ref: int  # the number that the gateway gave the message
     result: str
 
 
 @dataclass(slots=True)
 class SubmittedMessage:
-    """A message that a client submitted, or an order of a partner, which is one as well."""
+    """A message that a client submitted, or an order that a partner sent.
+
+    Times are in seconds of the loop's clock; `accepted_at` is infinity until the message is accepted.
+    """
 
     id: str
     category: str
@@ -26,11 +29,11 @@
     submitted_at: float
     accepted_at: float = math.inf
     is_rejected: bool = False
-    completions: list[Completion] = field(default_factory=list)  # the first alone, unless it is wrong
+    completions: list[Completion] = field(default_factory=list)  # only the first notice is recorded
 
 
 class ClientResponder:
-    """The client's side of a submission; it outlives the gateway's process."""
+    """Receives the response to a submission, also after the death of the process that it was submitted to."""
 
     gone = False
 
--- a/emberlatch/faults/as2/partners.py
+++ b/emberlatch/faults/as2/partners.py
@@ -1,4 +1,4 @@
-"""The stand-in partners of a run, and what is drawn for each message that they receive."""
+"""The simulated partners of a run, and how they handle each message, drawn at random."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 from emberlatch.standins.as2_partner import As2Partner
 from emberlatch.standins.as2_script import DuplicateFilter, ReceiptBehaviour, Script
 
-FAULTS_UNTIL_S = 30.0  # from when on partners behave
-ANOMALY_SHARES = (0.15, 0.35, 0.6)
+FAULTS_UNTIL_S = 30.0  # time from the start of the run after which partners have no more anomalies
+ANOMALY_SHARES = (0.15, 0.35, 0.6)  # shares of messages with an anomaly; each run draws one
 ANOMALIES = [behaviour for behaviour in ReceiptBehaviour if behaviour is not ReceiptBehaviour.RECEIPT]
 MIN_ANOMALIES = 3
-SIGNED_SHARE = 0.7  # of the runs, in which the fund's receipts must be signed
+SIGNED_SHARE = 0.7  # share of runs in which the fund's receipts must be signed
 ANSWER_DELAY_S, ANOMALOUS_DELAY_S = (0.01, 0.1), (0.01, 0.3)
 LATE_DELAYS_S = (0.5, 2.0, 6.0, 20.0)
 
 
 class PartnerBehaviour:
-    """What is drawn for a run: which anomalies there are, and how often.
+    """Draws the kinds and the frequency of anomalies for a run, then the handling of each message.
 
-    `silent_destination` is the partner that answers nothing at present (0: none).
+    `silent_destination` is the destination of the partner that currently sends no receipts; 0 is none.
     """
 
     def __init__(self, rng: random.Random, clock: Callable[[], float]) -> None:
@@ -45,7 +45,7 @@
         self.silent_destination = 0
 
     def draw_script(self) -> Script:
-        """What becomes of the next message."""
+        """Draw how a partner handles the next message."""
         rng = self._rng
         if rng.random() >= self._anomaly_share or self._clock() > START_TIME_S + FAULTS_UNTIL_S:
             return Script(ReceiptBehaviour.RECEIPT, rng.uniform(*ANSWER_DELAY_S))
@@ -54,7 +54,7 @@
 
 
 class SimulatedPartners:
-    """The endpoints of all partners by target, `entries` as the gateway's list has them."""
+    """The endpoints of all partners by target, and their `entries` in the gateway's endpoint list."""
 
     def __init__(self) -> None:
         self.endpoints: dict[bytes, As2Partner] = {}
@@ -66,7 +66,10 @@
         script_source: Callable[[int], Callable[[], Script]],
         unix_time: Callable[[], float],
     ) -> None:
-        """Start an endpoint of each partner in each zone; `script_source` draws for a destination."""
+        """Start an endpoint of each partner in each zone.
+
+        `script_source` returns, for a destination, the function that draws how each message is handled.
+        """
         gateway = identities[GATEWAY]
         for name in PARTNERS:
             for zone in ZONES:
@@ -84,18 +87,18 @@
                 self.entries.append(api.Entry(target, DESTINATIONS[name], zone=zone))
 
     def partner_of(self, target: bytes) -> str | None:
-        """The partner of an endpoint, None for one that is not listed."""
+        """The name of an endpoint's partner, None if the endpoint is not listed."""
         return target.decode().partition("-")[0] if target in self.endpoints else None
 
     def destination_number(self, partner: str) -> int | None:
-        """None: orders give their destinations by number, and names are unknown."""
+        """Always None: orders give their destination by number, so no name is ever resolved."""
         return None
 
     def destination_of(self, target: bytes) -> int:
-        """The destination of a listed endpoint."""
+        """The destination number of a listed endpoint."""
         return next(entry.destination for entry in self.entries if entry.target == target)
 
 
 def zone_of(target: bytes) -> int:
-    """The zone of an endpoint."""
+    """The zone number of an endpoint, which is the last digit of its target."""
     return int(target.decode()[-1])
--- a/emberlatch/faults/as2/result_checks.py
+++ b/emberlatch/faults/as2/result_checks.py
@@ -1,4 +1,4 @@
-"""What a run must show: completions in time, effects as often as allowed, and every dispute listed."""
+"""Checks of a run: messages complete in time, none is executed too often, and disputes are listed."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from emberlatch.faults.as2.settings import DEADLINE_S, DEDUP_WINDOW_S
 from emberlatch.standins.as2_script import CONFIRMING, NOT_EXECUTED, ReceiptBehaviour
 
-COMPLETION_GRACE_S = 0.4  # after its deadline, at which a message without a notice is late
-RESTART_GRACE_S = 1.5  # the same, after the gateway serves again
+COMPLETION_GRACE_S = 0.4  # time after a message's deadline until its notice counts as late
+RESTART_GRACE_S = 1.5  # time after a restart of the gateway until overdue notices count as late
 
 
 class Delivery(NamedTuple):
-    """A message as it came to a partner (`at` in seconds), and what the partner did with it."""
+    """One arrival of a message at a partner (`at` in seconds), and how the partner handled it."""
 
     at: float
     zone: int
@@ -28,16 +28,16 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the sender must take it for executed."""
+        """Whether the sender must assume that the partner may have executed the message."""
         return self.behaviour not in NOT_EXECUTED
 
 
 Deliveries = Mapping[str, Sequence[Delivery]]
-"""By message, in order of time."""
+"""The deliveries of each message by its id, in order of time."""
 
 
 class ResultChecks:
-    """Checks notices as they come, and all results at the end; breaches go to `breach`."""
+    """Checks each notice as it arrives, and all results at the end; reports violations to `breach`."""
 
     def __init__(
         self,
@@ -50,30 +50,32 @@
         self._breach = breach
 
     def on_completed(self, name: str, completion: Completion) -> None:
-        """A notice has come: the first must be in time, and a repeated one the same."""
+        """Check that a message's first notice is in time, and that repeated ones have the same result."""
         message = self._messages.get(name)
         if message is None:
-            self._breach(f"an end for {name}, which nobody submitted")
+            self._breach(f"notice for {name}, which was never submitted")
             return
         for earlier in message.completions:
             if earlier.ref != completion.ref:
-                self._breach(f"{name} was accepted twice")
+                self._breach(f"{name} was accepted twice: as number {earlier.ref} and as {completion.ref}")
             elif earlier.result != completion.result:
-                self._breach(f"{name} ended {earlier.result}, then {completion.result}")
+                self._breach(f"{name} was first reported {earlier.result}, then {completion.result}")
         if not message.completions:
             message.completions.append(completion)
             ready_at = self._gateway.ready_at
             serves_since = ready_at if ready_at < math.inf else completion.at
             due = message.submitted_at + DEADLINE_S + COMPLETION_GRACE_S
             if completion.at > max(due, serves_since + RESTART_GRACE_S):
-                self._breach(f"{name} ended {completion.at - message.submitted_at:.2f} s after it came")
+                self._breach(
+                    f"{name} was completed {completion.at - message.submitted_at:.2f} s after its submission"
+                )
 
     def check(self) -> None:
         """Check all results at the end of the run."""
         deliveries = self._collect_deliveries()
         for message in self._messages.values():
             if message.accepted_at < math.inf and not message.completions:
-                self._breach(f"{message.id} has no end")
+                self._breach(f"{message.id} was accepted at {message.accepted_at:.3f} and never completed")
         for name, received in deliveries.items():
             message = self._messages[name]
             self._check_effects(message, received)
@@ -83,13 +85,15 @@
             self._check_disputes(deliveries, self._gateway.side)
 
     def _collect_deliveries(self) -> Deliveries:
-        """What came to the partners."""
+        """Collect all messages that the partners received."""
         deliveries: dict[str, list[Delivery]] = {}
         for target, endpoint in self._partners.endpoints.items():
             for received in endpoint.received:
                 name = self._submission_of(received.original)
                 if name is None:
-                    self._breach(f"{received.original} came, which nobody sent")
+                    self._breach(
+                        f"a partner received {received.original}, which belongs to no submitted message"
+                    )
                     continue
                 delivery = Delivery(
                     received.at,
@@ -102,7 +106,7 @@
         return {name: sorted(each, key=lambda delivery: delivery.at) for name, each in deliveries.items()}
 
     def _submission_of(self, message_id: str) -> str | None:
-        """The id of the message that was sent under a Message-ID."""
+        """The id of the message that was sent under this Message-ID, None if there is none."""
         side = self._gateway.side
         if side is not None and (record := side.evidence.find(message_id)) is not None:
             return record.message
@@ -113,32 +117,34 @@
 
     def _check_effects(self, message: SubmittedMessage, deliveries: Sequence[Delivery]) -> None:
         if len({delivery.message_id for delivery in deliveries}) > 1:
-            self._breach(f"{message.id} was sent under several Message-IDs")
+            self._breach(f"{message.id} was sent under more than one Message-ID")
         unsafe = [delivery for delivery in deliveries if delivery.may_have_run]
         if message.category == "order" and len(unsafe) > 1:
-            self._breach(f"{message.id} is unsafe and was sent again after it may have run")
+            self._breach(f"{message.id} is unsafe and was sent again after it may have been executed")
         if message.category == "payout" and unsafe:
             first = unsafe[0]
             for delivery in deliveries:
                 if delivery.at > first.at and delivery.zone != first.zone:
-                    self._breach(f"{message.id} was sent to another zone after it may have run")
+                    self._breach(
+                        f"{message.id} may have run in zone {first.zone} and was sent to zone {delivery.zone}"
+                    )
                 if delivery.at > first.at + DEDUP_WINDOW_S:
                     late_s = delivery.at - first.at
-                    self._breach(f"{message.id} was sent again {late_s:.2f} s after it may have run")
+                    self._breach(f"{message.id} was sent again after {late_s:.2f} s, over {DEDUP_WINDOW_S} s")
             if sum(delivery.is_processed for delivery in deliveries) > 1:
-                self._breach(f"{message.id} took effect twice")
+                self._breach(f"{message.id} took effect twice or more")
 
     def _check_completion(
         self, message: SubmittedMessage, completion: Completion, deliveries: Sequence[Delivery]
     ) -> None:
         may_have_run = any(delivery.may_have_run for delivery in deliveries)
         if completion.result == "bounced" and may_have_run and message.category != "note":
-            self._breach(f"{message.id} ended rejected though it may have run")
+            self._breach(f"{message.id} was reported bounced but may have been executed")
         if completion.result == "delivered" and not may_have_run:
-            self._breach(f"{message.id} ended delivered though it never ran")
+            self._breach(f"{message.id} was reported delivered but was never executed")
 
     def _check_disputes(self, deliveries: Deliveries, side: As2Side) -> None:
-        """Every message that ended otherwise than a confirmed receipt says is listed in the ledger."""
+        """Check that the ledger lists each message whose reported result contradicts a proving receipt."""
         listed = {str(dispute.get("message")) for dispute in side.evidence.disputes()}
         proven = {
             receipt.original
@@ -152,5 +158,5 @@
                 continue
             if received[0].message_id in proven and name not in listed:
                 self._breach(
-                    f"{name} ended {completions[0].result}, a receipt says otherwise, no dispute is listed"
+                    f"{name} was reported {completions[0].result} despite a receipt, without a listed dispute"
                 )
--- a/emberlatch/faults/as2/settings.py
+++ b/emberlatch/faults/as2/settings.py
@@ -1,4 +1,4 @@
-"""The settings of every run with AS2 partners, and who takes part."""
+"""The settings of all runs with AS2 partners, and the parties that take part."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 SLOTS = 8
 JOURNAL_BYTES = 400_000
-STATE_BYTES = 2 * 2**20  # of the ledger, and of the orders
+STATE_BYTES = 2 * 2**20  # size limit of the ledger, and of the orders
 DEDUP_WINDOW_S, DEADLINE_S = 8.0, 12.0
 FRONT_ADDRESS, API_ADDRESS = ("127.0.0.1", 4080), ("127.0.0.1", 8080)
 RECEIPT_URL = Url(("127.0.0.1", 4999), "/as2")
@@ -47,19 +47,19 @@
 
 GATEWAY, BANK, FUND, STRANGER = "us", "bank", "fund", "stranger"
 PARTNERS = (BANK, FUND)
-"""The bank sends receipts in its answers, the fund later on connections of its own. The stranger signs
-receipts that nobody may believe."""
+"""The bank sends receipts in its HTTP responses, the fund sends them later on separate connections. The
+stranger is not a partner: receipts with its signature must be rejected."""
 DESTINATIONS = {BANK: 1, FUND: 2}
 ZONES = (0, 1)
 
 
 def trust_in(party: Own) -> Trust:
-    """Trust in the certificates of a party."""
+    """Build the trust settings that accept a party's certificates."""
     return Trust(tuple(certificate for certificate, _ in party.identity.key_pairs))
 
 
 def configure(identities: Mapping[str, Own], signed_receipts: Mapping[str, bool]) -> Parties:
-    """The gateway and its partners as it is configured; by partner, whether their receipts must be signed."""
+    """Configure the gateway and its partners; `signed_receipts` maps partners to whether they must sign."""
     partners = {}
     for name in PARTNERS:
         party, is_late = identities[name], name == FUND
--- a/emberlatch/faults/as2/traffic.py
+++ b/emberlatch/faults/as2/traffic.py
@@ -1,4 +1,4 @@
-"""What comes to the gateway of a run: messages of clients, and orders of partners."""
+"""The traffic of a run: messages that clients submit, and orders that partners send."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 MESSAGE_COUNT, BURST_SIZE = (12, 24), (12, 20)
 MESSAGES_PER_S, ORDERS_PER_S = 3.0, 1.0
 ORDER_COUNT, REPETITIONS = (2, 5), (1, 5)
-BURST_SHARE = 0.3  # of the runs
+BURST_SHARE = 0.3  # share of runs that have a burst
 BURST_AT_S, UNANSWERED_S, REPETITION_DELAY_S = (0.5, 6.0), (1.0, 4.0), (0.2, 2.0)
 ORDER_FORMAT = Format("sha256", "", False)
 
 
 class TrafficEnvironment(Protocol):
-    """What the traffic needs of the environment that it is in."""
+    """What the traffic needs from its environment."""
 
     loop: VirtualLoop
     random: random.Random
@@ -52,14 +52,14 @@
     messages: dict[str, SubmittedMessage]
 
     def unix_time(self) -> float:
-        """Unix time."""
+        """The current simulated Unix time, in seconds."""
 
     def breach(self, text: str) -> None:
-        """Record a breach at the present time."""
+        """Record a breach with the current virtual time."""
 
 
 class ClientTraffic:
-    """Messages that clients submit."""
+    """Submits messages as clients do."""
 
     def __init__(self, environment: TrafficEnvironment) -> None:
         self._environment, self._random = environment, environment.random
@@ -71,7 +71,7 @@
             self.submit(f"m{number}", self._random.choice(CATEGORIES), self._draw_destination())
 
     async def submit_burst(self) -> None:
-        """In some runs, submit more to a partner than all slots could carry, while it answers nothing."""
+        """In some runs, submit more messages than there are slots to a partner that answers none of them."""
         if self._random.random() >= BURST_SHARE:
             return
         await asyncio.sleep(self._random.uniform(*BURST_AT_S))
@@ -85,7 +85,7 @@
         return self._random.randint(1, len(DESTINATIONS))
 
     def submit(self, name: str, category: api.Category, destination: int) -> None:
-        """Submit a message if the gateway serves."""
+        """Submit a message if the gateway currently serves."""
         environment, gateway = self._environment, self._environment.gateway
         if gateway.core is None or gateway.process is None:
             return
@@ -98,7 +98,7 @@
 
 
 class PartnerOrders:
-    """Orders that partners send; each is repeated as it was, answered or not."""
+    """Sends orders as partners do; each may be repeated unchanged, whether it was answered or not."""
 
     def __init__(self, environment: TrafficEnvironment) -> None:
         self._environment, self._random = environment, environment.random
@@ -111,7 +111,7 @@
             self._environment.loop.create_task(self.send(name, f"order-{number}@{name}"))
 
     async def send(self, name: str, message_id: str) -> None:
-        """Send an order of a partner, and repeat it; its receipts must be right and alike."""
+        """Send a partner's order once or more, and check that all receipts are correct and identical."""
         environment, loop = self._environment, self._environment.loop
         order = SubmittedMessage(submission_id(name, message_id), "payout", DESTINATIONS[name], loop.time())
         environment.messages[order.id] = order
@@ -119,7 +119,7 @@
         receipts = set()
         for _ in range(self._random.randint(*REPETITIONS)):
             if order.accepted_at == math.inf:
-                order.submitted_at = loop.time()  # its time runs from its acceptance, which may be now
+                order.submitted_at = loop.time()  # the deadline counts from acceptance, which may be now
             try:
                 response = await post(*FRONT_ADDRESS, headers, sealed.body)
                 if response.status == 200:
@@ -127,14 +127,14 @@
                     self._check_receipt(name, message_id, sealed, response)
                     order.accepted_at = min(order.accepted_at, loop.time())
                 elif response.status != 503:
-                    environment.breach(f"{message_id}: answered {response.status}")
+                    environment.breach(f"{message_id}: got status {response.status}, expected 200 or 503")
             except As2Error as error:
                 environment.breach(f"{message_id}: {error}")
-            except OSError:  # no answer, which is what the repetitions are for
+            except OSError:  # no answer: the repetitions exist for this case
                 pass
             await asyncio.sleep(self._random.uniform(*REPETITION_DELAY_S))
         if len(receipts) > 1:
-            environment.breach(f"{message_id}: {len(receipts)} receipts that differ")
+            environment.breach(f"{message_id}: {len(receipts)} different receipts, expected one")
 
     def _seal(self, name: str, message_id: str) -> tuple[Sealed, list[tuple[str, str]]]:
         environment = self._environment
@@ -154,11 +154,11 @@
         return sealed, headers
 
     def _check_receipt(self, name: str, message_id: str, sealed: Sealed, response: PostResponse) -> None:
-        """The receipt in an answer must confirm the order; As2Error for one that can't be read."""
+        """Check that the receipt in a response confirms the order; raise As2Error if it can't be read."""
         environment = self._environment
         sender, gateway = environment.identities[name], environment.identities[GATEWAY]
         outer = mime.of(tuple(response.headers.items()), response.body)
         opened = unseal(outer, sender.identity, trust_in(gateway), Policy(), environment.unix_time())
         receipt = mdn.parse(opened.content)
         if receipt.disposition != mdn.PROCESSED or receipt.mic != sealed.mic:
-            environment.breach(f"{message_id}: receipt says {receipt.disposition.plain}")
+            environment.breach(f"{message_id}: receipt has {receipt.disposition.plain}, or a wrong digest")
