--- a/emberlatch/faults/capacity_bound.py
+++ b/emberlatch/faults/capacity_bound.py
@@ -1,13 +1,13 @@
-"""An upper bound of the messages that can be completed in time, whatever the forwarders do.
+"""An upper bound on the number of messages that any forwarders could complete in time.
 
-It is no policy: it knows when each endpoint fails and returns, of which no forwarder is informed, and serves
-the message with the earliest due time first. What forwarders complete, compared with it, shows how fast they
-recover.
+No forwarder could reach it in practice: the computation knows when each endpoint fails and recovers, and
+serves messages in order of their due times. The share of this bound that the forwarders complete shows how
+fast they recover from faults.
 
-An endpoint serves nothing while it fails, is unreachable, is listed as draining or removed, or while every
-sender has been ordered to wait. After an outage it serves the share of its capacity that it has in warm-up,
-which is less than the rule on returning destinations lets be sent. It never serves more than its rate limit,
-in full calls.
+An endpoint serves nothing while it fails, is unreachable, is listed as draining or removed, or has sent a
+Retry-After that still applies to every sender. After an outage its capacity grows during a warm-up; the
+forwarders' slow start permits a higher rate than that. It never serves more than its rate limit, with every
+call a full batch.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
     Condition,
 )
 
-STEP_S = 0.1  # outages and returns last for several steps
-FAILING_CONDITIONS = {*OUTAGES, Condition.GARBLED}  # in which no message is delivered
+STEP_S = 0.1  # time step of the computation; outages and warm-ups take several steps
+FAILING_CONDITIONS = {*OUTAGES, Condition.GARBLED}  # conditions in which no message is delivered
 
 
 @dataclass(frozen=True, slots=True)
 class DemandedMessage:
-    """A message for a partner, requested at `at` and in time until `due_at`, in seconds."""
+    """A message for a partner, requested at `at` and on time if completed by `due_at`, in seconds."""
 
     partner: str
     at: float
@@ -41,18 +41,18 @@
 
 @dataclass(frozen=True, slots=True)
 class _Change:
-    """What changes for an endpoint at a time; None for what stays."""
+    """A change of an endpoint's state at the time `at`; a field that is None does not change."""
 
     at: float
     condition: Condition | None = None
-    is_reachable: bool | None = None  # for the network
-    is_serving: bool | None = None  # in the list
-    sender: str = ""  # that has to wait until `wait_until`
+    is_reachable: bool | None = None  # whether the network reaches the endpoint
+    is_serving: bool | None = None  # whether the directory lists the endpoint as serving
+    sender: str = ""  # the forwarder that must not send before `wait_until`
     wait_until: float = -math.inf
 
 
 class _EndpointState:
-    """The state of one endpoint as its changes are applied, and its rate in it."""
+    """The state of one endpoint, updated by changes in order of time, and the rate that it can serve."""
 
     def __init__(self, behaviour: Behaviour, max_batch_size: int, sender_count: int) -> None:
         self._behaviour, self._max_batch_size = behaviour, max_batch_size
@@ -75,7 +75,7 @@
             self._waits_until[change.sender] = max(change.wait_until, earlier)
 
     def rate(self, now: float) -> float:
-        """Messages a second that it can serve."""
+        """The messages per second that the endpoint can serve."""
         waits = self._waits_until.values()
         all_wait = len(waits) >= self._sender_count and min(waits) > now
         if (
@@ -90,7 +90,7 @@
         capacity_share = min(
             1.0, start_share + (1 - start_share) * warming_s / max(behaviour.warm_up_s, 1e-9)
         )
-        # Of a batch with a truncated answer only a single message is known to be delivered.
+        # With a truncated answer, delivery is certain only for a call with a single message.
         batch_size = 1 if self._condition is Condition.TRUNCATED else self._max_batch_size
         slow_factor = SLOW_FACTOR if self._condition is Condition.SLOW else 1.0
         call_s = behaviour.service_time_s * slow_factor * (1 + BATCH_ITEM_SHARE * (batch_size - 1))
@@ -99,9 +99,9 @@
 
 
 class CapacityBound:
-    """Changes are reported by the `on_...` methods, in seconds from the start of the run.
+    """Computes the bound from changes that the `on_...` methods record, in seconds from the start of the run.
 
-    `behaviours` and `max_batch_sizes` (messages in a call) go by partner; `sender_count` is the number of
+    `behaviours` and `max_batch_sizes` (messages in a call) are by partner; `sender_count` is the number of
     forwarders.
     """
 
@@ -116,25 +116,25 @@
         self._changes.setdefault(endpoint, []).append(change)
 
     def on_condition(self, at: float, endpoint: str, condition: Condition) -> None:
-        """An endpoint is in this condition from now on."""
+        """Record that an endpoint changes to a condition."""
         self._add(endpoint, _Change(at, condition=condition))
 
     def on_reachability(self, at: float, endpoint: str, is_reachable: bool) -> None:
-        """The network reaches an endpoint from now on, or does not."""
+        """Record that the network begins or ceases to reach an endpoint."""
         self._add(endpoint, _Change(at, is_reachable=is_reachable))
 
     def on_listed(self, at: float, endpoint: str, is_serving: bool) -> None:
-        """An endpoint is listed as serving from now on, or as draining or removed."""
+        """Record that the directory lists an endpoint as serving, or as draining or removed."""
         self._add(endpoint, _Change(at, is_serving=is_serving))
 
     def on_retry_after(self, at: float, endpoint: str, sender: str, retry_after_s: float) -> None:
-        """An endpoint has ordered a sender to wait for so many seconds."""
+        """Record that an endpoint sent a Retry-After, in seconds, to a sender."""
         self._add(endpoint, _Change(at, sender=sender, wait_until=at + retry_after_s))
 
     def count_servable(self, demand: Iterable[DemandedMessage], since: float, until: float) -> int:
-        """How many of the messages requested from `since` to `until` can be completed in time.
+        """Count the messages requested between `since` and `until` that can be completed in time.
 
-        Those requested before compete with them, as they do in the run.
+        Messages that were requested earlier use capacity too, but are not counted.
         """
         by_partner: dict[str, list[DemandedMessage]] = {}
         for message in demand:
@@ -143,12 +143,12 @@
         return sum(self._count_served(partner, messages, since) for partner, messages in by_partner.items())
 
     def _rates(self, endpoint: str, step_count: int) -> list[float]:
-        """Messages a second that an endpoint can serve in each step of the time."""
+        """The messages per second that an endpoint can serve, for each time step."""
         partner = partner_of(endpoint)
         state = _EndpointState(self._behaviours[partner], self._max_batch_sizes[partner], self._sender_count)
         rates = []
         changes = sorted(self._changes[endpoint], key=lambda change: change.at)
-        changes.reverse()  # the next one at the end
+        changes.reverse()  # so that pop() returns the earliest change
         for step in range(step_count):
             now = step * STEP_S
             while changes and changes[-1].at <= now:
@@ -157,20 +157,23 @@
         return rates
 
     def _count_served(self, partner: str, demand: Sequence[DemandedMessage], since: float) -> int:
-        """Serve the earliest due time first: no other order completes more in time."""
+        """Count the messages of a partner completed in time, earliest due time first.
+
+        No other order completes more in time.
+        """
         step_count = math.ceil(max(message.due_at for message in demand) / STEP_S) + 1
         endpoint_rates = [
             self._rates(endpoint, step_count) for endpoint in self._changes if partner_of(endpoint) == partner
         ]
         future = sorted(demand, key=lambda message: message.at, reverse=True)
-        waiting: list[tuple[float, float]] = []  # due time and time of the request
+        waiting: list[tuple[float, float]] = []  # pairs of due time and request time
         count, budget = 0, 0.0
         for step, rate in enumerate(map(sum, zip(*endpoint_rates, strict=True))):
             now = step * STEP_S
             while future and future[-1].at <= now:
                 message = future.pop()
                 heapq.heappush(waiting, (message.due_at, message.at))
-            budget = min(budget, 1.0) + rate * STEP_S if rate else 0.0  # unused capacity is not kept
+            budget = min(budget, 1.0) + rate * STEP_S if rate else 0.0  # unused capacity does not accumulate
             while waiting and (budget >= 1 or waiting[0][0] < now):
                 due_at, requested_at = heapq.heappop(waiting)
                 if due_at >= now:
--- a/emberlatch/faults/checks/__init__.py
+++ b/emberlatch/faults/checks/__init__.py
@@ -1,7 +1,8 @@
-"""The rules of a run, checked by what passed between the parts and not by what a forwarder believes.
+"""The rules of a run, checked on the observed traffic and not on the forwarders' own state.
 
-Pure: events are reported in their order, and breaches are collected. The limits are those of the settings.
-Where two parties must agree on a moment, the protocol's slack and the latency of a packet are granted.
+The checks do no I/O: they receive events in order and collect breaches. Their limits come from the settings.
+Where two parties may see an event at different times, the protocol's slack and the latency of a packet are
+allowed.
 """
 
 from emberlatch.faults.checks.breaches import Breach, BreachLog, Rule
--- a/emberlatch/faults/checks/breaches.py
+++ b/emberlatch/faults/checks/breaches.py
@@ -1,4 +1,4 @@
-"""Rules by name, and the log of their breaches."""
+"""The names of the rules, and a log of their breaches."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 
 class Rule(StrEnum):
-    """The rules, by the names under which reports print them (docs/design/faults.md)."""
+    """The rules; the values are the names that reports print (docs/design/faults.md)."""
 
     LOST = "lost"
     DUPLICATES = "duplicates"
-    ENDS = "ends"
-    AT_ONCE = "at once"
+    FINAL_RESULT = "ends"
+    NOTICE_DELAY = "at once"
     DRAINS = "drains"
-    WAITS = "waits"
-    RETURNS = "returns"
+    RETRY_AFTER = "waits"
+    RECOVERY_LOAD = "returns"
     LEASES = "leases"
     DISK = "disk"
     MEMORY = "memory"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A rule that was broken: which, when (seconds from the start of the run), and what was observed."""
+    """A violation of a rule; `at` is in seconds from the start of the run, `text` says what was observed."""
 
     rule: Rule
     at: float
@@ -37,11 +37,11 @@
 
 
 class BreachLog:
-    """Breaches in the order in which they were found."""
+    """Collects breaches in the order in which the checks report them."""
 
     def __init__(self) -> None:
         self.breaches: list[Breach] = []
 
     def add(self, rule: Rule, at: float, text: str) -> None:
-        """Record a breach at a time in seconds."""
+        """Add a breach; `at` is in seconds from the start of the run."""
         self.breaches.append(Breach(rule, at, text))
--- a/emberlatch/faults/checks/call_checks.py
+++ b/emberlatch/faults/checks/call_checks.py
@@ -1,4 +1,4 @@
-"""Rules on calls in flight, on waits that endpoints demanded, and on endpoints that return from an outage."""
+"""Rules on calls in flight, on Retry-After, and on the load on endpoints that recover from an outage."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from emberlatch.faults.checks.parameters import RuleParameters
 from emberlatch.faults.plan import partner_of
 
-HANG_TIMEOUT_S = 2.5  # without an answer, after which a call shows that its endpoint hangs
-HANG_DETECTION_S = 6.0  # from its start, after which a forwarder should know which endpoints hang
-WAIT_START_GRACE_S = 0.1  # from an answer with Retry-After, in which calls may still arrive
+HANG_TIMEOUT_S = 2.5  # age from which an unanswered call shows the forwarder that the endpoint hangs
+HANG_DETECTION_S = 6.0  # time after its start by which a forwarder should have detected hanging endpoints
+WAIT_START_GRACE_S = 0.1  # time after an answer with Retry-After in which calls may still arrive
 
 
 @dataclass(frozen=True, slots=True)
 class SentCall:
-    """A call that has reached an endpoint: from whom, when (seconds), and with which messages."""
+    """A call that reached an endpoint at the time `at` (seconds), with its sender and its messages."""
 
     forwarder: str
     at: float
@@ -27,7 +27,7 @@
 
 
 class LeaseChecks:
-    """Rule `leases`: calls in flight of each forwarder, in all and to each partner."""
+    """Rule `leases`: limits the calls in flight of each forwarder, in total and to each partner."""
 
     def __init__(self, parameters: RuleParameters, forwarders: ForwarderStates, log: BreachLog) -> None:
         self._parameters, self._forwarders, self._log = parameters, forwarders, log
@@ -36,7 +36,7 @@
         self._hanging_endpoints: Collection[str] = ()
 
     def on_call(self, call: CallKey, sent: SentCall) -> None:
-        """A call has reached its endpoint."""
+        """Record a call that reached its endpoint, and check it if the endpoint hangs."""
         self._sent[call] = sent
         self._in_flight.setdefault(sent.forwarder, {})[call] = partner_of(call.endpoint)
         if (
@@ -46,7 +46,7 @@
             self._check_isolation(call.endpoint, sent)
 
     def _check_isolation(self, endpoint: str, sent: SentCall) -> None:
-        """A call to an endpoint that has hung for long: its partner holds half of the slots at most."""
+        """Check a call to a hanging endpoint: such calls to a partner may use half of the slots at most."""
         slots, partner = self._parameters.slots, partner_of(endpoint)
         hanging_calls = [
             call
@@ -54,32 +54,34 @@
             if call.endpoint in self._hanging_endpoints and partner_called == partner
         ]
         unanswered = sum(sent.at - self._sent[call].at > HANG_TIMEOUT_S for call in hanging_calls)
-        if len(hanging_calls) > max(1, slots // 2) and unanswered > 1:  # one may just be slow
+        # A single unanswered call may only be slow.
+        if len(hanging_calls) > max(1, slots // 2) and unanswered > 1:
             self._log.add(
                 Rule.LEASES,
                 sent.at,
-                f"{sent.forwarder} sends {endpoint}, which hangs, call {len(hanging_calls)} of {slots}",
+                f"{sent.forwarder} calls {endpoint}, which hangs, and has {len(hanging_calls)} such calls"
+                f" in flight; the limit is {max(1, slots // 2)}",
             )
 
     def on_call_completed(self, call: CallKey) -> SentCall | None:
-        """A call has ended; gives what was sent, None for a call that has not arrived."""
+        """Remove a call that ended; returns it, or None if it never reached its endpoint."""
         sent = self._sent.get(call)
         if sent is not None:
             self._in_flight.get(sent.forwarder, {}).pop(call, None)
         return sent
 
     def on_forwarder_down(self, forwarder: str) -> None:
-        """The process is dead, and its calls with it."""
+        """Remove the calls of a process that died."""
         self._in_flight.pop(forwarder, None)
 
     def on_isolated(self, endpoint: str) -> None:
-        """An endpoint is unreachable: it won't be notified that calls are given up."""
+        """Remove the calls to an endpoint that became unreachable: it can't see when they are abandoned."""
         for calls in self._in_flight.values():
             for call in [call for call in calls if call.endpoint == endpoint]:
                 del calls[call]
 
     def check(self, at: float, hanging_endpoints: Collection[str]) -> None:
-        """Check all calls in flight; `hanging_endpoints` have not answered for long."""
+        """Check all calls in flight; `hanging_endpoints` have answered nothing for a long time."""
         self._hanging_endpoints = hanging_endpoints
         for forwarder, calls in self._in_flight.items():
             self._check_forwarder(at, forwarder, calls)
@@ -90,60 +92,66 @@
             self._log.add(Rule.LEASES, at, f"{forwarder} has {len(calls)} calls in flight on {slots} slots")
         for partner in dict.fromkeys(partners):
             if (count := partners.count(partner)) >= slots * 3 / 4:
-                self._log.add(Rule.LEASES, at, f"{forwarder} has {count} calls in flight to {partner}")
+                self._log.add(
+                    Rule.LEASES, at, f"{forwarder} has {count} calls in flight to {partner} on {slots} slots"
+                )
 
 
 class RetryAfterChecks:
-    """Rule `waits`: no call to an endpoint that has ordered the forwarder to wait."""
+    """Rule `waits`: a forwarder makes no call to an endpoint before its Retry-After has passed."""
 
     def __init__(self, parameters: RuleParameters, log: BreachLog) -> None:
         self._parameters, self._log = parameters, log
-        self._waits: dict[tuple[str, str], Span] = {}  # by forwarder and endpoint
+        self._waits: dict[tuple[str, str], Span] = {}  # the wait in force, by forwarder and endpoint
 
     def on_retry_after(self, at: float, forwarder: str, endpoint: str, retry_after_s: float) -> None:
-        """An answer has ordered a forwarder to wait for so many seconds."""
+        """Record an answer with a Retry-After, in seconds, to a forwarder."""
         _, until = self._waits.get((forwarder, endpoint), (0.0, -math.inf))
         self._waits[forwarder, endpoint] = at, max(until, at + retry_after_s)
 
     def on_call(self, at: float, forwarder: str, endpoint: str) -> None:
-        """A call has reached its endpoint."""
+        """Check a call that reached its endpoint."""
         since, until = self._waits.get((forwarder, endpoint), (math.inf, -math.inf))
         if since + WAIT_START_GRACE_S + self._parameters.max_latency_s < at < until:
             self._log.add(
-                Rule.WAITS, at, f"{forwarder} calls {endpoint} {until - at:.3f} s before its wait is over"
+                Rule.RETRY_AFTER,
+                at,
+                f"{forwarder} calls {endpoint} {until - at:.3f} s before its Retry-After ends",
             )
 
     def on_forwarder_down(self, forwarder: str) -> None:
-        """The next process does not know of the waits."""
+        """Forget the waits of a process that died: the next process has not received them."""
         for key in [key for key in self._waits if key[0] == forwarder]:
             del self._waits[key]
 
 
 class OverloadChecks:
-    """Rule `returns`: an endpoint is not overloaded by forwarders that have seen its outage."""
+    """Rule `returns`: forwarders that saw an endpoint's outage do not overload it when it recovers."""
 
     def __init__(self, log: BreachLog) -> None:
         self._log = log
-        self._witnesses: dict[str, set[str]] = {}  # forwarders that have seen an endpoint fail
+        self._witnesses: dict[str, set[str]] = {}  # by endpoint, the forwarders that saw it fail
 
     def on_outage(self, endpoint: str) -> None:
-        """An endpoint fails from now on."""
+        """Record that an endpoint's outage begins."""
         self._witnesses.setdefault(endpoint, set())
 
     def on_failure(self, endpoint: str, forwarder: str) -> None:
-        """A call of a forwarder has failed at an endpoint."""
+        """Record a failed call of a forwarder to an endpoint."""
         if endpoint in self._witnesses:
             self._witnesses[endpoint].add(forwarder)
 
     def on_forwarder_down(self, forwarder: str) -> None:
-        """The next process has seen nothing."""
+        """Forget what a process that died has seen: its successor has seen no failures."""
         for witnesses in self._witnesses.values():
             witnesses.discard(forwarder)
 
     def on_overload(self, at: float, endpoint: str, callers: Sequence[str]) -> None:
-        """An endpoint has broken down under recent calls of these forwarders, one entry a call."""
+        """Check an overload of an endpoint; `callers` has the forwarder of each recent call."""
         informed = sum(forwarder in self._witnesses.get(endpoint, ()) for forwarder in callers)
         if callers and informed >= len(callers) * 2 / 3:
             self._log.add(
-                Rule.RETURNS, at, f"{endpoint} was overloaded by {informed} of {len(callers)} calls"
+                Rule.RECOVERY_LOAD,
+                at,
+                f"{endpoint} was overloaded: {informed} of {len(callers)} calls by witnesses of its outage",
             )
--- a/emberlatch/faults/checks/message_checks.py
+++ b/emberlatch/faults/checks/message_checks.py
@@ -1,4 +1,4 @@
-"""Rules on the completion of messages: none is lost, none has two ends, none is executed too often."""
+"""Rules on the completion of messages: none is lost, has two results, or is executed too often."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from emberlatch.faults.checks.message_states import AttemptOutcome, CallAttempt, CallKey, CheckedMessage
 from emberlatch.faults.checks.parameters import NOTICE_CROSSING_S, TIME_LIMIT_SLACK_S, RuleParameters
 
-LOST_MESSAGE_GRACE_S = 0.3  # after its deadline, at which a message without an end counts as lost
-MAX_NOTICE_DELAY_S = 0.35  # from when a message was given up until its notice
-REJECTED = (429, 503)
+LOST_MESSAGE_GRACE_S = 0.3  # time after its deadline until an incomplete message counts as lost
+MAX_NOTICE_DELAY_S = 0.35  # longest time from the decision to give up a message until its notice
+REJECTED = (429, 503)  # HTTP statuses of a rejection: nothing was executed
 
 
 class MessageChecks:
-    """Rules `lost`, `duplicates`, `ends` and `at once`."""
+    """Checks the rules `lost`, `duplicates`, `ends` and `at once`."""
 
     def __init__(self, parameters: RuleParameters, forwarders: ForwarderStates, log: BreachLog) -> None:
         self.messages: dict[str, CheckedMessage] = {}
         self._parameters, self._forwarders, self._log = parameters, forwarders, log
 
     def on_submitted(self, forwarder: str, message: str, effect: str, deadline: float) -> None:
-        """A client has written the last byte of a message."""
+        """Record that a client wrote the last byte of a message."""
         self.messages[message] = CheckedMessage(message, forwarder, effect, deadline)
 
     def on_submission_answered(self, at: float, message: str, status: int) -> None:
-        """A client has received the answer to its submission."""
+        """Record a client's answer to its submission; a rejection is checked."""
         submitted = self.messages[message]
         if status == 202:
             submitted.accepted_at = at
@@ -35,22 +35,26 @@
             self._check_rejection(at, submitted, f"answered {status}")
 
     def on_notice(self, at: float, forwarder: str, message: str, result: str) -> None:
-        """The platform has confirmed a notice."""
+        """Check a notice that the platform confirmed."""
         reported = self.messages.get(message)
         if reported is None:
-            self._log.add(Rule.ENDS, at, f"{forwarder} reports {message}, which nobody submitted")
+            self._log.add(Rule.FINAL_RESULT, at, f"{forwarder} reports {message}, which was never submitted")
             return
         notices = reported.notices
         notices.setdefault(result, at)
         if len(notices) > 1 and not self._forwarders.may_be_unwritten(forwarder, min(notices.values())):
-            self._log.add(Rule.ENDS, at, f"{message} ended as {' and as '.join(notices)}")
+            self._log.add(Rule.FINAL_RESULT, at, f"{message} was reported as {' and as '.join(notices)}")
         if self._knew_of_delivery(forwarder, reported, at):
-            self._log.add(Rule.ENDS, at, f"{message} is {result} though it was delivered")
+            self._log.add(
+                Rule.FINAL_RESULT,
+                at,
+                f"{message} is reported as {result}, delivered at {reported.delivered_at:.3f}",
+            )
         if result == "bounced":
             self._check_rejection(at, reported, "bounced")
 
     def _knew_of_delivery(self, forwarder: str, message: CheckedMessage, at: float) -> bool:
-        """Whether the process that sends a notice must have received the answer of the delivery."""
+        """Whether the process that sent a notice must have known before that the message was delivered."""
         answer_read_at = message.delivered_at + NOTICE_CROSSING_S
         was_running = self._forwarders.ready_since(forwarder) < message.delivered_at
         is_received = not message.is_delivery_uncertain and message.given_up_at > answer_read_at
@@ -59,43 +63,47 @@
     def _check_rejection(self, at: float, message: CheckedMessage, how: str) -> None:
         if message.effect != "safe" and message.may_have_run:
             self._log.add(
-                Rule.DUPLICATES, at, f"{message.id} ({message.effect}) {how} though it may have run"
+                Rule.DUPLICATES, at, f"{message.id} ({message.effect}) was {how} but may have been executed"
             )
 
     def on_given_up(self, at: float, message: str) -> None:
-        """The decision module has ended it: its notice is due at once."""
+        """Record that the decision module gave up a message: its notice is due at once."""
         if (known := self.messages.get(message)) is not None and known.given_up_at == math.inf:
             known.given_up_at = at
 
     def on_forwarder_down(self, forwarder: str) -> None:
-        """Its next process decides anew on what it gave up without a notice."""
+        """Forget decisions without a notice: the forwarder's next process decides again on these messages."""
         for message in self.messages.values():
             if message.forwarder == forwarder and not message.notices:
                 message.given_up_at = math.inf
 
     def on_call(self, at: float, forwarder: str, call: CallKey, message_id: str) -> None:
-        """A call with this message has reached an endpoint."""
+        """Check a message of a call that reached an endpoint."""
         message = self.messages.get(message_id)
         if message is None:
-            self._log.add(Rule.DUPLICATES, at, f"{forwarder} sends {message_id}, which nobody submitted")
+            self._log.add(Rule.DUPLICATES, at, f"{forwarder} sends {message_id}, which was never submitted")
             return
         for attempt in message.attempts:
             if message.effect != "safe" and attempt.outcome is not AttemptOutcome.NOT_EXECUTED:
                 self._check_repeat(at, message, attempt, call.endpoint)
         for result, since in message.notices.items():
             if at > since + NOTICE_CROSSING_S and not self._forwarders.may_be_unwritten(forwarder, since):
-                self._log.add(Rule.ENDS, at, f"{message_id} is sent though it ended as {result}")
+                self._log.add(
+                    Rule.FINAL_RESULT,
+                    at,
+                    f"{message_id} is sent after it was reported as {result} at {since:.3f}",
+                )
         message.attempts.append(CallAttempt(at, call))
 
     def _check_repeat(self, at: float, message: CheckedMessage, earlier: CallAttempt, endpoint: str) -> None:
-        """A call with a message that may have been executed by an earlier one."""
+        """Check a call with a message that an earlier call may have executed."""
         parameters, earlier_endpoint = self._parameters, earlier.call.endpoint
         if message.effect == "unsafe":
-            text = f"{message.id} is sent again, {earlier.outcome} at {earlier_endpoint}"
+            text = f"{message.id} is sent again, earlier outcome at {earlier_endpoint}: {earlier.outcome}"
         elif parameters.zones[earlier_endpoint] != parameters.zones[endpoint]:
-            text = f"{message.id} is sent to {endpoint} after {earlier_endpoint}"
+            text = f"{message.id} is sent to {endpoint} after {earlier_endpoint}, which is in another zone"
         elif at - parameters.max_latency_s - earlier.at > parameters.dedup_windows_s[message.effect]:
-            text = f"{message.id} is sent again after {at - earlier.at:.3f} s"
+            text = f"{message.id} is sent again after {at - earlier.at:.3f} s, after its dedup window"
         else:
             return
         self._log.add(Rule.DUPLICATES, at, text)
@@ -103,7 +111,7 @@
     def on_call_completed(
         self, at: float, call: CallKey, message_ids: Sequence[str], outcome: AttemptOutcome, delivered: bool
     ) -> None:
-        """A call has ended; `delivered` if its caller must take its messages for delivered."""
+        """Record the end of a call; `delivered` says whether its sender must count it as delivered."""
         for message_id in message_ids:
             message = self.messages.get(message_id)
             if message is None:
@@ -115,7 +123,7 @@
                 message.delivered_at = min(message.delivered_at, at)
 
     def on_isolated(self, at: float, endpoint: str) -> None:
-        """An endpoint is unreachable: answers that are on their way may not arrive."""
+        """Record that an endpoint became unreachable: its answers in transit may not arrive."""
         for message in self.messages.values():
             last_attempt = message.attempts[-1] if message.attempts else None
             if (
@@ -126,7 +134,7 @@
                 message.is_delivery_uncertain = True
 
     def check_overdue(self, at: float) -> None:
-        """At the end: each accepted message was completed in time, and each notice came at once."""
+        """Check at the end that accepted messages were completed in time and notices sent without delay."""
         for message in self.messages.values():
             if message.accepted_at < math.inf:
                 self._check_completion_time(at, message)
@@ -136,11 +144,15 @@
         due = message.deadline + LOST_MESSAGE_GRACE_S + TIME_LIMIT_SLACK_S
         due = max(due, self._forwarders.excused_until(forwarder, due))
         if completed_at > due and at > due:
-            self._log.add(Rule.LOST, min(at, due), f"{message.id} of {forwarder} had no end in time")
+            self._log.add(
+                Rule.LOST, min(at, due), f"{message.id} of {forwarder} was not completed by {due:.3f}"
+            )
         if message.given_up_at == math.inf or message.delivered_at < math.inf:
             return
         since = max(message.given_up_at, self._forwarders.excused_until(forwarder, message.given_up_at))
         if completed_at > since + MAX_NOTICE_DELAY_S:
             self._log.add(
-                Rule.AT_ONCE, since, f"{message.id} was given up, its notice came at {completed_at:.3f}"
+                Rule.NOTICE_DELAY,
+                since,
+                f"{message.id} was given up, notice due at {since:.3f} came at {completed_at:.3f}",
             )
--- a/emberlatch/faults/checks/message_states.py
+++ b/emberlatch/faults/checks/message_states.py
@@ -1,4 +1,4 @@
-"""What the checks know of each message and of the calls that carried it."""
+"""The state of each message and of the calls that carried it, as the checks need it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class AttemptOutcome(StrEnum):
-    """Whether a call that reached a partner was executed, as far as its caller can know."""
+    """Whether a call that reached a partner was executed, as far as its sender can know."""
 
     IN_FLIGHT = "in flight"
     EXECUTED = "executed"
@@ -18,7 +18,7 @@
 
 
 class CallKey(NamedTuple):
-    """Identifies a call: its endpoint, and its number there."""
+    """Identifies a call by its endpoint and its number at that endpoint."""
 
     endpoint: str
     number: int
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class CallAttempt:
-    """A call with a message that has reached an endpoint; `at` in seconds."""
+    """A call that carried a message to an endpoint, where it arrived at the time `at` (seconds)."""
 
     at: float
     call: CallKey
@@ -35,10 +35,10 @@
 
 @dataclass(slots=True)
 class CheckedMessage:
-    """One message by its id. Times are in seconds, infinity for what has not happened.
+    """One submitted message. Times are in seconds, and infinity for events that have not happened.
 
-    `effect` is `safe`, `keyed` or `unsafe`; `deadline` is when it must be completed; `notices` has the first
-    notice of each result.
+    `effect` is `safe`, `keyed` or `unsafe`; the message must be completed by `deadline`; `notices` maps each
+    reported result to the time of its first notice.
     """
 
     id: str
@@ -54,10 +54,10 @@
 
     @property
     def completed_at(self) -> float:
-        """When it was delivered or first reported."""
+        """The time of the delivery or of the first notice, whichever is earlier."""
         return min([self.delivered_at, *self.notices.values()])
 
     @property
     def may_have_run(self) -> bool:
-        """Whether some attempt was not surely rejected."""
+        """Whether at least one attempt may have executed the message."""
         return any(attempt.outcome is not AttemptOutcome.NOT_EXECUTED for attempt in self.attempts)
--- a/emberlatch/faults/checks/rule_checks.py
+++ b/emberlatch/faults/checks/rule_checks.py
@@ -1,4 +1,4 @@
-"""All rules over one run: takes each event, and passes it to the checks that it concerns."""
+"""All rules of a run: receives every event and passes it to the checks that need it."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 
 
 class RuleChecks:
-    """Events are reported by the `on_...` methods, in their order, with times in seconds from the start.
+    """Applies all rules to events, which the `on_...` methods receive in order.
 
-    Endpoints and forwarders go by their names in the plan; an endpoint's calls are numbered by it.
+    Times are in seconds from the start of the run. Endpoints and forwarders have their names from the plan;
+    each endpoint numbers its own calls.
     """
 
     def __init__(self, parameters: RuleParameters) -> None:
@@ -29,23 +30,23 @@
 
     @property
     def breaches(self) -> list[Breach]:
-        """What was wrong so far, in the order in which it was found."""
+        """The breaches so far, in the order in which they were detected."""
         return self._log.breaches
 
     @property
     def messages(self) -> dict[str, CheckedMessage]:
-        """What is known of each message, by its id."""
+        """The state of each message, by its id."""
         return self._messages.messages
 
-    # Forwarders.
+    # Events of forwarders.
 
     def on_ready(self, at: float, forwarder: str, draining: Iterable[str]) -> None:
-        """A process is ready; its configuration lists these endpoints as not serving."""
+        """A process became ready; its configuration lists `draining` as not serving."""
         self._forwarders.on_ready(at, forwarder)
         self._drains.on_ready(at, forwarder, draining)
 
     def on_down(self, forwarder: str) -> None:
-        """A process is dead: what it had in flight may have run, and what it was informed of is forgotten."""
+        """A process died: its calls in flight may have been executed, and its knowledge is lost."""
         self._leases.on_forwarder_down(forwarder)
         self._drains.on_forwarder_down(forwarder)
         self._waits.on_forwarder_down(forwarder)
@@ -53,37 +54,37 @@
         self._messages.on_forwarder_down(forwarder)
 
     def on_disk_state(self, at: float, forwarder: str, works: bool) -> None:
-        """A forwarder's disk refuses writes from now on, or works again."""
+        """A forwarder's disk began to refuse writes, or works again."""
         self._forwarders.on_disk_state(at, forwarder, works)
 
     def excuse(self, forwarder: str, spans: list[Span]) -> None:
-        """In these spans a forwarder's notices are not overdue: stops, restarts, nobody who receives them."""
+        """Excuse a forwarder's late notices in these spans: stops, restarts, times without a receiver."""
         self._forwarders.excuse(forwarder, spans)
 
-    # Clients and notices.
+    # Events of clients, and notices.
 
     def on_submitted(self, forwarder: str, message: str, effect: str, deadline: float) -> None:
-        """A client has written the last byte of a message, which must be completed by `deadline`."""
+        """A client wrote the last byte of a message, which must be completed by `deadline`."""
         self._messages.on_submitted(forwarder, message, effect, deadline)
 
     def on_submission_answered(self, at: float, message: str, status: int) -> None:
-        """A client has received the answer to its submission."""
+        """A client received the answer to its submission."""
         self._messages.on_submission_answered(at, message, status)
 
     def on_notice(self, at: float, forwarder: str, message: str, result: str) -> None:
-        """The platform has confirmed a notice."""
+        """The platform confirmed a notice."""
         self._messages.on_notice(at, forwarder, message, result)
 
     def on_given_up(self, at: float, message: str) -> None:
-        """The decision module has ended a message: its notice is due at once."""
+        """The decision module gave up a message: its notice is due at once."""
         self._messages.on_given_up(at, message)
 
-    # Partners.
+    # Events of partners' endpoints.
 
     def on_call(
         self, at: float, forwarder: str, endpoint: str, number: int, message_ids: Sequence[str]
     ) -> None:
-        """The last byte of a call has reached an endpoint."""
+        """The last byte of a call reached an endpoint."""
         call = CallKey(endpoint, number)
         self._leases.on_call(call, SentCall(forwarder, at, tuple(message_ids)))
         self._drains.on_call(at, forwarder, endpoint)
@@ -101,7 +102,10 @@
         retry_after_s: float,
         is_received: bool = True,
     ) -> None:
-        """An endpoint has written an answer, as far as it goes; `is_received` unless it is unreachable."""
+        """An endpoint wrote an answer.
+
+        `is_complete` is false for a truncated answer, `is_received` is false if the endpoint is unreachable.
+        """
         call = CallKey(endpoint, number)
         sent = self._leases.on_call_completed(call)
         assert sent is not None, call
@@ -126,46 +130,46 @@
             self._overloads.on_failure(endpoint, sent.forwarder)
 
     def on_isolated(self, at: float, endpoint: str) -> None:
-        """An endpoint is unreachable from now on."""
+        """An endpoint became unreachable."""
         self._leases.on_isolated(endpoint)
         self._messages.on_isolated(at, endpoint)
 
     def on_outage(self, endpoint: str) -> None:
-        """An endpoint fails from now on."""
+        """An endpoint's outage began."""
         self._overloads.on_outage(endpoint)
 
     def on_overload(self, at: float, endpoint: str, callers: Sequence[str]) -> None:
-        """An endpoint that had returned has broken down under recent calls of these forwarders."""
+        """An endpoint was overloaded after an outage; `callers` has the forwarder of each recent call."""
         self._overloads.on_overload(at, endpoint, callers)
 
-    # The directory.
+    # Events of the directory.
 
     def on_phase_sent(self, at: float, forwarder: str, endpoint: str, serving: bool) -> None:
-        """The directory has sent a forwarder the phase of an endpoint."""
+        """The directory sent a forwarder the phase of an endpoint."""
         self._drains.on_phase_sent(at, forwarder, endpoint, serving)
 
     def on_listed(self, at: float, endpoint: str, serving: bool) -> None:
-        """The directory lists an endpoint in another phase from now on, whoever has received that."""
+        """The directory changed an endpoint's listed phase, whether or not a forwarder received it."""
         self._drains.on_listed(at, endpoint, serving)
 
     def on_poll(self, at: float, forwarder: str) -> None:
-        """A forwarder has called the directory."""
+        """A forwarder made a request to the directory."""
         self._drains.on_poll(at, forwarder)
 
     def on_list_lost(self, forwarder: str, polled_at: float, watch_wait_s: float | None) -> None:
-        """An answer of the directory was lost; `watch_wait_s` is a watch's longest wait, else None."""
+        """A directory answer was lost; `watch_wait_s` is a watch's longest wait, None for a look-up."""
         self._drains.on_list_lost(forwarder, polled_at, watch_wait_s)
 
     def on_directory_moved(self, at: float, forwarder: str) -> None:
-        """A forwarder was informed by SIGHUP that the directory is elsewhere."""
+        """SIGHUP notified a forwarder of the directory's new address."""
         self._drains.on_directory_moved(at, forwarder)
 
-    # Time.
+    # Checks at given times.
 
     def check_leases(self, at: float, hanging_endpoints: Collection[str]) -> None:
-        """Check the calls in flight; `hanging_endpoints` have not answered for long."""
+        """Check the calls in flight; `hanging_endpoints` have answered nothing for a long time."""
         self._leases.check(at, hanging_endpoints)
 
     def check_overdue(self, at: float) -> None:
-        """At the end: each accepted message was completed in time."""
+        """Check at the end that accepted messages were completed in time and notices sent without delay."""
         self._messages.check_overdue(at)
