--- a/emberlatch/faults/__init__.py
+++ b/emberlatch/faults/__init__.py
@@ -1,4 +1,7 @@
-"""Seeded fault runs: the forwarder's real code on a virtual clock, network and disk, checked by rules."""
+"""Fault simulation: runs the forwarder's real code on a virtual clock, network and disk, and checks rules.
+
+Each run is deterministic: its seed determines the traffic, the faults and all latencies.
+"""
 
 from emberlatch.faults.checks import Breach, Rule
 from emberlatch.faults.plan import Fault, FaultKind, Plan, PlanError, parse
--- a/emberlatch/faults/clients.py
+++ b/emberlatch/faults/clients.py
@@ -1,4 +1,4 @@
-"""The clients of one forwarder: messages at random moments, on connections that are kept."""
+"""The simulated clients of one forwarder, which submit messages at random times on persistent connections."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 from emberlatch.faults.trace import Trace, TraceEvent
 
 ANSWER_TIMEOUT_S = 0.4
-FIRST_SUBMISSION_S = 0.5  # from the start of the run
-MIN_REMAINING_S = 1.0  # before its deadline, under which a message is not submitted any more
-RETRY_DELAY_S = 0.3  # after a rejection that names no time, or no answer
+FIRST_SUBMISSION_S = 0.5  # delay from the start of the run to the first submission
+MIN_REMAINING_S = 1.0  # least time until its deadline with which a message is still submitted
+RETRY_DELAY_S = 0.3  # delay before a retry after no answer, or a rejection without Retry-After
 RECONNECT_DELAY_S = 0.25
-MAX_SUBMISSIONS = 3  # of one request
-PARTNER_SHARES = (0.5, 0.3, 0.2)
-DRAWN_CATEGORIES = ("note", "payout", "payout", "order")
+MAX_SUBMISSIONS = 3  # limit for each request
+PARTNER_SHARES = (0.5, 0.3, 0.2)  # shares of the requests, in the order of `PARTNERS`
+DRAWN_CATEGORIES = ("note", "payout", "payout", "order")  # repeated entries are more likely
 BURST_SIZES = (1, 1, 1, 1, 1, 1, 1, 6)
-NO_ANSWER = 0
-GAVE_UP = 500
+NO_ANSWER = 0  # pseudo-status of a submission without an answer
+GAVE_UP = 500  # status reported for a request too close to its deadline to be submitted
 
 
 class ClientResponse(NamedTuple):
-    """Status of the answer (`NO_ANSWER` for none), and its Retry-After in seconds."""
+    """The status of an answer (`NO_ANSWER` if there was none) and its Retry-After in seconds, 0 for none."""
 
     status: int
     retry_after_s: float
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """What a client wants to be done, in as many submissions as it takes; each has an id of its own."""
+    """A client's request, which may take several submissions; each submission has its own message id."""
 
     number: int
     category: str
@@ -47,12 +47,15 @@
 
     @property
     def due_at(self) -> float:
-        """By when its completion is in time."""
+        """The time by which the request must be completed to count as on time."""
         return self.requested_at + CATEGORIES[self.category].latency_target_s
 
 
 class SimulatedClients:
-    """Submits messages to the forwarder of a name and address; `pending_count` requests are unanswered."""
+    """Submits messages to the forwarder with a name and address.
+
+    `pending_count` is the number of requests that still wait for an answer.
+    """
 
     def __init__(
         self,
@@ -70,7 +73,7 @@
         self._requests: list[ClientRequest] = []
 
     async def run(self, until: float) -> None:
-        """Submit messages until that time, in seconds from the start of the run."""
+        """Submit messages until the time `until`, in seconds from the start of the run."""
         await asyncio.sleep(FIRST_SUBMISSION_S)
         while self._trace.now < until:
             await asyncio.sleep(self._random.expovariate(self._plan.rate_per_s))
@@ -84,7 +87,7 @@
     def served_in_time(
         self, since: float, until: float, messages: Mapping[str, CheckedMessage]
     ) -> Iterator[tuple[float, bool]]:
-        """The requests of a span: when each was made, and whether it was delivered in time."""
+        """Yield the time of each request from `since` to `until`, and whether it was delivered in time."""
         for request in self._requests:
             if since <= request.requested_at < until:
                 delivered_at = min(
@@ -94,7 +97,7 @@
                 yield request.requested_at, delivered_at <= request.due_at
 
     def demanded(self) -> Iterator[DemandedMessage]:
-        """All requests, whatever became of them."""
+        """All requests, completed or not."""
         for request in self._requests:
             yield DemandedMessage(PARTNERS[request.partner], request.requested_at, request.due_at)
 
@@ -107,7 +110,7 @@
                 if status in (429, 503):
                     retry_reason = "1"
                     await asyncio.sleep(retry_after_s or RETRY_DELAY_S)
-                elif status == NO_ANSWER and request.category != "order":  # it may have been accepted
+                elif status == NO_ANSWER and request.category != "order":  # an order may have been accepted
                     retry_reason = "again"
                     await asyncio.sleep(RETRY_DELAY_S)
                 else:
@@ -116,7 +119,7 @@
             self.pending_count -= 1
 
     async def _submit(self, request: ClientRequest, number: int, retry_reason: str) -> ClientResponse:
-        """One submission; `GAVE_UP` if the deadline is too close."""
+        """Submit a request once; the status is `GAVE_UP` if its deadline is too close."""
         remaining_s = self._remaining_s(request)
         if remaining_s < MIN_REMAINING_S:
             return ClientResponse(GAVE_UP, 0.0)
@@ -156,7 +159,7 @@
         ).encode()
 
     async def _open_connection(self) -> _ClientConnection | None:
-        """An idle connection, or a new one; None if the forwarder can't be reached."""
+        """Return an idle connection or open a new one; None if the forwarder can't be reached."""
         while self._idle_connections and self._idle_connections[-1].closed:
             self._idle_connections.pop()
         if self._idle_connections:
@@ -170,7 +173,7 @@
 
 
 class _ClientConnection(asyncio.Protocol):
-    """One request at a time."""
+    """A connection of a client, which carries one request at a time."""
 
     def __init__(self) -> None:
         self.closed = False
@@ -199,7 +202,10 @@
         self._complete(ClientResponse(status, float(headers.get("retry-after", 0))))
 
     async def exchange(self, request: bytes) -> ClientResponse:
-        """Send a request; its answer, `NO_ANSWER` after `ANSWER_TIMEOUT_S` or if the connection is lost."""
+        """Send a request and return its answer.
+
+        The status is `NO_ANSWER` after `ANSWER_TIMEOUT_S`, or if the connection is lost.
+        """
         if self.closed:
             return ClientResponse(NO_ANSWER, 0.0)
         self._data = b""
--- a/emberlatch/faults/disk.py
+++ b/emberlatch/faults/disk.py
@@ -1,10 +1,11 @@
-"""A simulated disk: what was written outlives the process, and what was synced outlives a loss of power.
+"""A simulated disk: written data survives the death of the process, synced data also survives a power loss.
 
-Of what was not synced a loss of power leaves what is drawn: all, nothing, a prefix torn at any byte, single
-sectors, a file that is longer with zeros, names that were created or removed or not (ALICE, Pillai 2014).
+A power loss keeps a random part of the unsynced data: all, nothing, a prefix cut at any byte, a subset of the
+sectors, or a prefix followed by zeros. Unsynced creations and removals of files may or may not survive
+(ALICE, Pillai 2014).
 
-System calls are counted. At a chosen one the disk may fail, write a part, or kill the process that calls:
-before the call, after it, or in the middle of a write.
+The disk counts system calls. At a chosen one it can kill the calling process: before the call, after it, or
+in the middle of a write. Writes can also fail or be short.
 """
 
 from __future__ import annotations
@@ -22,29 +23,29 @@
 
 
 class KillMoment(Enum):
-    """Where in a system call a process is killed; the values are those of plan files."""
+    """The point in a system call at which the process is killed; the values are those of plan files."""
 
     BEFORE = "before"
-    WITHIN = "within"  # a write has put down a half
+    WITHIN = "within"  # after half of a write's data is written
     AFTER = "after"
 
 
 @dataclass(slots=True)
 class DiskFaults:
-    """Faults of writes from now on."""
+    """The faults that apply to all later writes."""
 
-    capacity_bytes: int | None = None  # of all files, counted in blocks; None: unlimited
+    capacity_bytes: int | None = None  # limit for all files together, in full blocks; None is unlimited
     failing: bool = False  # every write fails with EIO
-    short: bool = False  # each write puts down a half
+    short: bool = False  # each write writes only half of its data
 
 
 class Disk:
-    """One folder of one machine, a `store.Files`.
+    """One folder on the disk of a machine; implements `store.Files`.
 
-    `faults` may be changed at any time, `kill_at` is the call that kills (its number among `calls`, and the
-    moment in it), `failing_syncs` is how many syncs from now on fail. `on_call` is called at each call with
-    its number and name. `sizes_at_sync_start` is set while a sync that takes time runs: it covers no more
-    than that.
+    `faults` may be changed at any time. `kill_at` selects the call at which the process is killed: its
+    number, counted like `calls`, and the point in the call. The next `failing_syncs` syncs fail. `on_call` is
+    called at each call with its number and name. `sizes_at_sync_start` is set while a slow sync runs: that
+    sync covers only the data that was written before it started.
     """
 
     def __init__(self) -> None:
@@ -53,27 +54,29 @@
         self.faults = DiskFaults()
         self.kill_at: tuple[int, KillMoment] | None = None
         self.failing_syncs = 0
-        self.peak_bytes = 0  # ever used, in blocks
+        self.peak_bytes = 0  # the most space ever used, in full blocks
         self.on_call: Callable[[int, str], None] | None = None
         self.sizes_at_sync_start: dict[int, int] | None = None
         self._handles: dict[int, str] = {}
         self._last_handle = FIRST_HANDLE - 1
-        self._synced_bytes: dict[int, int] = {}  # by the id of a file's content
-        self._synced_names: dict[str, bytearray] = {}  # the folder as it was synced
-        self._removed: list[bytearray] = []  # kept, so that no other content gets the same id
+        self._synced_bytes: dict[
+            int, int
+        ] = {}  # the length of the synced prefix, by the id() of a file's content
+        self._synced_names: dict[str, bytearray] = {}  # the files in the folder at its last sync
+        self._removed: list[bytearray] = []  # referenced, so that Python reuses none of their id()s
 
     @property
     def used_bytes(self) -> int:
-        """Bytes of all files, each in full blocks."""
+        """The bytes that all files use, each rounded up to full blocks."""
         return sum(-(-len(data) // BLOCK_BYTES) * BLOCK_BYTES for data in self.files.values())
 
     def restart(self) -> None:
-        """The process is dead, and its handles with it."""
+        """Prepare for the next process: close all handles and cancel a planned kill."""
         self._handles.clear()
         self.kill_at = None
 
     def _count_call(self, name: str) -> KillMoment | None:
-        """Count a call; the moment in it at which the process is to be killed, if it is."""
+        """Count a call; returns the point in it at which the caller must kill the process, or None."""
         self.calls += 1
         if self.on_call is not None:
             self.on_call(self.calls, name)
@@ -88,7 +91,7 @@
         return sorted(self.files)
 
     def read(self, name: str) -> bytes:
-        """The content of a file; FileNotFoundError."""
+        """The content of a file; raises FileNotFoundError."""
         if self._count_call("read") is not None:
             kill_current_process()
         if name not in self.files:
@@ -96,7 +99,7 @@
         return bytes(self.files[name])
 
     def append_to(self, name: str) -> int:
-        """Open a file to append to it, and create it if need be; gives a handle."""
+        """Open a file for appending, creating it if it does not exist; returns a handle."""
         kill = self._count_call("open")
         self.files.setdefault(name, bytearray())
         self._last_handle += 1
@@ -106,7 +109,7 @@
         return self._last_handle
 
     def write(self, handle: int, data: memoryview) -> int:
-        """Append to an open file; gives how many bytes were written; OSError as `faults` have it."""
+        """Append to an open file; returns the number of bytes written, raises OSError as `faults` demand."""
         kill = self._count_call("write")
         file = self.files[self._handles[handle]]
         size = len(data)
@@ -133,7 +136,7 @@
         self._handles.pop(handle, None)
 
     def remove(self, name: str) -> None:
-        """Remove a file if there is one."""
+        """Remove a file if it exists."""
         kill = self._count_call("remove")
         if (file := self.files.pop(name, None)) is not None:
             self._removed.append(file)
@@ -141,11 +144,11 @@
             kill_current_process()
 
     def sizes(self) -> dict[int, int]:
-        """The size of each file by the id of its content: a sync that starts now covers no more."""
+        """The current size of each file by the id() of its content; see `sizes_at_sync_start`."""
         return {id(file): len(file) for file in self.files.values()}
 
     def sync(self, handle: int) -> None:
-        """Sync the content of an open file; OSError while `failing_syncs`."""
+        """Sync the content of an open file; raises OSError while `failing_syncs` is not 0."""
         if self.failing_syncs:
             self.failing_syncs -= 1
             raise OSError(errno.EIO, "input/output error")
@@ -162,7 +165,7 @@
         }
 
     def power_loss(self, rng: random.Random) -> None:
-        """The machine loses power, and restarts with what the disk may have kept."""
+        """Lose power: replace all files with a random state that a real disk could have after it."""
         kept: dict[str, bytearray] = {}
         for name in sorted({*self.files, *self._synced_names}):
             current, synced = self.files.get(name), self._synced_names.get(name)
@@ -176,14 +179,14 @@
 
 
 def _surviving_content(data: bytes, synced_bytes: int, rng: random.Random) -> bytearray:
-    """What a loss of power leaves of a file of which so many bytes are synced."""
+    """Draw the content of a file after a power loss; its first `synced_bytes` always survive."""
     tail = data[synced_bytes:]
     match rng.choice(("all", "nothing", "torn", "sectors", "zeros")) if tail else "all":
         case "nothing":
             tail = b""
         case "torn":
             tail = tail[: rng.randrange(len(tail) + 1)]
-        case "sectors":  # each by itself, those that are lost as zeros
+        case "sectors":  # each sector survives or is lost independently; lost ones read as zeros
             first_sector, sectors = -(synced_bytes % BLOCK_BYTES), []
             for start in range(first_sector, len(tail), BLOCK_BYTES):
                 sector = tail[max(start, 0) : start + BLOCK_BYTES]
--- a/emberlatch/faults/endpoint.py
+++ b/emberlatch/faults/endpoint.py
@@ -1,4 +1,4 @@
-"""A partner's endpoint: a stand-in whose calls are reported to the checks and the trace."""
+"""A simulated endpoint of a partner, which reports its calls to the checks and the trace."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from emberlatch.standins import CallOutcome, Condition, EndpointModel, Message, PartnerServer
 from emberlatch.standins.endpoint_model import OUTAGES, IdempotencyKeys
 
-LONG_HANG_S = 6.0  # after which an endpoint that hangs counts as hanging for the checks
+LONG_HANG_S = 6.0  # duration of a hang from which the checks expect forwarders to know of it
 ONLY_FORWARDER = "f0"
-"""A real socket does not show which process calls; then there is one forwarder only."""
+"""The caller's name on real sockets, which don't show the calling process; such runs have one forwarder."""
 
 
 class SimulatedEndpoint:
-    """An endpoint by its name; `keys` are those that the endpoints of its partner and zone share."""
+    """One endpoint; `keys` has the idempotency keys that the endpoints of its partner and zone share."""
 
     def __init__(
         self,
@@ -35,23 +35,23 @@
         self.server = PartnerServer(self._model, self)
         self._checks, self._capacity_bound, self._trace = checks, capacity_bound, trace
         self._condition_since = 0.0
-        self._recent_calls: deque[tuple[float, str]] = deque()  # when, and from which forwarder
-        self._callers: dict[int, str] = {}  # by the number of a call in flight
+        self._recent_calls: deque[tuple[float, str]] = deque()  # time and forwarder
+        self._callers: dict[int, str] = {}  # the forwarder of each call in flight, by the number of the call
 
     @property
     def is_isolated(self) -> bool:
-        """Whether its host is unreachable."""
-        return FaultKind.SILENT in self.active_faults
+        """Whether the endpoint's host is unreachable."""
+        return FaultKind.ISOLATED in self.active_faults
 
     @property
     def has_hung_long(self) -> bool:
-        """Whether it has answered nothing for `LONG_HANG_S`."""
+        """Whether the endpoint has been hanging for more than `LONG_HANG_S`."""
         is_hanging = self._model.condition is Condition.HANG
         return is_hanging and self._trace.now - self._condition_since > LONG_HANG_S
 
     async def apply_condition(self) -> None:
-        """Take the condition of the last fault that has not ended."""
-        faults = [fault for fault in self.active_faults if fault is not FaultKind.SILENT]
+        """Change to the condition of the latest active fault, or to healthy if there is none."""
+        faults = [fault for fault in self.active_faults if fault is not FaultKind.ISOLATED]
         condition = Condition(faults[-1]) if faults else Condition.HEALTHY
         if condition is not self._model.condition:
             self._condition_since = self._trace.now
@@ -61,7 +61,7 @@
         self._capacity_bound.on_condition(self._trace.now, self.name, condition)
 
     def on_call(self, number: int, process: str, messages: list[Message]) -> None:
-        """The last byte of a call has arrived."""
+        """Report that the last byte of a call arrived."""
         now, forwarder = self._trace.now, process or ONLY_FORWARDER
         message_ids = [message.id for message in messages]
         self._trace.record(TraceEvent.CALL, self.name, number, forwarder, *message_ids)
@@ -72,7 +72,7 @@
         self._checks.on_call(now, forwarder, self.name, number, message_ids)
 
     def on_answer(self, number: int, outcome: CallOutcome) -> None:
-        """The answer to a call is written."""
+        """Report that the answer to a call was written."""
         now, status, retry_after_s = self._trace.now, outcome.status, outcome.retry_after
         self._trace.record(TraceEvent.ANSWER, self.name, number, status, retry_after_s)
         is_received, caller = not self.is_isolated, self._callers.pop(number)
@@ -83,13 +83,13 @@
         )
 
     def on_disconnect(self, number: int) -> None:
-        """The connection of a call has ended without an answer."""
+        """Report that the connection of a call ended without an answer."""
         self._callers.pop(number, None)
-        self._trace.record(TraceEvent.BROKEN, self.name, number)
+        self._trace.record(TraceEvent.DISCONNECTED, self.name, number)
         self._checks.on_call_broken(self._trace.now, self.name, number)
 
     def report_overload(self) -> None:
-        """If overload has broken it down, report its callers once, and let it return."""
+        """If the endpoint was overloaded, report its recent callers once, and let it serve again."""
         if self._model.overloaded:
             callers = [forwarder for _, forwarder in self._recent_calls]
             self._checks.on_overload(self._trace.now, self.name, callers)
--- a/emberlatch/faults/environment.py
+++ b/emberlatch/faults/environment.py
@@ -1,6 +1,6 @@
-"""The environment of one run: forwarders with their real code, and stand-ins for everything around them.
+"""The environment of one run: forwarders with their real code, and simulations of everything they talk to.
 
-All is drawn from the seed of the plan. What passes between the parts is reported to the checks and the trace
+All random values derive from the plan's seed. The checks and the trace receive every event between the parts
 in the order in which it happens.
 """
 
@@ -46,11 +46,11 @@
 from emberlatch.standins.directory import Member, Notice
 from emberlatch.standins.endpoint_model import IdempotencyKeys
 
-FIRST_PORT, PORTS = 21_000, 10_000  # of the forwarders, by the seed
-DIRECTORY_OVERLAP_S = 1.5  # for which a directory that has moved keeps its connections
-CHECK_INTERVAL_S = 0.5  # between checks of what time alone decides
-COMPLETION_TIMEOUT_S = 14.0  # for the last messages
-REPORTS_DOWN_GRACE_S = 1.2  # from the return of the receiver of notices, in which they are not overdue
+FIRST_PORT, PORTS = 21_000, 10_000  # range of the forwarders' ports; the seed selects one
+DIRECTORY_OVERLAP_S = 1.5  # time for which the old directory server keeps its connections after a move
+CHECK_INTERVAL_S = 0.5  # time between periodic checks, such as that of calls in flight
+COMPLETION_TIMEOUT_S = 14.0  # longest wait for the last messages to complete
+REPORTS_DOWN_GRACE_S = 1.2  # time after the receiver of notices recovers until late notices count
 UNREACHABLE_DIRECTORY = (
     FaultKind.DIRECTORY_DOWN,
     FaultKind.DIRECTORY_SILENT,
@@ -60,9 +60,9 @@
 
 
 class SimulatedEnvironment:
-    """One run of a plan on a loop: on a simulated network, or on another for real sockets.
+    """One run of a plan on a loop; `network` replaces the simulated network, for runs on real sockets.
 
-    It is the directory's observer.
+    The environment is also the directory's observer.
     """
 
     def __init__(
@@ -107,11 +107,11 @@
 
     @property
     def directory_address(self) -> Address:
-        """Where the directory is at present."""
+        """The current address of the directory."""
         return parse_address(self._directory_server.address)
 
     def directory_serves_until(self, until: float) -> bool:
-        """Whether the directory answers from now on until then (seconds from the start)."""
+        """Whether the plan has no directory outage from now to `until` (seconds from the run's start)."""
         spans = [
             (fault.since, fault.until or fault.since)
             for fault in self.plan.faults
@@ -120,17 +120,17 @@
         return not any(since < until and self.trace.now < end for since, end in spans)
 
     def add_breach(self, rule: Rule, text: str) -> None:
-        """Record a breach at the present time."""
+        """Record a breach with the current time of the run."""
         self._own_breaches.add(rule, self.trace.now, text)
 
     @property
     def breaches(self) -> list[Breach]:
-        """All that was wrong so far, in order of time."""
+        """All breaches so far, in order of time."""
         found = [*self.checks.breaches, *self._own_breaches.breaches]
         return sorted(found, key=lambda breach: breach.at)
 
     async def run(self) -> None:
-        """Play the plan to its end."""
+        """Run the plan to its end and check the final state."""
         for name in ENDPOINTS:
             await self.add_endpoint(name)
         await self._directory_server.start()
@@ -154,7 +154,7 @@
             forwarder.start()
 
     def _has_open_messages(self) -> bool:
-        """Whether some client waits, or some forwarder has messages or notices left."""
+        """Whether a client waits for an answer, or a forwarder is down or has messages or notices open."""
         platforms = [forwarder.platform for forwarder in self.forwarders.values()]
         return any(clients.pending_count for clients in self.clients) or any(
             platform is None or platform.engine.messages.open or platform.engine.messages.completed
@@ -185,10 +185,10 @@
         for text in self.service.shortfalls():
             self.add_breach(Rule.LIVENESS, text)
 
-    # The directory and its members.
+    # The directory and the endpoints that it lists.
 
     async def add_endpoint(self, name: str) -> None:
-        """Start an endpoint, and list it."""
+        """Start an endpoint and list it in the directory."""
         partner, zone = partner_of(name), zone_of(name)
         endpoint = self.endpoints[name] = SimulatedEndpoint(
             name, self._keys[partner, zone], self.plan.seed, self.checks, self.capacity_bound, self.trace
@@ -222,16 +222,16 @@
         for forwarder in self.forwarders.values():
             forwarder.reload()
 
-    # As the directory's observer.
+    # Methods of the directory's observer.
 
     def on_list_request(self, process: str) -> None:
-        """A forwarder has polled the directory."""
+        """Record that a forwarder polled the directory."""
         forwarder = process or ONLY_FORWARDER
         self.trace.record(TraceEvent.POLL, forwarder)
         self.checks.on_poll(self.trace.now, forwarder)
 
     def on_list(self, process: str, members: list[Member]) -> None:
-        """A list, or what has changed, is written to a forwarder."""
+        """Record a list, complete or with changes only, that the directory sent to a forwarder."""
         now, forwarder = self.trace.now, process or ONLY_FORWARDER
         phases = {str(member["id"]): str(member["phase"]) for member in members}
         self.trace.record(
@@ -241,13 +241,13 @@
             self.checks.on_phase_sent(now, forwarder, name, phase == "SERVING")
 
     def on_lost_answer(self, process: str, requested_at: float, watch_s: float | None) -> None:
-        """The directory's answer to a forwarder was lost."""
+        """Record that the directory's answer to a forwarder was lost."""
         forwarder = process or ONLY_FORWARDER
         self.trace.record(TraceEvent.LIST_LOST, forwarder)
         self.checks.on_list_lost(forwarder, self.trace.since_start(requested_at), watch_s)
 
     def on_notice(self, process: str, notice: Notice) -> None:
-        """A forwarder's notice is confirmed."""
+        """Record that the platform confirmed a forwarder's notice."""
         forwarder, message, result = process or ONLY_FORWARDER, str(notice["ref"]), str(notice["result"])
         self.trace.record(TraceEvent.NOTICE, forwarder, message, result)
         self.checks.on_notice(self.trace.now, forwarder, message, result)
--- a/emberlatch/faults/fault_injection.py
+++ b/emberlatch/faults/fault_injection.py
@@ -1,4 +1,4 @@
-"""Applies the faults of a plan to the parts of the run."""
+"""Applies the faults of a plan to the parts of a run."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 from emberlatch.standins import Directory, ServiceCost
 
 DIRECTORY_DELAY_S = 1.5
-ENTRIES_PER_CALL_COST = 20  # entries of a list that cost as much work as a call
-FULL_DISK_BYTES = 4096  # that a disk takes once it is about to be full
+ENTRIES_PER_CALL_COST = 20  # number of list entries that cost the directory as much work as one request
+FULL_DISK_BYTES = 4096  # free space that a disk still has when a disk-full fault begins
 
 
 class FaultTargets(Protocol):
-    """What faults are applied to."""
+    """The parts of a run that faults apply to."""
 
     plan: Plan
     loop: asyncio.AbstractEventLoop
@@ -42,30 +42,30 @@
 
     @property
     def endpoints(self) -> Mapping[str, SimulatedEndpoint]:
-        """By name."""
+        """The endpoints by name."""
 
     @property
     def forwarders(self) -> Mapping[str, SimulatedForwarder]:
-        """By name."""
+        """The forwarders by name."""
 
     async def add_endpoint(self, name: str) -> None:
-        """Start an endpoint, and list it."""
+        """Start an endpoint and list it in the directory."""
 
     def change_listing(self, name: str, **values: object) -> None:
         """Change an endpoint's entry in the directory."""
 
     async def move_directory(self) -> None:
-        """Serve the directory at another address."""
+        """Move the directory to another address."""
 
 
 class FaultInjector:
-    """Begins and ends each fault at its times."""
+    """Begins and ends each fault at the times that the plan gives."""
 
     def __init__(self, targets: FaultTargets) -> None:
         self._targets = targets
 
     def schedule(self) -> None:
-        """Schedule all faults of the plan from now on."""
+        """Schedule all faults of the plan, with their times counted from now."""
         network = self._targets.network
         for fault in self._targets.plan.faults:
             network.call_later(fault.since, self._begin, fault)
@@ -77,7 +77,7 @@
         self._apply(fault, True)
 
     def _end(self, fault: Fault) -> None:
-        self._targets.trace.record(TraceEvent.FAULT_OVER, str(fault))
+        self._targets.trace.record(TraceEvent.FAULT_ENDED, str(fault))
         self._apply(fault, False)
 
     def _apply(self, fault: Fault, is_active: bool) -> None:
@@ -90,7 +90,7 @@
             self._apply_directory_fault(fault, is_active)
         elif kind.startswith("disk-"):
             self._apply_disk_fault(fault, is_active)
-        elif kind is FaultKind.MOVE:
+        elif kind is FaultKind.MOVE_DIRECTORY:
             if is_active and fault.target in self._targets.forwarders:
                 self._targets.loop.create_task(self._targets.move_directory())
         elif (forwarder := self._targets.forwarders.get(fault.target)) is not None:
@@ -104,7 +104,7 @@
                 endpoint.active_faults.append(fault.kind)
             elif fault.kind in endpoint.active_faults:
                 endpoint.active_faults.remove(fault.kind)
-            if fault.kind is not FaultKind.SILENT:
+            if fault.kind is not FaultKind.ISOLATED:
                 self._targets.loop.create_task(endpoint.apply_condition())
             elif is_active:
                 self._isolate(endpoint)
@@ -184,9 +184,9 @@
             forwarder.kill()
         case FaultKind.TERM:
             forwarder.terminate()
-        case FaultKind.WALL:
+        case FaultKind.WALL_CLOCK_STEP:
             forwarder.wall_offset_s += float(fault.argument)
-        case FaultKind.KILL_AT:
+        case FaultKind.KILL_AT_DISK_CALL:
             call_count, moment = fault.argument.split()
             disk = forwarder.disk
             disk.kill_at = disk.calls + int(call_count), KillMoment(moment)
--- a/emberlatch/faults/final_checks.py
+++ b/emberlatch/faults/final_checks.py
@@ -1,4 +1,4 @@
-"""What a forwarder must not leave behind at the end of a run."""
+"""Checks of a forwarder's disk and memory at the end of a run."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 def check_forwarder(forwarder: SimulatedForwarder) -> Iterator[tuple[Rule, str]]:
-    """The rules that a forwarder's disk and memory break, and how."""
+    """The rules that a forwarder's disk or memory breaks, each with a text that says how."""
     yield from _check_disk(forwarder.name, forwarder.disk)
     if forwarder.platform is not None and (remaining := _remaining(forwarder.platform)):
-        yield Rule.MEMORY, f"{forwarder.name} still has {remaining}"
+        yield Rule.MEMORY, f"{forwarder.name} still has entries at the end, expected none: {remaining}"
 
 
 def _check_disk(name: str, disk: Disk) -> Iterator[tuple[Rule, str]]:
     if disk.peak_bytes > DISK_BYTES:
-        yield Rule.DISK, f"{name} used {disk.peak_bytes} bytes of a disk of {DISK_BYTES}"
+        yield Rule.DISK, f"{name} used {disk.peak_bytes} bytes of disk, limit {DISK_BYTES}"
 
 
 def _remaining(platform: PlatformForwarder) -> dict[str, int]:
-    """Entries that are left in the tables of the engine and the decision module."""
+    """The numbers of entries that remain in tables of the engine and the decision module."""
     engine, module = platform.engine, platform.engine._forwarder
     tables: dict[str, Sized] = {
         "pending messages": engine.messages.open,
--- a/emberlatch/faults/forwarder.py
+++ b/emberlatch/faults/forwarder.py
@@ -1,4 +1,4 @@
-"""A forwarder of the run: the real code in simulated processes, on a machine that outlives them."""
+"""A forwarder of the run: the real code in simulated processes, on a machine that survives their deaths."""
 
 from __future__ import annotations
 
@@ -31,33 +31,33 @@
 from emberlatch.standins import Directory
 from emberlatch.takeover import HandoverServer, acquire_ownership
 
-RESTART_DELAY_S = 0.6  # from the death of a process to the next start
-RESTART_GRACE_S = 1.5  # from a start, in which notices are not overdue yet
-TERM_TIMEOUT_S = 3.7  # from SIGTERM to SIGKILL
+RESTART_DELAY_S = 0.6  # time between the death of a process and the next start
+RESTART_GRACE_S = 1.5  # time after a start until late notices count
+TERM_TIMEOUT_S = 3.7  # time between SIGTERM and SIGKILL
 DESCRIPTORS = 256
 CONNECTION_LIMITS = ConnectionLimits(clients=100, calls=100)
-WALL_CLOCK_START_S = 1.8e9  # Unix time at 0 of the loop's clock
+WALL_CLOCK_START_S = 1.8e9  # Unix time that corresponds to 0 on the loop's clock
 KILL_PREDECESSOR = "kill-old"
 
 
 class EnvironmentNetwork(Protocol):
-    """What forwarders and faults need of the network: a simulated one, or real sockets (`loopback`)."""
+    """The network as forwarders and faults use it: simulated, or with real sockets (`loopback`)."""
 
     def listen(self, address: Address) -> Listener:
-        """A listening socket of the current process."""
+        """Open a listening socket of the current process."""
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: object) -> None:
-        """Call this after so many seconds, outside of all processes."""
+        """Call `callback` after `delay` seconds, outside of all processes."""
 
     def isolate(self, address: Address) -> None:
-        """From now on nothing leaves this address or reaches it."""
+        """Isolate an address: from now on no packet leaves or reaches it."""
 
     def rejoin(self, address: Address) -> None:
-        """The address is back, and resets the connections that it had."""
+        """End the isolation of an address; the connections that it had are reset."""
 
 
 class ForwarderEnvironment(Protocol):
-    """What a forwarder needs of the environment that it is in."""
+    """What a forwarder needs from its environment."""
 
     plan: Plan
     loop: asyncio.AbstractEventLoop
@@ -70,40 +70,40 @@
 
     @property
     def directory_address(self) -> Address:
-        """Where the directory is at present."""
+        """The current address of the directory."""
 
     def directory_serves_until(self, until: float) -> bool:
-        """Whether the directory answers from now on until then (seconds from the start)."""
+        """Whether the plan has no directory outage from now to `until` (seconds from the run's start)."""
 
     def add_breach(self, rule: Rule, text: str) -> None:
-        """Record a breach at the present time."""
+        """Record a breach with the current time of the run."""
 
 
 class SimulatedForwarder:
-    """The forwarder of a name and address.
+    """One forwarder: its disk, and the processes that run on it one after another or during a takeover.
 
-    `shared_listener` is the clients' listening socket where processes take over from each other. In
-    `excused_spans` notices are not overdue.
+    `shared_listener` is the clients' listening socket in plans with takeovers, None in others. Late notices
+    are excused in `excused_spans`.
     """
 
     def __init__(self, environment: ForwarderEnvironment, name: str, address: Address) -> None:
         self.name, self.address, self.disk = name, address, Disk()
-        self.wall_offset_s = 0.0  # of the wall clock
+        self.wall_offset_s = 0.0  # sum of the wall clock's steps so far
         self.excused_spans: list[Span] = []
         self.platform: PlatformForwarder | None = None
         self.shared_listener: SharedListener | None = None
         self._environment = environment
-        self._process: Process | None = None  # that owns the state folder, or starts to
-        self._successor: Process | None = None  # that has started, and does not own the folder yet
-        self._known_list: dict[str, object] = {}  # of the first start, out of date at the next ones
-        self._stopping_since: float | None = None  # of the present stop or restart
+        self._process: Process | None = None  # owns the state folder, or is starting
+        self._successor: Process | None = None  # was started for a takeover, and does not own the folder yet
+        self._known_list: dict[str, object] = {}  # the list at the first start, stale at later ones
+        self._stopping_since: float | None = None  # start of the current stop or restart
         self._state_folder = StateFolder()
         self._handover_server: HandoverServer | None = None
 
     # Processes.
 
     def start(self) -> None:
-        """Start a process on what the disk has."""
+        """Start a process on the current content of the disk."""
         self.disk.restart()
         process = self._process = self._new_process()
         self._run_in_process(self._boot(process, takes_over=False), process)
@@ -118,17 +118,17 @@
 
     def _on_process_death(self, process: Process) -> None:
         environment = self._environment
-        if process is self._successor:  # the owner goes on, or is dead too
+        if process is self._successor:  # the owner continues to serve, or is dead too
             self._successor = None
             if self._process is not None and not self._process.alive:
                 environment.network.call_later(RESTART_DELAY_S, self.start)
         elif process is not self._process:
-            environment.trace.record(TraceEvent.LEFT, self.name)
+            environment.trace.record(TraceEvent.PREDECESSOR_EXITED, self.name)
         else:
             environment.trace.record(TraceEvent.DOWN, self.name)
             environment.checks.on_down(self.name)
             self._begin_stop()
-            if self._successor is None:  # else that finds the lock free
+            if self._successor is None:  # a successor would acquire the free lock itself
                 environment.network.call_later(RESTART_DELAY_S, self.start)
 
     def _begin_stop(self) -> None:
@@ -153,7 +153,7 @@
                 self._successor = None
             await platform.start(handover)
         except Exception as error:
-            environment.add_breach(Rule.CRASH, f"{self.name} did not start: {error!r}")
+            environment.add_breach(Rule.CRASH, f"process of {self.name} did not start: {error!r}")
             return
         self._handover_server = HandoverServer(lock, platform.handover, platform.tasks)
         if handover is None:
@@ -164,7 +164,7 @@
             self._run_in_process(_end_after_handover(predecessor, predecessor_server), predecessor)
 
     def _on_started(self) -> None:
-        """A process has started without a handover."""
+        """Record that a process has started without a handover."""
         environment, now = self._environment, self._environment.trace.now
         if self._stopping_since is not None:
             self.excused_spans.append((self._stopping_since, now + RESTART_GRACE_S))
@@ -205,7 +205,7 @@
         return self._environment.network.listen(address)
 
     def _observe(self, platform: PlatformForwarder) -> None:
-        """Report when the decision module ends a message: no connection shows that."""
+        """Report to the checks when the decision module gives up a message: traffic does not show that."""
         engine, environment = platform.engine, self._environment
         module = engine._forwarder
         handle = module.handle
@@ -222,7 +222,7 @@
         module.handle = observed  # type: ignore[method-assign]
 
     def _connect_to_owner(self, process: Process) -> VirtualHandoverConnection:
-        """Connect a process to the one that owns the state folder; ConnectionRefusedError."""
+        """Connect a process to the state folder's owner; raises ConnectionRefusedError if there is none."""
         server, owner, network = self._handover_server, self._process, self._environment.network
         if server is None or owner is None or not owner.alive:
             raise ConnectionRefusedError
@@ -231,15 +231,15 @@
         self._run_in_process(server.serve(remote), owner)
         return local
 
-    # What operators do to it.
+    # Actions of operators.
 
     def kill(self) -> None:
-        """SIGKILL."""
+        """Send SIGKILL to the process."""
         if self._process is not None:
             self._process.kill()
 
     def terminate(self) -> None:
-        """SIGTERM, and SIGKILL if it has not ended by then."""
+        """Send SIGTERM to the process, and SIGKILL after `TERM_TIMEOUT_S` if it still runs."""
         process, platform = self._process, self.platform
         if process is None or not process.alive or platform is None or self._stopping_since is not None:
             return
@@ -253,7 +253,7 @@
         self._environment.network.call_later(TERM_TIMEOUT_S, process.kill)
 
     def reload(self) -> None:
-        """SIGHUP with the directory at its present address."""
+        """Send SIGHUP, with a configuration that has the directory's current address."""
         environment, platform, process = self._environment, self.platform, self._process
         if process is None or not process.alive or platform is None:
             return
@@ -267,9 +267,9 @@
         self._run_in_process(move(), process)
 
     def take_over(self, kill: str, kill_delay_s: float) -> None:
-        """Start a process beside the one that serves.
+        """Start a second process that takes over from the one that serves.
 
-        `kill` is `kill-old` or `kill-new` to kill one of the two after so many seconds, or empty.
+        `kill` is `kill-old` or `kill-new` to kill one of the two after `kill_delay_s`, or empty for none.
         """
         owner = self._process
         is_stopping = self._stopping_since is not None
@@ -283,12 +283,12 @@
             self._environment.network.call_later(kill_delay_s, victim.kill)
 
     def set_draining(self, is_draining: bool) -> None:
-        """Ask clients to leave, or serve them again."""
+        """Ask clients to disconnect, or stop asking."""
         if self.platform is not None:
             self.platform.server.drain(is_draining)
 
 
 async def _end_after_handover(process: Process, server: HandoverServer) -> None:
-    """A process that another has taken over from ends once nothing is left to do."""
+    """End the process of a predecessor once its part in the takeover is complete."""
     await server.ended.wait()
     process.kill()
--- a/emberlatch/faults/listener.py
+++ b/emberlatch/faults/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets of the simulated network, and servers that accept by themselves."""
+"""Listening sockets of the simulated network, and servers that accept connections automatically."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 from emberlatch.faults.process import Address, ListeningSocket, Process
 from emberlatch.faults.transport import VirtualTransport
 
-RESERVED_DESCRIPTORS = 8  # of a process beside its connections: streams, the loop's, the journal
+RESERVED_DESCRIPTORS = 8  # descriptors of a process for standard streams, event loop and journal
 
 
 class ListenerNetwork(Protocol):
-    """What a listener needs of its network."""
+    """What a listener needs from its network."""
 
     loop: VirtualLoop
 
     def unregister(self, listener: ListeningSocket) -> None:
-        """It listens no more."""
+        """Remove a listener from the network."""
 
 
 def check_descriptors(process: Process) -> None:
-    """OSError (EMFILE) if a process can't open another connection."""
+    """Raise OSError (EMFILE) if a process has no descriptor for another connection."""
     if len(process.connections) + RESERVED_DESCRIPTORS >= process.descriptors:
         raise OSError(errno.EMFILE, "too many open files")
 
 
 class Listener:
-    """A listening socket of `process`; `backlog` has the connections that wait to be accepted."""
+    """A listening socket of `process`; `backlog` has the connections that are not accepted yet."""
 
     def __init__(self, network: ListenerNetwork, address: Address, process: Process) -> None:
         self.address, self.process = address, process
@@ -42,7 +42,7 @@
         self._context = contextvars.copy_context()
 
     def enqueue(self, transport: VirtualTransport) -> None:
-        """A connection is established and waits to be accepted."""
+        """Add an established connection to the backlog."""
         self.backlog.append(transport)
         self._schedule_accept()
 
@@ -53,20 +53,20 @@
     def _on_readable(self) -> None:
         if self._callback is not None and self.backlog:
             self._callback()
-            self._schedule_accept()  # level-triggered: readable as long as one waits
+            self._schedule_accept()  # level-triggered: readable while the backlog is not empty
 
     def set_reader(self, callback: Callable[..., object] | None, args: tuple[object, ...]) -> None:
-        """Call this while a connection waits to be accepted; None to stop."""
+        """Call `callback` while the backlog is not empty; None to stop."""
         self._callback = (lambda: callback(*args)) if callback is not None else None
         self._context = contextvars.copy_context()
         self._schedule_accept()
 
     def fileno(self) -> int:
-        """A listener is passed to the loop itself; this only shows that it is open."""
+        """A placeholder: the loop takes the listener itself in place of a descriptor."""
         return 0
 
     def accept(self) -> tuple[VirtualTransport, Address]:
-        """The next connection, as an accepted socket; BlockingIOError if none waits, OSError (EMFILE)."""
+        """Accept the next connection; raises BlockingIOError if the backlog is empty, OSError (EMFILE)."""
         if not self.backlog:
             raise BlockingIOError
         check_descriptors(self.process)
@@ -75,14 +75,14 @@
         return transport, self.address
 
     def close(self) -> None:
-        """Listen no more; the connections that wait are reset."""
+        """Stop listening and reset the connections in the backlog."""
         self._network.unregister(self)
         while self.backlog:
             self.backlog.popleft().discard()
 
 
 class VirtualServer:
-    """A listener that accepts by itself, as asyncio's servers do."""
+    """A server that accepts each connection at once, as asyncio's servers do."""
 
     def __init__(self, listener: Listener, factory: Callable[[], asyncio.Protocol]) -> None:
         self._listener, self._factory = listener, factory
@@ -94,16 +94,16 @@
 
     @property
     def sockets(self) -> list[VirtualServer]:
-        """Its one socket: itself."""
+        """The server's only socket, represented by the server itself."""
         return [self]
 
     def getsockname(self) -> Address:
-        """Where it listens."""
+        """The address on which the server listens."""
         return self._listener.address
 
     def close(self) -> None:
-        """Accept no more."""
+        """Stop listening."""
         self._listener.close()
 
     async def wait_closed(self) -> None:
-        """It is closed at once."""
+        """Return at once: `close` has already closed the server."""
--- a/emberlatch/faults/loop.py
+++ b/emberlatch/faults/loop.py
@@ -1,11 +1,12 @@
 """An asyncio event loop on a virtual clock.
 
-It is asyncio's own loop with a selector that has no descriptors: when nothing is ready, it moves the clock to
-the next timer. Connections come from a :class:`~emberlatch.faults.network.Network`. Threads, real sockets and
-signals are not supported and raise RuntimeError.
+The loop is asyncio's base loop with a selector that has no descriptors: when no callback is ready, the
+selector advances the clock to the next timer. Connections come from a
+:class:`~emberlatch.faults.network.Network`. Threads, real sockets and signals are not supported and raise
+RuntimeError.
 
-Several processes share it. Each callback belongs to the process in whose context it was scheduled, and is
-dropped once that is dead, as a kernel would.
+Several simulated processes share one loop. Each callback belongs to the process in whose context it was
+scheduled, and is dropped once that process is dead.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 from emberlatch.faults.process import ENVIRONMENT, Address, Process, ProcessKilled, current_process
 
-MAX_STEPS = 5_000_000  # callbacks after which a run counts as endless
+MAX_STEPS = 5_000_000  # number of callbacks from which a run counts as endless
 START_TIME_S = 1000.0
 CLOCK_RESOLUTION_S = 1e-9
 
@@ -29,66 +30,68 @@
 
 
 class DeadlockError(Exception):
-    """Nothing is ready and nothing is due though the run has not ended, or the run does not end."""
+    """The run can't continue: no callback or timer is pending, or `MAX_STEPS` is exceeded."""
 
 
 class Connector(Protocol):
-    """Provides a loop's connections."""
+    """The network through which a loop connects and listens."""
 
     async def connect(self, factory: Callable[[], P], address: Address) -> tuple[asyncio.Transport, P]:
-        """Connect to an address; OSError if the connection is refused."""
+        """Connect to an address; raises OSError if the connection is refused."""
 
     def serve(self, factory: Callable[[], asyncio.Protocol], address: Address) -> Server:
-        """Listen on an address, and accept every connection at once."""
+        """Listen on an address and accept each connection at once."""
 
 
 class Server(Protocol):
-    """Listens, and accepts every connection at once."""
+    """A server that accepts each connection at once."""
 
     def close(self) -> None:
-        """Accept no more."""
+        """Stop listening."""
 
     async def wait_closed(self) -> None:
-        """Until it is closed."""
+        """Wait until the server is closed."""
 
 
 class ReadableSocket(Protocol):
-    """What `add_reader` takes in place of a descriptor: a listener of the virtual network."""
+    """A listener of the virtual network, which `add_reader` takes in place of a descriptor."""
 
     def set_reader(self, callback: Callable[..., object] | None, args: tuple[object, ...]) -> None:
-        """Call this while a connection waits to be accepted; None to stop."""
+        """Call `callback` while connections wait to be accepted; None to stop."""
 
 
 class AcceptedSocket(Protocol):
-    """What a listener's `accept` gives."""
+    """The connection that a listener's `accept` returns."""
 
     def attach(self, factory: Callable[[], P]) -> tuple[asyncio.Transport, P]:
         """Turn the socket into a transport of a new protocol."""
 
 
 class _VirtualSelector:
-    """Stands in for a selector: waiting moves the clock."""
+    """Replaces the loop's selector: waiting advances the virtual clock."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self._loop = loop
 
     def select(self, timeout: float | None) -> list[object]:
-        """Wait as asyncio's loop does; DeadlockError if nothing would end the wait."""
+        """Advance the clock to the next timer; raises DeadlockError if there is none to wait for."""
         if timeout is None:
-            raise DeadlockError("nothing is ready and nothing is due")
+            raise DeadlockError(
+                f"nothing is due: no callback and no timer is pending at {self._loop.time():.3f} s"
+            )
         if timeout > 0:
             self._loop.advance()
         return []
 
     def close(self) -> None:
-        """There is nothing to close."""
+        """Do nothing: there are no descriptors to close."""
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """See the module. The clock starts at `START_TIME_S`.
+    """An asyncio event loop on a virtual clock, which starts at `START_TIME_S`.
 
-    `steps` counts the callbacks that have run, `tasks` has every task that was created, `failures` the
-    exceptions that nothing handled. A network registers itself as `network`.
+    `steps` counts the callbacks that have run, `tasks` has every task that was created, and `failures` the
+    unhandled exceptions. A network registers itself as `network`.
     """
 
     network: Connector
@@ -99,16 +102,16 @@
         self._now = START_TIME_S
         self._clock_resolution = CLOCK_RESOLUTION_S
         self.steps = 0
-        self.tasks: list[asyncio.Task[object]] = []  # keeps them from being collected half-way
+        self.tasks: list[asyncio.Task[object]] = []  # keeps unfinished tasks from garbage collection
         self.failures: list[str] = []
         self.set_exception_handler(self._handle_exception)
 
     def time(self) -> float:
-        """The virtual clock, in seconds."""
+        """The current time of the virtual clock, in seconds."""
         return self._now
 
     def advance(self) -> None:
-        """Move the clock to the next timer."""
+        """Advance the clock to the next timer that is not cancelled."""
         while self._scheduled and self._scheduled[0]._cancelled:  # type: ignore[attr-defined]
             heapq.heappop(self._scheduled)._scheduled = False  # type: ignore[attr-defined]
         if self._scheduled:  # type: ignore[attr-defined]
@@ -122,7 +125,7 @@
 
     def _handle_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
         error = context.get("exception")
-        if error is None:  # a task that was dropped: its process is dead
+        if error is None:  # asyncio reports a pending task that was destroyed: its process is dead
             return
         if not isinstance(error, ProcessKilled) and current_process.get().alive:
             self.failures.append(f"{context.get('message')}: {error!r}")
@@ -132,7 +135,7 @@
         coro: Coroutine[object, object, T] | Generator[object, None, T],
         **options: object,
     ) -> asyncio.Task[T]:
-        """As asyncio's."""
+        """Create a task like asyncio's loop, and keep a reference to it in `tasks`."""
         task = super().create_task(coro, **options)  # type: ignore[arg-type]
         self.tasks.append(task)
         return task
@@ -155,7 +158,7 @@
     ) -> None:
         self.steps += 1
         if self.steps > MAX_STEPS:
-            raise DeadlockError(f"over {MAX_STEPS} steps")
+            raise DeadlockError(f"run exceeds {MAX_STEPS} steps at {self._now:.3f} s")
         if not process.alive or (handles and handles[0].cancelled()):
             return
         if process.suspended_callbacks is not None:
@@ -164,7 +167,7 @@
                 functools.partial(snapshot.run, self._run_in_process, process, callback, handles, *args)
             )
             return
-        handles.clear()  # the callback is part of its own handle: the two would keep each other
+        handles.clear()  # breaks the reference cycle between the handle and its callback
         try:  # noqa: SIM105 (this runs for every callback, and a context manager costs more)
             callback(*args)
         except ProcessKilled:
@@ -173,8 +176,9 @@
     def call_soon(
         self, callback: Callable[..., object], *args: object, context: contextvars.Context | None = None
     ) -> asyncio.Handle:
-        """As asyncio's; the callback belongs to the process of its context."""
-        handles: list[asyncio.Handle] = []  # its own: while its process is suspended it may be cancelled
+        """Schedule a callback like asyncio's loop; it belongs to the process of its context."""
+        # The callback's own handle, because it may be cancelled while its process is suspended:
+        handles: list[asyncio.Handle] = []
         handle = super().call_soon(self._bind_to_process(callback, context, handles), *args, context=context)
         handles.append(handle)
         return handle
@@ -186,7 +190,7 @@
         *args: object,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """As asyncio's; the callback belongs to the process of its context."""
+        """Schedule a callback like asyncio's loop; it belongs to the process of its context."""
         handles: list[asyncio.Handle] = []
         bound = self._bind_to_process(callback, context, handles)
         handle = super().call_at(when, bound, *args, context=context)
@@ -196,35 +200,35 @@
     async def create_connection(  # type: ignore[override]
         self, protocol_factory: Callable[[], P], host: str, port: int, **_: object
     ) -> tuple[asyncio.Transport, P]:
-        """Connect through the network."""
+        """Connect through the virtual network."""
         return await self.network.connect(protocol_factory, (host, port))
 
     async def create_server(  # type: ignore[override]
         self, protocol_factory: Callable[[], asyncio.Protocol], host: str, port: int, **_: object
     ) -> Server:
-        """Listen on the network."""
+        """Listen on the virtual network."""
         return self.network.serve(protocol_factory, (host, port))
 
     async def connect_accepted_socket(  # type: ignore[override]
         self, protocol_factory: Callable[[], P], sock: AcceptedSocket, **_: object
     ) -> tuple[asyncio.Transport, P]:
-        """Turn a socket that a listener has accepted into a transport."""
+        """Turn an accepted connection into a transport."""
         return sock.attach(protocol_factory)
 
     def add_reader(  # type: ignore[override]
         self, fd: ReadableSocket, callback: Callable[..., object], *args: object
     ) -> None:
-        """Call this while a listener has connections to accept."""
+        """Call `callback` while a listener has connections to accept."""
         fd.set_reader(callback, args)
 
     def remove_reader(self, fd: ReadableSocket) -> bool:  # type: ignore[override]
-        """Call it no more."""
+        """Stop calling the callback of a listener."""
         fd.set_reader(None, ())
         return True
 
 
 def close_loop(loop: VirtualLoop) -> None:
-    """Close a loop at the end of a run: what still waits on it, also of killed processes, ends within it."""
+    """Close a loop at the end of a run, after ending all pending tasks, also those of killed processes."""
 
     async def end_tasks() -> None:
         for task in loop.tasks:
--- a/emberlatch/faults/loopback.py
+++ b/emberlatch/faults/loopback.py
@@ -1,6 +1,6 @@
-"""The same environment on real loopback sockets and the real clock, to compare the simulated one with it.
+"""The environment on real loopback sockets and the real clock, to verify that the simulation behaves alike.
 
-Only what a real machine does without privileges: no kills, no isolated hosts, one forwarder.
+It supports only what needs no privileges: one forwarder, without kills and without isolated hosts.
 """
 
 from __future__ import annotations
@@ -15,35 +15,35 @@
 from emberlatch.faults.process import Address
 
 DURATION_S = 9.0
-TIME_SCALE = 0.5  # of the faults' times
-LOOPBACK_FAULTS = {*ENDPOINT_FAULTS, *DIRECTORY_FAULTS, *LIST_FAULTS} - {FaultKind.SILENT}
+TIME_SCALE = 0.5  # factor on the faults' times
+LOOPBACK_FAULTS = {*ENDPOINT_FAULTS, *DIRECTORY_FAULTS, *LIST_FAULTS} - {FaultKind.ISOLATED}
 
 
 class LoopbackNetwork:
-    """Real sockets in place of the simulated network."""
+    """A network of real sockets, in place of the simulated one."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
 
     def listen(self, address: Address) -> Listener:
-        """A real listening socket."""
+        """Open a real listening socket."""
         return listen(address)
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: object) -> None:
-        """Call this after so many seconds."""
+        """Call `callback` after `delay` seconds."""
         self._loop.call_later(delay, callback, *args)
 
     def isolate(self, address: Address) -> None:
-        """Not without privileges."""
-        raise NotImplementedError("a loopback address can't be isolated")
+        """Raise NotImplementedError: isolation needs privileges."""
+        raise NotImplementedError(f"loopback address {address} can't be isolated")
 
     def rejoin(self, address: Address) -> None:
-        """Not without privileges."""
-        raise NotImplementedError("a loopback address can't be isolated")
+        """Raise NotImplementedError: isolation needs privileges."""
+        raise NotImplementedError(f"loopback address {address} can't be isolated, so it can't rejoin")
 
 
 def loopback_plan(plan: Plan) -> Plan:
-    """The plan without the faults that only a simulation can have, and shorter."""
+    """A shorter version of a plan, without the faults that only a simulation supports."""
     faults = tuple(
         replace(fault, since=fault.since * TIME_SCALE, until=(fault.until or fault.since) * TIME_SCALE)
         for fault in plan.faults
@@ -53,7 +53,7 @@
 
 
 async def play_on_loopback(plan: Plan) -> SimulatedEnvironment:
-    """Play a plan on this machine's loopback addresses, in real time."""
+    """Run a plan on this machine's loopback addresses in real time."""
     loop = asyncio.get_running_loop()
     environment = SimulatedEnvironment(plan, loop, LoopbackNetwork(loop))
     await environment.run()
--- a/emberlatch/faults/network.py
+++ b/emberlatch/faults/network.py
@@ -1,7 +1,7 @@
-"""The simulated network: connections between processes by (host, port).
+"""The simulated network: connections between processes, addressed by (host, port).
 
-A host can be isolated: then open connections stay open and silent, and new ones are never established, until
-it is back and resets what it had.
+An address can be isolated: then its open connections stay open without traffic, and new ones are never
+established. When the isolation ends, the connections that it had are reset.
 """
 
 from __future__ import annotations
@@ -22,71 +22,74 @@
 )
 from emberlatch.faults.transport import VirtualTransport
 
-ACCEPT_BACKLOG = 512  # connections that wait to be accepted
+ACCEPT_BACKLOG = 512  # limit of connections that wait to be accepted; more are refused
 FIRST_FREE_PORT = 20_001
 
 
 class Network:
-    """All hosts on one loop. One-way latencies are drawn round `latency` (seconds) from `seed`.
+    """The network between all hosts on one loop.
 
-    `bandwidth` is in bytes a second. `transports` are the ends of all open connections, `isolated_addresses`
-    those that nothing reaches.
+    One-way latencies are drawn around `latency` (seconds), from `seed`. `bandwidth` is in bytes per second.
+    `transports` has both ends of each open connection, `isolated_addresses` the addresses without traffic.
     """
 
     def __init__(self, loop: VirtualLoop, seed: int, latency: float = 0.002, bandwidth: float = 1e8) -> None:
         self.loop, self.latency, self.bandwidth = loop, latency, bandwidth
         self.isolated_addresses: set[Address] = set()
-        self.transports: dict[VirtualTransport, None] = {}  # a dict, for its order
+        self.transports: dict[VirtualTransport, None] = {}  # a dict used as an ordered set
         self._random = random.Random(seed)
         self._listeners: dict[Address, Listener] = {}
         self._next_port = FIRST_FREE_PORT
         loop.network = self
 
     def call_at(self, when: float, callback: Callable[..., object], *args: object) -> None:
-        """Call this at that time of the loop's clock, whatever becomes of the process that caused it."""
+        """Call `callback` at a time of the loop's clock, even if the calling process has died."""
         self.loop.call_at(when, callback, *args, context=ENVIRONMENT_CONTEXT)
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: object) -> None:
-        """The same, so many seconds from now."""
+        """Call `callback` after `delay` seconds, even if the calling process has died."""
         self.call_at(self.loop.time() + delay, callback, *args)
 
     def draw_latency(self) -> float:
-        """Seconds that the next packet takes on a link without faults."""
+        """Draw the latency of a packet on a link without faults, in seconds."""
         return self.latency * self._random.uniform(0.5, 1.5)
 
     def packet_delay(self, sender: Process | None, receiver: Process | Address | None) -> float:
-        """Seconds that one packet takes between two parties (None: unknown); subclasses have faulty links."""
+        """Draw the latency of a packet between two parties (None: unknown); subclasses add link faults."""
         return self.draw_latency()
 
     def listen(self, address: Address) -> Listener:
-        """A listening socket of the current process; port 0: a free one; OSError if the address is in use."""
+        """Open a listening socket of the current process; port 0 selects a free port.
+
+        Raises OSError if the address is in use.
+        """
         host, port = address
         if not port:
             port, self._next_port = self._next_port, self._next_port + 1
         if (host, port) in self._listeners:
-            raise OSError(errno.EADDRINUSE, "address in use")
+            raise OSError(errno.EADDRINUSE, f"address {host}:{port} is already in use")
         listener = Listener(self, (host, port), current_process.get())
         self.register(listener)
         listener.process.listeners.append(listener)
         return listener
 
     def register(self, listener: Listener) -> None:
-        """A socket listens from now on."""
+        """Add a listening socket to the network."""
         self._listeners[listener.address] = listener
 
     def unregister(self, listener: ListeningSocket) -> None:
-        """A socket listens no more."""
+        """Remove a listening socket from the network."""
         if self._listeners.get(listener.address) is listener:
             del self._listeners[listener.address]
 
     def serve(self, factory: Callable[[], asyncio.Protocol], address: Address) -> VirtualServer:
-        """Listen on an address, and accept every connection at once."""
+        """Listen on an address and accept each connection at once."""
         return VirtualServer(self.listen(address), factory)
 
     async def connect(self, factory: Callable[[], P], address: Address) -> tuple[VirtualTransport, P]:
-        """Connect from the current process; takes a round trip, and for ever if the address is isolated.
+        """Connect from the current process, which takes a round trip; never returns for an isolated address.
 
-        OSError if nobody listens or the process has no descriptor left.
+        Raises OSError if no process listens there, or if the current process has no free descriptor.
         """
         process = current_process.get()
         check_descriptors(process)
@@ -119,18 +122,18 @@
         self.call_later(self.packet_delay(remote.process, remote.peer.process), _answer, established, error)
 
     def isolate(self, address: Address) -> None:
-        """From now on nothing leaves this address or reaches it."""
+        """Isolate an address: from now on no packet leaves or reaches it."""
         self.isolated_addresses.add(address)
 
     def rejoin(self, address: Address) -> None:
-        """The address is back, and resets the connections that it had."""
+        """End the isolation of an address and reset the connections that it had."""
         self.isolated_addresses.discard(address)
         for transport in [transport for transport in self.transports if transport.address == address]:
             transport.mark_lost(ConnectionResetError(errno.ECONNRESET, "reset"))
 
 
 def _answer(established: asyncio.Future[None], error: OSError | None) -> None:
-    """The answer to a connection request arrives at the caller."""
+    """Complete a connection attempt at the caller."""
     if established.done():
         return
     if error is not None:
--- a/emberlatch/faults/plan.py
+++ b/emberlatch/faults/plan.py
@@ -1,8 +1,13 @@
-"""Plans: the size of a run and its faults, as text that can be edited and kept.
+"""Plans: the parameters and the faults of a run, in a text format that can be edited and stored.
 
-A line of a plan is `seed`, `seconds`, `rate` or `forwarders` with a number, `pushed 1` if lists are pushed to
-an agent beside each forwarder, or `fault FROM UNTIL WHAT WHOM [WITH]`: one fault with its times in seconds
-from the start (`-` for no end), its kind, its target and an argument. `#` begins a comment.
+Each line of a plan is one of these:
+
+- `seed`, `seconds`, `rate` or `forwarders`, with a number,
+- `pushed 1`, if lists are pushed to an agent beside each forwarder,
+- `fault FROM UNTIL WHAT WHOM [WITH]`: a fault with its start and end in seconds from the start of the run
+  (`-` for no end), its kind, its target and an argument.
+
+A `#` begins a comment.
 """
 
 from __future__ import annotations
@@ -20,47 +25,49 @@
 
 
 class FaultKind(StrEnum):
-    """Kinds of faults, by their names in plans."""
+    """Kinds of faults; the values are their names in plans."""
 
-    # Of an endpoint (`p1-east`), a partner (`p1`) or a zone (`east`):
+    # Faults of an endpoint (`p1-east`), a partner (`p1`) or a zone (`east`), see `standins.Condition`:
     HANG = "hang"
     SLOW = "slow"
     RESET = "reset"
     ERROR = "error"
     FULL = "full"
-    SHUT = "shut"
-    SPOILT = "spoilt"
-    CUT = "cut"
-    SILENT = "silent"  # its host is isolated
+    REFUSING = "shut"
+    GARBLED = "spoilt"
+    TRUNCATED = "cut"
+    ISOLATED = "silent"  # no packet leaves or reaches the endpoint's host
 
-    # Of the directory, and of the receiver of notices:
+    # Faults of the directory, and of the receiver of notices (`REPORTS_DOWN`):
     DIRECTORY_DOWN = "directory-down"
     DIRECTORY_SILENT = "directory-silent"
     DIRECTORY_LATE = "directory-late"
     DIRECTORY_GARBLED = "directory-garbled"
     REPORTS_DOWN = "reports-down"
 
-    # Of the directory under overload:
-    DIRECTORY_BUSY = "directory-busy"  # with seconds of work for each call
-    DIRECTORY_LOSING = "directory-losing"  # with every how many answers are lost with their connection
-    DIRECTORY_MUTE = "directory-mute"  # the same, and the connection stays open and silent
+    # Faults of an overloaded directory, each with an argument:
+    DIRECTORY_BUSY = "directory-busy"  # argument: seconds of work for each request
+    DIRECTORY_LOSING = (
+        "directory-losing"  # argument n: every n-th answer is lost, and its connection is reset
+    )
+    DIRECTORY_MUTE = "directory-mute"  # argument n: every n-th answer is lost, and its connection stays open
 
-    # Of a forwarder (`f0`) and its disk:
+    # Faults of a forwarder (`f0`) and its disk, and operators' actions:
     DISK_FULL = "disk-full"
     DISK_FAILING = "disk-failing"
     DISK_SHORT = "disk-short"
     KILL = "kill"  # SIGKILL
     TERM = "term"  # SIGTERM
-    MOVE = "move"  # SIGHUP: the directory is at another address
-    KILL_AT = "kill-at"  # SIGKILL at a call of the disk, with how many calls from now and the moment in it
-    WALL = "wall"  # a step of the wall clock, with seconds
-    TAKEOVER = "takeover"  # another process takes over; with `kill-old` or `kill-new` and seconds until then
-    CLIENTS_LEAVE = "door"  # clients are asked to leave
+    MOVE_DIRECTORY = "move"  # the directory moves to another address, and SIGHUP announces it
+    KILL_AT_DISK_CALL = "kill-at"  # argument: the number of disk calls until SIGKILL, and a `KillMoment`
+    WALL_CLOCK_STEP = "wall"  # argument: seconds by which the wall clock jumps
+    TAKEOVER = "takeover"  # argument: empty, or `kill-old` or `kill-new` and the seconds until the kill
+    CLIENTS_LEAVE = "door"  # clients are asked to disconnect
 
-    # Of an endpoint in the list:
-    DRAIN = "drain"  # draining, and back
-    REMOVE = "remove"  # removed, and listed again
-    REPLACE = "replace"  # removed, and another in its place
+    # Changes of an endpoint's entry in the directory's list:
+    DRAIN = "drain"  # listed as draining, then as serving again
+    REMOVE = "remove"  # removed, then listed again
+    REPLACE = "replace"  # removed, and another endpoint listed in its place
 
 
 ENDPOINT_FAULTS = (
@@ -69,10 +76,10 @@
     FaultKind.RESET,
     FaultKind.ERROR,
     FaultKind.FULL,
-    FaultKind.SHUT,
-    FaultKind.SPOILT,
-    FaultKind.CUT,
-    FaultKind.SILENT,
+    FaultKind.REFUSING,
+    FaultKind.GARBLED,
+    FaultKind.TRUNCATED,
+    FaultKind.ISOLATED,
 )
 DIRECTORY_FAULTS = (
     FaultKind.DIRECTORY_DOWN,
@@ -87,7 +94,13 @@
     FaultKind.DIRECTORY_MUTE,
 )
 DISK_FAULTS = (FaultKind.DISK_FULL, FaultKind.DISK_FAILING, FaultKind.DISK_SHORT)
-PROCESS_FAULTS = (FaultKind.KILL, FaultKind.TERM, FaultKind.MOVE, FaultKind.KILL_AT, FaultKind.WALL)
+PROCESS_FAULTS = (
+    FaultKind.KILL,
+    FaultKind.TERM,
+    FaultKind.MOVE_DIRECTORY,
+    FaultKind.KILL_AT_DISK_CALL,
+    FaultKind.WALL_CLOCK_STEP,
+)
 OPERATOR_FAULTS = (FaultKind.TAKEOVER, FaultKind.CLIENTS_LEAVE)
 LIST_FAULTS = (FaultKind.DRAIN, FaultKind.REMOVE, FaultKind.REPLACE)
 
@@ -95,7 +108,7 @@
 
 
 class PlanError(ValueError):
-    """A plan that can't be read; the text names the line and what would be right."""
+    """A plan can't be parsed; the text names the line and what is expected there."""
 
 
 def partner_of(endpoint: str) -> str:
@@ -109,13 +122,13 @@
 
 
 def replacement_of(endpoint: str) -> str:
-    """The name of the endpoint that takes the place of a replaced one."""
+    """The name of the endpoint that replaces this one."""
     return f"{endpoint}.2"
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault, in seconds from the start of the run; `until` is None where it has no end."""
+    """One fault; times are in seconds from the start of the run, `until` is None for a fault without end."""
 
     since: float
     until: float | None
@@ -129,21 +142,25 @@
         return f"fault {self.since:.3f} {end} {self.kind} {self.target}{argument}"
 
     def has_target(self, name: str) -> bool:
-        """Whether the target is this forwarder, or is or has this endpoint or the one that it replaces."""
+        """Whether the fault applies to this forwarder, or to this endpoint or the one that it replaces.
+
+        The target can be the name itself, or an endpoint's partner or zone.
+        """
         return self.target in (name.partition(".")[0], partner_of(name), zone_of(name))
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One run: its seed draws traffic, latencies and partners; its faults are listed.
+    """One run: traffic, latencies and partners' behaviour are drawn from its seed, its faults are explicit.
 
-    With `lists_are_pushed` a forwarder counts as informed of what the directory lists at once; else it polls.
+    With `lists_are_pushed`, a forwarder counts as informed of each change in the directory at once; otherwise
+    it polls the directory.
     """
 
     seed: int
     faults: tuple[Fault, ...] = ()
     duration_s: float = DURATION_S
-    rate_per_s: float = 4.0  # messages to each forwarder
+    rate_per_s: float = 4.0  # arrivals at each forwarder, of one or more messages
     forwarder_count: int = 1
     lists_are_pushed: bool = False
 
@@ -156,17 +173,17 @@
 
     @property
     def last_fault_end_s(self) -> float:
-        """When the last fault is over."""
+        """The time when the last fault ends, in seconds from the start of the run."""
         return max([fault.until or fault.since for fault in self.faults], default=0.0)
 
     def without(self, dropped: Iterable[Fault]) -> Plan:
-        """The same run with fewer faults."""
+        """The same plan without some of its faults."""
         dropped_faults = set(dropped)
         return replace(self, faults=tuple(fault for fault in self.faults if fault not in dropped_faults))
 
 
 def parse(text: str) -> Plan:
-    """Read a plan; raises PlanError."""
+    """Parse a plan; raises PlanError."""
     numbers: dict[str, float] = {}
     faults: list[Fault] = []
     for line_number, line in enumerate(text.splitlines(), 1):
@@ -181,12 +198,12 @@
                     numbers[key] = float(number)
                 case _:
                     raise ValueError(
-                        "a line is seed, seconds, rate, forwarders or pushed and a number, or a fault"
+                        f"a line is {', '.join(NUMBER_KEYS)} and a number, or a fault; found {line.strip()!r}"
                     )
         except ValueError as error:
             raise PlanError(f"line {line_number}: {error}") from error
     if "seed" not in numbers:
-        raise PlanError("no line names the seed")
+        raise PlanError("no line names the seed; expected `seed NUMBER`")
     usual = Plan(0)
     return Plan(
         seed=int(numbers["seed"]),
@@ -200,12 +217,12 @@
 
 def _parse_fault(fields: list[str]) -> Fault:
     if len(fields) < 4:
-        raise ValueError("a fault is: fault FROM UNTIL WHAT WHOM [WITH]")
+        raise ValueError(f"a fault is: fault FROM UNTIL WHAT WHOM [WITH]; found fault {' '.join(fields)}")
     since, until, kind, target, *argument = fields
     if kind not in list(FaultKind):
-        raise ValueError(f"{kind!r} is no fault; known are {', '.join(FaultKind)}")
+        raise ValueError(f"{kind!r} is no fault; expected one of {', '.join(FaultKind)}")
     known = (*ENDPOINTS, *PARTNERS, *ZONES, ALL_TARGETS)
     if target not in (*known, *(f"f{number}" for number in range(MAX_FORWARDERS))):
-        raise ValueError(f"{target!r} is no target; known are {', '.join(known)} and f0, f1, ...")
+        raise ValueError(f"{target!r} is no target; expected one of {', '.join(known)}, f0, f1, ...")
     end = None if until == "-" else float(until)
     return Fault(float(since), end, FaultKind(kind), target, " ".join(argument))
--- a/emberlatch/faults/plan_generator.py
+++ b/emberlatch/faults/plan_generator.py
@@ -1,4 +1,4 @@
-"""Draws plans from seeds: the same seed gives the same plan."""
+"""Generates plans from seeds; the same seed always gives the same plan."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
     Plan,
 )
 
-LAST_FAULT_END_S = 13.0  # by when every drawn fault is over
-RELEASE_DURATION_S = 34.0  # until lists that were lost in a release count as received
+LAST_FAULT_END_S = 13.0  # latest end of a drawn fault, except of list changes in a release
+RELEASE_DURATION_S = 34.0  # long enough for lists that were lost in a release to count as received
 
 MIXED_GROUPS = (ENDPOINT_FAULTS, DIRECTORY_FAULTS, DISK_FAULTS, PROCESS_FAULTS, LIST_FAULTS)
 MIXED_WEIGHTS = (10, 3, 1, 5, 4)
 
 
 def draw_mixed(seed: int) -> Plan:
-    """Three to six faults, the first three of which overlap at one moment."""
+    """Generate a plan with three to six faults, of which the first three overlap at one moment."""
     rng = random.Random(f"plan {seed}")
     forwarder_count = rng.choice((1, 1, 2))
     overlap_at = rng.uniform(4.0, 9.0)
@@ -44,9 +44,9 @@
 
 
 def draw_release(seed: int) -> Plan:
-    """A release of endpoints while the directory is overloaded, at 1, 3 and 10 forwarders in turn.
+    """Generate a release of endpoints with an overloaded directory, for 1, 3 or 10 forwarders by the seed.
 
-    Endpoints are drained or replaced within a few seconds, and the directory has one or two faults meanwhile.
+    Endpoints are drained or replaced within a few seconds, during which the directory has one or two faults.
     """
     rng = random.Random(f"release {seed}")
     forwarder_count = (1, 3, 10)[seed % 3]
@@ -61,15 +61,15 @@
                 *DIRECTORY_LOAD_FAULTS,
                 FaultKind.DIRECTORY_DOWN,
                 FaultKind.DIRECTORY_LATE,
-                FaultKind.MOVE,
+                FaultKind.MOVE_DIRECTORY,
             )
         )
-        argument = {  # each is drawn, whichever the kind is
+        argument = {  # all are drawn for every kind, so that later draws do not depend on the kind
             FaultKind.DIRECTORY_BUSY: f"{rng.uniform(0.2, 1.0) / (forwarder_count + 1):.3f}",
             FaultKind.DIRECTORY_LOSING: f"{rng.randint(2, 4)}",
             FaultKind.DIRECTORY_MUTE: f"{rng.randint(3, 5)}",
         }.get(kind, "")
-        target, end = ("f0", None) if kind is FaultKind.MOVE else (ALL_TARGETS, round(until, 3))
+        target, end = ("f0", None) if kind is FaultKind.MOVE_DIRECTORY else (ALL_TARGETS, round(until, 3))
         faults.append(Fault(round(since, 3), end, kind, target, argument))
     if rng.random() < 0.25:
         at = round(rng.uniform(3.0, 9.0), 3)
@@ -79,7 +79,7 @@
 
 
 def draw_pushed_release(seed: int) -> Plan:
-    """A release of endpoints where lists are pushed, while endpoints fail and forwarders stop and start."""
+    """Generate a release of endpoints with pushed lists, while endpoints fail and forwarders restart."""
     rng = random.Random(f"pushed {seed}")
     forwarder_count = rng.choice((1, 2, 3))
     faults = _draw_list_changes(rng, rng.uniform(1.0, 4.0))
@@ -96,9 +96,9 @@
 
 
 def draw_takeovers(seed: int) -> Plan:
-    """Two to four takeovers, in most of which one of the two processes is killed.
+    """Generate two to four takeovers, in most of which one of the two processes is killed.
 
-    Meanwhile partners and the directory have faults, and operators ask clients to leave.
+    Meanwhile endpoints and the receiver of notices have faults, and operators ask clients to disconnect.
     """
     rng = random.Random(f"takeover {seed}")
     forwarder_count = rng.choice((1, 1, 2))
@@ -136,7 +136,7 @@
     "pushed": draw_pushed_release,
     "takeover": draw_takeovers,
 }
-"""The ways to draw a plan from a seed, by the names of `emberlatch faults run --plans`."""
+"""The generators of plans, by the names that `emberlatch faults run --plans` accepts."""
 
 
 def _in_order(faults: Iterable[Fault]) -> tuple[Fault, ...]:
@@ -144,7 +144,7 @@
 
 
 def _draw_list_changes(rng: random.Random, first_change_s: float) -> list[Fault]:
-    """Endpoints that are drained or replaced within six seconds."""
+    """Draw endpoints that are drained or replaced within six seconds."""
     faults = []
     for endpoint in rng.sample(ENDPOINTS, rng.randint(3, len(ENDPOINTS))):
         since = first_change_s + rng.uniform(0.0, 6.0)
@@ -162,7 +162,7 @@
     groups: tuple[tuple[FaultKind, ...], ...] = MIXED_GROUPS,
     weights: tuple[int, ...] = MIXED_WEIGHTS,
 ) -> Fault:
-    """One fault of some group; `until` counts for kinds that have an end."""
+    """Draw a fault of a random group; `until` is ignored for process faults, which have no end."""
     group = rng.choices(groups, weights)[0]
     kind = rng.choice(group)
     target, argument = ALL_TARGETS, ""
@@ -172,9 +172,9 @@
         target = rng.choice(ENDPOINTS)
     elif group is DISK_FAULTS or group is PROCESS_FAULTS:
         target = f"f{rng.randrange(forwarder_count)}"
-    if kind is FaultKind.KILL_AT:
+    if kind is FaultKind.KILL_AT_DISK_CALL:
         argument = f"{rng.randint(1, 60)} {rng.choice(tuple(KillMoment)).value}"
-    elif kind is FaultKind.WALL:
+    elif kind is FaultKind.WALL_CLOCK_STEP:
         argument = f"{rng.choice((-3600, -5, 5, 3600))}"
     end = None if group is PROCESS_FAULTS else round(until, 3)
     return Fault(round(since, 3), end, kind, target, argument)
--- a/emberlatch/faults/power_loss/environment.py
+++ b/emberlatch/faults/power_loss/environment.py
@@ -1,4 +1,4 @@
-"""One machine that loses power at drawn moments, and the traffic that it gets meanwhile."""
+"""One machine that loses power at random times, and the traffic that it receives."""
 
 from __future__ import annotations
 
@@ -47,52 +47,52 @@
 )
 JOURNAL_BYTES = 360_000  # small enough for segments to fill and be compacted
 MAX_BODY_BYTES = 2500
-TRAFFIC_S = 5.0  # in which all losses of power fall
-FIRST_LOSS_S = 0.2
+TRAFFIC_S = 5.0  # duration of the traffic; all power losses and kills occur in it
+FIRST_LOSS_S = 0.2  # earliest time of a power loss or kill
 MAX_POWER_LOSSES, MAX_KILLS = 4, 2
-COMPLETION_S = DEADLINE_S + 3.0  # for the last messages
-SYNC_DURATION_S = (0.001, 0.03)
-RESUBMIT_DELAY_S = 0.4  # after which a client without an answer submits the same message again
+COMPLETION_S = DEADLINE_S + 3.0  # wait for the last messages to complete
+SYNC_DURATION_S = (0.001, 0.03)  # range from which each duration is drawn
+RESUBMIT_DELAY_S = 0.4  # time after which a client without an answer repeats its submission
 RATE_PER_S = 30.0
-RESTART_DELAY_S = 0.05  # of a process on a machine that runs
-POWER_OFF_S = (0.01, 0.3)
+RESTART_DELAY_S = 0.05  # time between a kill of the process and the next start
+POWER_OFF_S = (0.01, 0.3)  # the two possible durations of a power loss
 WALL_CLOCK_START_S = 1.8e9
 
 
 class PowerLossEnvironment:
-    """One run of a seed; `durable` are the categories that must outlive the machine.
+    """One run of a seed; messages of the categories in `durable` must survive power losses.
 
-    `failed_sync_count` is how often a process ended because a sync had failed.
+    `failed_sync_count` is the number of processes that ended because of a failed sync.
     """
 
     def __init__(self, seed: int, durable: frozenset[str] = CATEGORY_NAMES) -> None:
         self.seed, self.disk = seed, Disk()
         self.boot_count = self.failed_sync_count = 0
         self._durable, self._rng = durable, random.Random(f"power {seed}")
-        self._outside = Surroundings(VirtualLoop(), self._rng, DEDUP_WINDOW_S)
+        self._surroundings = Surroundings(VirtualLoop(), self._rng, DEDUP_WINDOW_S)
         self.power_loss_count = self._rng.randint(1, MAX_POWER_LOSSES)
         self._process: Process | None = None
-        self._engine: Engine | None = None  # once it has started
+        self._engine: Engine | None = None  # None until it has started
 
     @property
     def loop(self) -> VirtualLoop:
-        """The run's loop."""
-        return self._outside.loop
+        """The virtual loop of the run."""
+        return self._surroundings.loop
 
     @property
     def messages(self) -> dict[str, ObservedMessage]:
-        """What became of each message, by its id."""
-        return self._outside.messages
+        """The observed state of each message, by its id."""
+        return self._surroundings.messages
 
     @property
     def keys(self) -> IdempotencyKeys:
-        """What took effect at the partner."""
-        return self._outside.keys
+        """The idempotency keys and effects that the partner recorded."""
+        return self._surroundings.keys
 
     # The machine.
 
     async def _run_sync(self, job: Callable[[], object]) -> None:
-        """Run what blocks on the disk: it takes time, and covers what was there at its start."""
+        """Run a blocking sync: it takes time, and covers only the data that was written before it started."""
         sizes = self.disk.sizes()
         await asyncio.sleep(self._rng.uniform(*SYNC_DURATION_S))
         self.disk.sizes_at_sync_start = sizes
@@ -110,8 +110,8 @@
             lambda _: self.disk,
             self._run_sync,
         )
-        carrier, membership = SimulatedCarrier(self._outside, process), FixedMembership()
-        completions = CompletionObserver(self._outside, process)
+        carrier, membership = SimulatedCarrier(self._surroundings, process), FixedMembership()
+        completions = CompletionObserver(self._surroundings, process)
         journal = Journal(self.disk, JOURNAL_BYTES, durable=bool(self._durable))
         durable_classes = DurableClasses(self._durable, self._on_sync_failure)
         engine = Engine(SETTINGS, self.seed, journal, Tasks(), machine, durable_classes)
@@ -122,7 +122,7 @@
 
     def _start_process(self) -> None:
         if self._process is not None and self._process.alive:
-            return  # power was lost again before the start
+            return  # a second power loss during an outage schedules a second start; the first one has run
         self.boot_count += 1
         self.disk.restart()
         process = self._process = Process("machine")
@@ -130,31 +130,31 @@
         self.loop.create_task(self._boot(process), context=context_of(process))
 
     def _on_sync_failure(self, error: OSError) -> None:
-        """The process ends; the next one goes by what is synced."""
+        """Kill the process, so that the next one recovers from the synced records."""
         self.failed_sync_count += 1
         self._kill_process()
 
     def _kill_process(self) -> None:
-        """Kill the process alone: the disk keeps what was written, synced or not."""
+        """Kill the process without a power loss: the disk keeps all written data, synced or not."""
         if self._process is not None and self._process.alive:
             self._process.kill()
-            self._outside.call_later(RESTART_DELAY_S, self._start_process)
+            self._surroundings.call_later(RESTART_DELAY_S, self._start_process)
 
     def _lose_power(self) -> None:
         assert self._process is not None
         self._process.kill()
         self.disk.power_loss(self._rng)
-        self._outside.call_later(self._rng.choice(POWER_OFF_S), self._start_process)
+        self._surroundings.call_later(self._rng.choice(POWER_OFF_S), self._start_process)
 
     # The run.
 
     async def run(self) -> None:
-        """Play traffic and losses of power, then leave time for the last completions."""
+        """Run traffic, power losses and kills, then wait for the last messages to complete."""
         self._start_process()
         for _ in range(self.power_loss_count):
-            self._outside.call_later(self._rng.uniform(FIRST_LOSS_S, TRAFFIC_S), self._lose_power)
+            self._surroundings.call_later(self._rng.uniform(FIRST_LOSS_S, TRAFFIC_S), self._lose_power)
         for _ in range(self._rng.randint(0, MAX_KILLS)):
-            self._outside.call_later(self._rng.uniform(FIRST_LOSS_S, TRAFFIC_S), self._kill_process)
+            self._surroundings.call_later(self._rng.uniform(FIRST_LOSS_S, TRAFFIC_S), self._kill_process)
         until, number = self.loop.time() + TRAFFIC_S, 0
         while self.loop.time() < until:
             await asyncio.sleep(self._rng.expovariate(RATE_PER_S))
@@ -169,16 +169,16 @@
         if message.is_answered or self._engine is None or self._process is None:
             return
         message.submission_count += 1
-        if message.category == "note":  # it is idempotent
-            self._outside.call_later(RESUBMIT_DELAY_S, self._submit, name)
+        if message.category == "note":  # a note is idempotent
+            self._surroundings.call_later(RESUBMIT_DELAY_S, self._submit, name)
         key = name if message.category == "payout" else ""
         body = b"x" * self._rng.randrange(MAX_BODY_BYTES)
         submission = Submission(name, key, message.category, "", DESTINATION, DEADLINE_S, body)
-        responder = Responder(self._outside, self._process, message)
-        self._outside.call_in_process(self._process, self._engine.submit, submission, responder)
+        responder = Responder(self._surroundings, self._process, message)
+        self._surroundings.call_in_process(self._process, self._engine.submit, submission, responder)
 
     def breaches(self) -> Counter[str]:
-        """How often each rule is broken."""
+        """The number of messages that break each rule, by the rule's name."""
         counts: Counter[str] = Counter()
         for name, message in self.messages.items():
             effects = self.keys.effects.get(name, 0)
@@ -192,7 +192,7 @@
 
 
 def play(seed: int, durable: frozenset[str] = CATEGORY_NAMES, failing_syncs: int = 0) -> PowerLossEnvironment:
-    """Play one seed; the first `failing_syncs` syncs fail. See `PowerLossEnvironment.breaches`."""
+    """Run one seed, in which the first `failing_syncs` syncs fail; see `PowerLossEnvironment.breaches`."""
     environment = PowerLossEnvironment(seed, durable)
     environment.disk.failing_syncs = failing_syncs
     try:
--- a/emberlatch/faults/power_loss/surroundings.py
+++ b/emberlatch/faults/power_loss/surroundings.py
@@ -1,4 +1,7 @@
-"""What outlives the machine: the client, the partner, and the receiver of notices; and the ports to them."""
+"""Everything outside of the machine, which a power loss does not affect, and the engine's ports to it.
+
+This is the client, the partner and the receiver of notices.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 
 class CallResult(NamedTuple):
-    """Whether a call is executed, and what its caller gets."""
+    """Whether the partner executes a call, and the result that its caller receives."""
 
     is_executed: bool
     result: api.Result
@@ -39,19 +42,19 @@
 
 @dataclass
 class ObservedMessage:
-    """What is known of one message outside of the machine."""
+    """One message as the client, the partner and the receiver of notices observe it."""
 
     category: str
     is_answered: bool = False
     submission_count: int = 0
     accepted_at: float = math.inf
-    completions: list[str] = field(default_factory=list)  # the results of its notices
+    completions: list[str] = field(default_factory=list)  # the result of each notice
 
 
 class Surroundings:
-    """Everything outside of the machine, and the clock that all share.
+    """The state of everything outside of the machine, and the clock that all parts share.
 
-    `keys` has what took effect at the partner, `messages` what became of each message by its id.
+    `keys` has the effects at the partner, `messages` the observed state of each message by its id.
     """
 
     def __init__(self, loop: VirtualLoop, rng: random.Random, dedup_window_s: float) -> None:
@@ -60,25 +63,25 @@
         self.messages: dict[str, ObservedMessage] = {}
 
     def call_later(self, delay_s: float, callback: Callable[..., object], *args: object) -> None:
-        """Call this outside of the machine after so many seconds."""
+        """Call `callback` after `delay_s` seconds, outside of the machine."""
         self.loop.call_at(self.loop.time() + delay_s, callback, *args, context=ENVIRONMENT_CONTEXT)
 
     def call_in_process(self, process: Process, callback: Callable[..., object], *args: object) -> None:
-        """Call this in a process."""
+        """Call `callback` in the context of a process."""
         self.loop.call_soon(callback, *args, context=context_of(process))
 
     def notify(self, process: Process, callback: Callable[..., object], *args: object) -> None:
-        """Call this in a process that made a request, if it still runs."""
+        """Call `callback` in the context of a process, unless it has died."""
         if process.alive:
             self.call_in_process(process, callback, *args)
 
     def execute(self, item: CallItem) -> None:
-        """The partner executes a message."""
+        """Execute a message at the partner."""
         self.keys.run(self.loop.time(), Message(item.id, item.key))
 
 
 class Responder:
-    """The client's side of one submission to a process."""
+    """Receives the response to one submission to a process, on behalf of the client."""
 
     def __init__(self, surroundings: Surroundings, process: Process, message: ObservedMessage) -> None:
         self._surroundings, self._process, self._message = surroundings, process, message
@@ -108,7 +111,7 @@
 
 
 class SimulatedCarrier:
-    """An `engine.Carrier` to the partner, which executes calls whatever becomes of the caller."""
+    """An `engine.Carrier` to the partner, which executes calls even if the caller dies."""
 
     in_flight = 0
     engine: Engine
@@ -140,14 +143,14 @@
             )
 
     def cancel(self, ref: int, attempt: int) -> None:
-        """Calls in flight end by themselves."""
+        """Do nothing: calls in flight end after their drawn duration."""
 
     def close_idle(self, target: api.Target) -> None:
-        """There are no connections here."""
+        """Do nothing: this carrier has no connections."""
 
 
 class CompletionObserver:
-    """An `engine.CompletionNotifier` whose receiver records notices, and confirms them a little later."""
+    """An `engine.CompletionNotifier` that records each notice and confirms it after a short delay."""
 
     notifies_deliveries = True
     pending = False
@@ -165,7 +168,7 @@
 
 
 class FixedMembership:
-    """An `engine.Membership` with one endpoint, which is reported at the start and never changes."""
+    """An `engine.Membership` that reports a single endpoint at the start and never changes."""
 
     engine: Engine
 
@@ -175,7 +178,7 @@
         self.engine.listed(update, {TARGET: ENDPOINT_ADDRESS})
 
     def watch(self, active: bool) -> None:
-        """Nothing changes."""
+        """Do nothing: the list of endpoints never changes."""
 
     def look_up(self) -> None:
-        """Nothing changes."""
+        """Do nothing: the list of endpoints never changes."""
--- a/emberlatch/faults/process.py
+++ b/emberlatch/faults/process.py
@@ -1,7 +1,7 @@
-"""Simulated processes: what is killed, suspended and resumed together.
+"""Simulated processes: groups of callbacks and connections that are killed, suspended and resumed together.
 
-Several processes share one `VirtualLoop`. A context variable says to which of them running code belongs; what
-is outside of all of them belongs to `ENVIRONMENT`, which is never killed.
+Several processes share one `VirtualLoop`. A context variable identifies the process to which the running code
+belongs. Code outside of all processes belongs to `ENVIRONMENT`, which is never killed.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 
 class ProcessKilled(BaseException):
-    """The process in which this is raised has been killed: its stack unwinds, and nothing handles this."""
+    """Raised in a process that was killed, to unwind its stack; no code of the process may handle it."""
 
 
 class Connection(Protocol):
     """A process's end of a connection."""
 
     def discard(self) -> None:
-        """The process is dead: reset the peer without notifying this side."""
+        """Reset the peer without notifying this side, because its process is dead."""
 
     def power_off(self) -> None:
-        """The machine has lost power: neither side is notified."""
+        """Drop this end without notifying either side, because the machine has lost power."""
 
 
 class ListeningSocket(Protocol):
@@ -37,36 +37,36 @@
     address: Address
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
 
 
 class Process:
-    """One simulated process; `descriptors` is how many it may have open.
+    """One simulated process, which may have `descriptors` file descriptors open.
 
-    Only the loop and the network change its fields. `on_death` is called once, after it was killed.
+    Only the loop and the network change the fields, except `on_death`, which is called once, after a kill.
     """
 
     def __init__(self, name: str, descriptors: int = UNLIMITED_DESCRIPTORS) -> None:
         self.name, self.alive, self.descriptors = name, True, descriptors
-        self.connections: dict[Connection, None] = {}  # a dict, for its order
+        self.connections: dict[Connection, None] = {}  # a dict used as an ordered set
         self.listeners: list[ListeningSocket] = []
         self.on_death: Callable[[], None] = lambda: None
-        # While it is suspended, what has become due for it, in order:
+        # Callbacks that became due during a suspension, in order; None while not suspended:
         self.suspended_callbacks: list[Callable[[], object]] | None = None
 
     def suspend(self) -> None:
-        """SIGSTOP: nothing of it runs until it is resumed."""
+        """Suspend the process like SIGSTOP: none of its callbacks runs until it is resumed."""
         if self.suspended_callbacks is None:
             self.suspended_callbacks = []
 
     def resume(self, loop: asyncio.AbstractEventLoop) -> None:
-        """SIGCONT: all that has become due runs, in order."""
+        """Resume the process like SIGCONT: the callbacks that became due meanwhile run in order."""
         callbacks, self.suspended_callbacks = self.suspended_callbacks or [], None
         for callback in callbacks:
             loop.call_soon(callback, context=ENVIRONMENT_CONTEXT.copy())
 
     def kill(self) -> None:
-        """SIGKILL: its connections are reset, its listeners closed, and nothing of it runs again."""
+        """Kill the process like SIGKILL: reset its connections, close its listeners, drop its callbacks."""
         if not self.alive:
             return
         self.alive, self.suspended_callbacks = False, None
@@ -78,7 +78,7 @@
         self.on_death()
 
     def power_off(self) -> None:
-        """Its machine has lost power: as `kill`, but nobody is notified, and `on_death` is not called."""
+        """Stop the process like a power loss: no peer is notified, and `on_death` is not called."""
         self.alive = False
         for connection in list(self.connections):
             connection.power_off()
@@ -86,23 +86,23 @@
 
 
 ENVIRONMENT = Process("environment")
-"""What is outside of all processes."""
+"""The owner of all code that runs outside of the simulated processes."""
 
 ENVIRONMENT_CONTEXT = contextvars.Context()
-"""The context of what happens between processes, such as a packet: no process's death stops it."""
+"""The context of events between processes, such as packets in transit, which no death of a process stops."""
 
 current_process: contextvars.ContextVar[Process] = contextvars.ContextVar("process", default=ENVIRONMENT)
 """The process to which the running code belongs."""
 
 
 def context_of(process: Process) -> contextvars.Context:
-    """A copy of the current context in which code belongs to `process`."""
+    """A copy of the current context, changed so that code that runs in it belongs to `process`."""
     context = contextvars.copy_context()
     context.run(current_process.set, process)
     return context
 
 
 def kill_current_process() -> NoReturn:
-    """Kill the process that calls this."""
+    """Kill the process to which the caller belongs; raises ProcessKilled."""
     current_process.get().kill()
     raise ProcessKilled
--- a/emberlatch/faults/run.py
+++ b/emberlatch/faults/run.py
@@ -1,4 +1,4 @@
-"""Plays one plan, and reports what was broken."""
+"""Runs a single plan and reports the breaches of its rules."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 from emberlatch.faults.service_level import ServiceLevel
 from emberlatch.faults.trace import TraceEntry
 
-MAX_LOG_TEXT = 80  # characters of a log line that a breach quotes
+MAX_LOG_TEXT = 80  # number of characters of a log line that a breach quotes
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What came of a plan: breaches in order of time, the trace, and how much happened."""
+    """The results of a run: breaches in order of time, the trace, service levels and counts."""
 
     plan: Plan
     breaches: tuple[Breach, ...]
     trace: tuple[TraceEntry, ...]
-    steps: int  # callbacks of the loop
-    messages: int
+    steps: int  # number of callbacks that the loop ran
+    messages: int  # number of submitted messages
     since_last_fault: ServiceLevel
     after_recovery: ServiceLevel
 
     @property
     def lines(self) -> Iterator[str]:
-        """The trace as text, the same to the byte in every replay."""
+        """The trace as text, identical in every replay."""
         return map(str, self.trace)
 
 
 class _ExceptionObserver(logging.Handler):
-    """Reports exceptions that the forwarder caught and logged: they are defects all the same."""
+    """Reports exceptions that the forwarder caught and logged, because they are defects too."""
 
     def __init__(self, environment: SimulatedEnvironment) -> None:
         super().__init__(logging.ERROR)
@@ -53,7 +53,7 @@
 
 @contextlib.contextmanager
 def _observed_log(environment: SimulatedEnvironment) -> Iterator[None]:
-    """Observe the forwarder's log, and keep it from being printed."""
+    """Report exceptions in the forwarder's log, and suppress the log's output."""
     observer, logger = _ExceptionObserver(environment), logging.getLogger("emberlatch")
     propagate, logger.propagate = logger.propagate, False
     logger.addHandler(observer)
@@ -67,7 +67,7 @@
 
 
 def play(plan: Plan) -> Report:
-    """Play a plan in this thread."""
+    """Run a plan in the current thread."""
     loop = VirtualLoop()
     environment = SimulatedEnvironment(plan, loop)
     with _observed_log(environment):
@@ -76,7 +76,7 @@
         except DeadlockError as error:
             environment.add_breach(Rule.STUCK, str(error))
         finally:
-            logging.disable(logging.CRITICAL)  # of tasks that are closed half-way
+            logging.disable(logging.CRITICAL)  # closing unfinished tasks logs errors
             close_loop(loop)
     return Report(
         plan,
@@ -90,7 +90,7 @@
 
 
 def digest(report: Report) -> str:
-    """A short name of a trace: the same for the same plan, in every process."""
+    """A hash of a trace, which is the same for the same plan in every process."""
     hashed = hashlib.blake2b(digest_size=8)
     for line in report.lines:
         hashed.update(line.encode() + b"\n")
@@ -98,7 +98,7 @@
 
 
 def shrink(plan: Plan, rule: str) -> Plan:
-    """The plan without the faults that it does not need to break that rule."""
+    """Remove faults from a plan as long as the rest still breaks the rule."""
     changed = True
     while changed:
         changed = False
@@ -111,7 +111,7 @@
 
 
 def _removable_parts(plan: Plan) -> Iterable[tuple[Fault, ...]]:
-    """Halves of the faults, quarters and so on down to single ones."""
+    """Yield the halves of the faults, then the quarters and so on, down to single faults."""
     size = len(plan.faults) // 2
     while size >= 1:
         for start in range(0, len(plan.faults), size):
--- a/emberlatch/faults/seed_runs.py
+++ b/emberlatch/faults/seed_runs.py
@@ -1,4 +1,4 @@
-"""Plays the plans of many seeds, on several processes."""
+"""Runs the plans of many seeds on several processes."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from emberlatch.faults.plan_generator import DRAWS
 from emberlatch.faults.run import digest, play
 
-SHOWN_EVENTS = 8  # of the trace, with a breach
+SHOWN_EVENTS = 8  # number of trace events that are kept with a breach
 SEEDS_PER_JOB = 20
 
 
 @dataclass(frozen=True, slots=True)
 class SeedResult:
-    """What is kept of a seed's run; `last_events` are those of the trace up to the first breach."""
+    """The result of a seed's run; `last_events` has the last trace events up to the first breach."""
 
     seed: int
     breaches: tuple[Breach, ...]
@@ -29,7 +29,7 @@
 
 
 def play_seed(seed: int, kind: str = "mixed") -> SeedResult:
-    """Play the plan of a seed, drawn in one of the ways of `DRAWS`."""
+    """Run the plan that a generator of `DRAWS` draws from a seed."""
     report = play(DRAWS[kind](seed))
     last_events: deque[str] = deque(maxlen=SHOWN_EVENTS)
     if report.breaches:
@@ -41,7 +41,7 @@
 
 
 def play_seeds(seeds: Sequence[int], jobs: int, kind: str = "mixed") -> Iterator[SeedResult]:
-    """Play many seeds on so many processes; results come as they are ready."""
+    """Run many seeds on `jobs` processes, and yield each result when it is available."""
     if jobs == 1:
         yield from _play_chunk(seeds, kind)
         return
--- a/emberlatch/faults/service_level.py
+++ b/emberlatch/faults/service_level.py
@@ -1,4 +1,4 @@
-"""What share of the requests was completed in time, compared with what was possible."""
+"""The number of requests completed in time, compared with the number that was attainable."""
 
 from __future__ import annotations
 
@@ -11,23 +11,22 @@
 from emberlatch.faults.plan import Plan
 from emberlatch.faults.settings import MAX_LATENCY_TARGET_S
 
-RECOVERY_S = 10.0  # from the last fault until service must be as before: what returned has warmed up by then
-MIN_SERVED_SHARE = 0.7  # of what is possible from then on
-MIN_SERVED_SHARE_OF_EACH = (
-    0.3  # of each forwarder's requests, so that the others do not hide one that is stuck
-)
-MIN_REQUESTS = 16  # under which a share shows nothing; half of it for one forwarder
+RECOVERY_S = 10.0  # time after the last fault for endpoints to warm up; then service must be normal again
+MIN_SERVED_SHARE = 0.7  # required share of the attainable requests after the recovery
+# Required share of each forwarder's requests, so that other forwarders do not hide one that is stuck:
+MIN_SERVED_SHARE_OF_EACH = 0.3
+MIN_REQUESTS = 16  # fewer requests than this are too few to judge; half of it for a single forwarder
 
 
 class ServiceLevel(NamedTuple):
-    """Requests completed in time, and the most that was possible."""
+    """The number of requests completed in time, and the most that could have been."""
 
     served: int
     attainable: int
 
 
 class ServiceMeasurement:
-    """Measures the service of a run that has ended."""
+    """Measures the service level of a finished run."""
 
     def __init__(
         self,
@@ -38,17 +37,17 @@
     ) -> None:
         self._plan, self._clients, self._messages = plan, clients, messages
         self._capacity_bound = capacity_bound
-        # A request that comes later may be due after the end:
+        # Later requests may be due after the end of the run, so they are not counted:
         self._until = plan.duration_s - MAX_LATENCY_TARGET_S
 
     def since(self, since: float) -> ServiceLevel:
-        """The service level from a time on, in seconds from the start of the run."""
+        """The service level for requests from the time `since` on, in seconds from the start of the run."""
         demand = [message for clients in self._clients for message in clients.demanded()]
         served = sum(sum(self._in_time(clients, since)) for clients in self._clients)
         return ServiceLevel(served, self._capacity_bound.count_servable(demand, since, self._until))
 
     def after_recovery(self) -> ServiceLevel:
-        """The service level from when service must be as before the faults."""
+        """The service level from the time on when service must be normal again after the faults."""
         return self.since(self._recovered_at)
 
     @property
@@ -59,13 +58,19 @@
         return [in_time for _, in_time in clients.served_in_time(since, self._until, self._messages)]
 
     def shortfalls(self) -> Iterator[str]:
-        """In what service after the recovery is worse than it must be."""
+        """Yield a text for each way in which service after the recovery is worse than required."""
         served, attainable = self.after_recovery()
         if attainable >= MIN_REQUESTS and served < MIN_SERVED_SHARE * attainable:
-            yield f"{served} of {attainable} in time after all faults had ended"
+            yield (
+                f"{served} of {attainable} attainable requests in time after the recovery, "
+                f"required {MIN_SERVED_SHARE:.0%}"
+            )
         for clients in self._clients:
             in_time = self._in_time(clients, self._recovered_at)
             if len(in_time) < MIN_REQUESTS // 2:
                 continue
             if sum(in_time) < MIN_SERVED_SHARE_OF_EACH * len(in_time):
-                yield f"{clients.name} served {sum(in_time)} of {len(in_time)} after all faults had ended"
+                yield (
+                    f"{clients.name} served {sum(in_time)} of {len(in_time)} in time after the recovery, "
+                    f"required {MIN_SERVED_SHARE_OF_EACH:.0%}"
+                )
--- a/emberlatch/faults/settings.py
+++ b/emberlatch/faults/settings.py
@@ -1,4 +1,4 @@
-"""The settings of every run: those of the forwarders, and how the partners' endpoints behave."""
+"""The settings of every run: those of the forwarders, and the behaviour of the partners' endpoints."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientCategory:
-    """A category of messages: its effect (`safe`, `keyed` or `unsafe`), and by when an answer is in time."""
+    """A category of messages: its effect (`safe`, `keyed` or `unsafe`) and its latency target."""
 
     effect: str
     latency_target_s: float
@@ -61,12 +61,12 @@
         warm_up_s=WARM_UP_S,
     ),
 }
-"""By partner."""
+"""The behaviour of each partner's endpoints."""
 
 MACHINE_TYPES = {partner: "operator" if partner == PARTNERS[0] else "bank" for partner in PARTNERS}
 BATCH_SIZES = {"operator": 4, "bank": 1}
 MAX_BATCH_SIZES = {partner: BATCH_SIZES[MACHINE_TYPES[partner]] for partner in PARTNERS}
-"""Messages in a call, by partner."""
+"""The largest number of messages in a call, by partner."""
 
 
 def _raw_categories() -> list[RawSettings]:
@@ -99,7 +99,7 @@
 
 
 def raw_settings(lists_are_pushed: bool) -> RawSettings:
-    """The settings in the platform's form; lists are pushed or polled for."""
+    """The settings in the platform's format, with pushed or polled lists."""
     return {
         "allowed": {
             "cancel": True,
@@ -138,5 +138,5 @@
 
 
 def decode(raw: RawSettings) -> Settings:
-    """The settings as the decision module has them."""
+    """Decode settings into the form that the decision module uses."""
     return decode_settings(json.dumps(raw).encode())
--- a/emberlatch/faults/timeline.py
+++ b/emberlatch/faults/timeline.py
@@ -1,4 +1,4 @@
-"""A run as a picture: SVG with one lane for each endpoint and forwarder, time to the right."""
+"""Renders a run as an SVG timeline with a lane for each endpoint and forwarder; time runs to the right."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 WIDTH_PX, LANE_PX, LABELS_PX, MARGIN_PX = 1400, 34, 110, 10
 LANES = (*ENDPOINTS, *map(replacement_of, ENDPOINTS), "f0", "f1")
 HEIGHT_PX = (len(LANES) + 2) * LANE_PX
-EVENT_WIDTH_S = 0.1  # of what has no duration
+EVENT_WIDTH_S = 0.1  # width of events without a duration
 MIN_BAR_PX = 1.5
 DELIVERED, REJECTED, FAILED, UNANSWERED = "#2a7", "#c90", "#c33", "#888"
 STATUS_COLOURS = {200: DELIVERED, 429: REJECTED, 503: REJECTED, 500: FAILED, -1: FAILED, 0: FAILED}
@@ -19,8 +19,11 @@
 
 
 def render_svg(report: Report) -> str:
-    """The picture: calls as bars from their last byte to their answer, in the colour of its status; faults
-    behind them; breaches as red lines."""
+    """Render a report as SVG.
+
+    Calls are bars from the arrival of their last byte to their answer, coloured by its status. Faults are
+    rectangles behind the calls, breaches are red lines.
+    """
     end = max([entry.at for entry in report.trace], default=1.0)
     timeline = _Timeline((WIDTH_PX - LABELS_PX - MARGIN_PX) / end)
     timeline.add_lanes()
@@ -33,7 +36,7 @@
 
 
 class _Timeline:
-    """Collects the parts of the picture; `scale` is in pixels a second."""
+    """Collects the elements of the SVG; `scale` is in pixels per second."""
 
     def __init__(self, scale: float) -> None:
         self._scale = scale
@@ -69,7 +72,7 @@
             )
 
     def add_trace(self, trace: tuple[TraceEntry, ...], end: float) -> None:
-        """Calls, and starts and ends of processes."""
+        """Add the calls, and the starts and deaths of processes."""
         calls_in_flight: dict[tuple[object, object], tuple[float, str]] = {}
         for at, event, details in trace:
             match event, details:
@@ -79,7 +82,7 @@
                 case TraceEvent.ANSWER, (endpoint, number, int(status), _):
                     if (endpoint, number) in calls_in_flight:
                         self._add_call(endpoint, at, status, *calls_in_flight.pop((endpoint, number)))
-                case TraceEvent.BROKEN, (endpoint, number):
+                case TraceEvent.DISCONNECTED, (endpoint, number):
                     if (endpoint, number) in calls_in_flight:
                         self._add_call(endpoint, at, NO_STATUS, *calls_in_flight.pop((endpoint, number)))
                 case TraceEvent.READY | TraceEvent.DOWN, (forwarder,):
--- a/emberlatch/faults/trace.py
+++ b/emberlatch/faults/trace.py
@@ -1,4 +1,4 @@
-"""What happened in a run, in its order: the same for the same plan, to the byte."""
+"""The trace of a run: its events in order, identical for every run of the same plan."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 
 
 class TraceEvent(StrEnum):
-    """Kinds of entries, as they are printed (docs/operators/faults.md)."""
+    """Kinds of entries; the values are printed in traces (docs/operators/faults.md)."""
 
     READY = "ready"
     DOWN = "down"
-    LEFT = "left"
+    PREDECESSOR_EXITED = "left"
     SUCCESSOR_STARTED = "successor"
     TOOK_OVER = "took-over"
     SUBMITTED = "submit"
     RESPONSE = "response"
     CALL = "call"
     ANSWER = "answer"
-    BROKEN = "broken"
+    DISCONNECTED = "broken"
     POLL = "poll"
     LIST_SENT = "list-sent"
     LIST_LOST = "list-lost"
     LISTED = "listed"
     NOTICE = "notice"
     FAULT = "fault"
-    FAULT_OVER = "fault-over"
+    FAULT_ENDED = "fault-over"
 
 
 class TraceEntry(NamedTuple):
-    """What happened, when (seconds from the start of the run), and to whom, by event."""
+    """One event; `at` is in seconds from the start of the run, `details` depend on the kind of event."""
 
     at: float
     event: TraceEvent
@@ -41,7 +41,7 @@
 
 
 class Trace:
-    """Collects entries on a run's own clock, which starts at 0."""
+    """Collects the entries of a run, with times that count from the creation of the trace."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.entries: list[TraceEntry] = []
@@ -49,13 +49,13 @@
 
     @property
     def now(self) -> float:
-        """Seconds since the run began."""
+        """The time since the start of the run, in seconds."""
         return self._clock() - self._started_at
 
     def since_start(self, time: float) -> float:
-        """A time of the clock in seconds since the run began."""
+        """Convert a time of the clock into seconds since the start of the run."""
         return time - self._started_at
 
     def record(self, event: TraceEvent, *details: object) -> None:
-        """Add an entry with the present time."""
+        """Add an entry with the current time."""
         self.entries.append(TraceEntry(self.now, event, details))
--- a/emberlatch/faults/transport.py
+++ b/emberlatch/faults/transport.py
@@ -1,8 +1,8 @@
 """One end of a simulated connection: a socket until a protocol is attached, then an asyncio transport.
 
-A direction of a connection is a pipe: bytes leave in order, take the latency of the link and the time that
-its bandwidth costs, and wait at the receiver while that does not read. What does not fit into the kernel's
-buffers stays with the sender, whose protocol is paused. Connections overtake each other freely.
+Each direction of a connection delivers bytes in order, after the latency and the transmission time of the
+link. The bytes are queued at a receiver that does not read. Bytes that exceed the kernels' buffers stay in
+the sender's user space, and its protocol is paused. There is no order between different connections.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 from emberlatch.faults.loop import P, VirtualLoop
 from emberlatch.faults.process import Address, Process, ProcessKilled
 
-KERNEL_BUFFER_BYTES = 128 * 1024  # that the kernels of both ends hold of one direction
+KERNEL_BUFFER_BYTES = 128 * 1024  # capacity of both ends' kernel buffers for one direction
 HIGH_WATER_BYTES = 64 * 1024  # asyncio's default
-MIN_SPACING_S = 1e-7  # between two events on a wire: timers of one moment have no order
+MIN_SPACING_S = 1e-7  # time between events of a connection: timers due at the same time have no order
 
 T = TypeVar("T")
 
 
 class TransportNetwork(Protocol):
-    """What a transport needs of its network."""
+    """What a transport needs from its network."""
 
     loop: VirtualLoop
-    bandwidth: float  # bytes a second
+    bandwidth: float  # bytes per second
     isolated_addresses: set[Address]
     transports: dict[VirtualTransport, None]
 
     def call_at(self, when: float, callback: Callable[..., object], *args: object) -> None:
-        """Call this outside of all processes at that time of the loop's clock, in seconds."""
+        """Call `callback` at a time of the loop's clock (seconds), outside of all processes."""
 
     def packet_delay(self, sender: Process | None, receiver: Process | Address | None) -> float:
-        """Seconds that one packet takes."""
+        """Draw the latency of a packet, in seconds."""
 
 
 class VirtualTransport(asyncio.Transport):
@@ -48,19 +48,21 @@
     def __init__(self, network: TransportNetwork, process: Process | None, address: Address) -> None:
         super().__init__()
         self.process, self.address = process, address
-        self.is_lost = False  # the connection is over for this end
+        self.is_lost = False  # whether the connection has ended at this end
         self._network = network
         self._protocol: asyncio.Protocol | None = None
-        self._send_buffer = bytearray()  # in user space
-        self._bytes_in_flight = 0  # in the kernels, on the way to the peer
-        self._last_arrival = 0.0  # when the last of them arrives
-        self._receive_queue: deque[bytes | None] = deque()  # not read yet; None is the end
+        self._send_buffer = bytearray()  # bytes in user space
+        self._bytes_in_flight = 0  # bytes in the kernels' buffers or in transit to the peer
+        self._last_arrival = 0.0  # time at which the last of these bytes arrives
+        self._receive_queue: deque[bytes | None] = (
+            deque()
+        )  # data that is not read yet; None marks the end of the stream
         self._is_reading, self._is_closing = True, False
         self._is_write_paused, self._high_water_bytes = False, HIGH_WATER_BYTES
         self._eof_requested, self._eof_sent = False, False
         network.transports[self] = None
 
-    # For the code on top: a transport.
+    # The interface for protocols, as of an asyncio transport.
 
     def attach(self, factory: Callable[[], P]) -> tuple[VirtualTransport, P]:
         """Turn the socket into a transport of a new protocol."""
@@ -69,16 +71,16 @@
         return self, protocol
 
     def bind_protocol(self, protocol: asyncio.Protocol) -> None:
-        """Notify this protocol from now on, in the context of its process."""
+        """Attach a protocol, and call it in the current context from now on."""
         self._protocol, self._context = protocol, contextvars.copy_context()
         protocol.connection_made(self)
-        if self.is_lost:  # it broke while it waited to be accepted
+        if self.is_lost:  # the connection broke before it was accepted
             self._network.loop.call_soon(protocol.connection_lost, None)
         elif self._receive_queue:
             self._network.loop.call_soon(self._deliver_received)
 
     def _call_protocol(self, method: Callable[..., T], *args: object) -> T | None:
-        """Call a method of the protocol in the context of its process; None if that is dead."""
+        """Call a protocol method in the context of its process; returns None if the process is dead."""
         if self.process is None or self.process.alive:
             try:
                 return self._context.run(method, *args)
@@ -87,10 +89,10 @@
         return None
 
     def setblocking(self, flag: bool) -> None:
-        """As a socket's; without effect."""
+        """Do nothing: a simulated socket never blocks."""
 
     def get_extra_info(self, name: str, default: object = None) -> object:
-        """`unread`: a callable, whether bytes wait to be read; `peer_process`: the peer process's name."""
+        """Return `unread`, a function: whether bytes wait to be read, or `peer_process`, a name."""
         if name == "unread":
             return lambda: bool(self._receive_queue)
         if name == "peer_process" and self.peer.process is not None:
@@ -98,19 +100,19 @@
         return default
 
     def is_closing(self) -> bool:
-        """Whether the connection is closed or being closed."""
+        """Whether the connection is closed or closing."""
         return self._is_closing or self.is_lost
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Pause the protocol's writing over `high` bytes; `low` is always 0."""
+        """Set the buffer size above which the protocol is paused; `low` is ignored and always 0."""
         self._high_water_bytes = HIGH_WATER_BYTES if high is None else high
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that the kernel has not taken yet."""
+        """The number of bytes that are still in user space."""
         return len(self._send_buffer)
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Send bytes; dropped once the connection is over."""
+        """Send bytes; they are dropped once the connection has ended."""
         if self.is_lost or self._eof_requested:
             return
         self._send_buffer += data
@@ -121,31 +123,31 @@
             self._protocol.pause_writing()
 
     def write_eof(self) -> None:
-        """Close the direction to the peer once all is sent."""
+        """Close the direction to the peer after all buffered bytes are sent."""
         if not self._eof_requested and not self.is_lost:
             self._eof_requested = True
             self._flush()
 
     def can_write_eof(self) -> bool:
-        """Connections can be half closed."""
+        """Return True: connections can be half closed."""
         return True
 
     def pause_reading(self) -> None:
-        """Leave what arrives in the kernel."""
+        """Stop reading; arriving bytes stay in the kernel's buffer."""
         self._is_reading = False
 
     def resume_reading(self) -> None:
-        """Read again."""
+        """Start reading again."""
         if not self._is_reading and not self.is_lost:
             self._is_reading = True
             self._network.loop.call_soon(self._deliver_received)
 
     def is_reading(self) -> bool:
-        """Whether it reads."""
+        """Whether this end reads."""
         return self._is_reading
 
     def close(self) -> None:
-        """Close once all is sent. With bytes unread the connection is reset, as a kernel does."""
+        """Close after all buffered bytes are sent; if bytes are unread, reset as a kernel does."""
         if self._is_closing or self.is_lost:
             return
         self._is_closing = True
@@ -162,21 +164,21 @@
             self._reset_peer()
             self.mark_lost(None)
 
-    # For the network.
+    # The interface for the network.
 
     def discard(self) -> None:
-        """The process is dead: reset the peer without notifying this end."""
+        """Reset the peer without notifying this end, because its process is dead."""
         self._reset_peer()
         self.is_lost = True
         self._unregister()
 
     def power_off(self) -> None:
-        """The machine has lost power: this end is gone, and the peer is not notified."""
+        """Drop this end without notifying either side, because the machine has lost power."""
         self.is_lost = True
         self._network.transports.pop(self, None)
 
     def mark_lost(self, error: Exception | None) -> None:
-        """The connection is over for this end: its protocol is notified soon."""
+        """End the connection at this end; its protocol is notified by a scheduled callback."""
         if self.is_lost:
             return
         self.is_lost = True
@@ -194,7 +196,7 @@
         return self.address in self._network.isolated_addresses
 
     def _next_arrival(self) -> float:
-        """When a packet that leaves now reaches the peer: behind all that left before."""
+        """The time at which a packet that is sent now reaches the peer, after all earlier packets."""
         delay = self._network.packet_delay(self.process, self.peer.process)
         return max(self._network.loop.time() + delay, self._last_arrival + MIN_SPACING_S)
 
@@ -207,7 +209,7 @@
             self.mark_lost(ConnectionResetError(errno.ECONNRESET, "reset"))
 
     def _flush(self) -> None:
-        """Pass the kernel what it has capacity for, then do what waited for an empty buffer."""
+        """Send what the kernel's buffers take; once all is sent, resume the protocol or end the stream."""
         network = self._network
         free_bytes = KERNEL_BUFFER_BYTES - self._bytes_in_flight
         if self._send_buffer and free_bytes > 0:
@@ -231,7 +233,7 @@
 
     def _on_data(self, data: bytes | None) -> None:
         if self.is_lost or self._is_isolated():
-            return  # an isolated host receives nothing; the sender's kernel keeps what was sent
+            return  # an isolated host receives nothing, so the bytes stay in flight for the sender
         self._receive_queue.append(data)
         if self._protocol is not None:
             self._deliver_received()
--- a/emberlatch/faults/virtual_takeover.py
+++ b/emberlatch/faults/virtual_takeover.py
@@ -1,6 +1,6 @@
-"""Stand-ins for what the system provides when one process takes over from another.
+"""Simulations of the operating system's facilities for a takeover of one process from another.
 
-The real code of both sides runs on a lock, a connection and an inherited listening socket of this module.
+The real code of both processes uses this module's lock, connection and inherited listening socket.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class StateFolder:
-    """A state folder, as far as its lock is concerned: which process has locked it."""
+    """The lock state of a state folder; `holder` is the process that has locked it."""
 
     def __init__(self) -> None:
         self.holder: Process | None = None
 
 
 class VirtualLock:
-    """The lock of a state folder for the current process; a process that dies frees it."""
+    """The lock of a state folder, as the current process uses it; the death of its holder releases it."""
 
     def __init__(self, folder: StateFolder) -> None:
         self._folder, self._process = folder, current_process.get()
@@ -94,11 +94,11 @@
             self._send(self.peer._on_peer_closed)
 
     def discard(self) -> None:
-        """The process is dead."""
+        """Close the connection, because the process is dead."""
         self.close()
 
     def power_off(self) -> None:
-        """Both ends are on one machine: nobody is left to be notified."""
+        """Close this end only: the peer is on the same machine and has lost power too."""
         self.closed = True
 
     def _send(self, callback: Callable[[], None]) -> None:
@@ -123,14 +123,14 @@
 def connect_pair(
     network: Network, one: Process, other: Process
 ) -> tuple[VirtualHandoverConnection, VirtualHandoverConnection]:
-    """A connection between two processes of one machine: the end of each."""
+    """Connect two processes of one machine; returns the end of each."""
     local, remote = VirtualHandoverConnection(network, one), VirtualHandoverConnection(network, other)
     local.peer, remote.peer = remote, local
     return local, remote
 
 
 class SharedListener:
-    """A listening socket that the service manager holds: it and its backlog outlive every process."""
+    """A listening socket that the service manager owns, so that it and its backlog survive every process."""
 
     def __init__(self, network: Network, address: Address) -> None:
         self.listener = Listener(network, address, ENVIRONMENT)
@@ -145,7 +145,7 @@
         self._shared, self._process = shared, current_process.get()
 
     def set_reader(self, callback: Callable[..., object] | None, args: tuple[object, ...]) -> None:
-        """As `Listener.set_reader`; the last process that sets a callback is the one that accepts."""
+        """See `Listener.set_reader`; the last process that sets a callback is the one that accepts."""
         shared = self._shared
         if callback is None and shared.active_handle is not self:
             return
@@ -153,7 +153,7 @@
         shared.listener.set_reader(callback, args)
 
     def accept(self) -> tuple[VirtualTransport, Address]:
-        """As `Listener.accept`."""
+        """See `Listener.accept`."""
         transport, address = self._shared.listener.accept()
         ENVIRONMENT.connections.pop(transport, None)
         transport.process = self._process
@@ -161,9 +161,9 @@
         return transport, address
 
     def fileno(self) -> int:
-        """As `Listener.fileno`."""
+        """See `Listener.fileno`."""
         return 0
 
     def close(self) -> None:
-        """Close this handle; the socket stays open."""
+        """Stop accepting through this handle; the shared socket stays open."""
         self.set_reader(None, ())
--- a/tests/faults/test_loopback.py
+++ b/tests/faults/test_loopback.py
@@ -16,7 +16,7 @@
         assert not [
             f
             for f in plan.faults
-            if f.kind in (*PROCESS_FAULTS, FaultKind.SILENT) or f.kind.startswith("disk")
+            if f.kind in (*PROCESS_FAULTS, FaultKind.ISOLATED) or f.kind.startswith("disk")
         ]
 
 
--- a/tests/faults/test_seeds.py
+++ b/tests/faults/test_seeds.py
@@ -86,9 +86,9 @@
     for number in range(1, 25):
         faults = (
             Fault(3.0, 9.0, FaultKind.RESET, "p2"),
-            Fault(12.0, None, FaultKind.KILL_AT, "f0", f"{number} {moment}"),
-            Fault(14.0, None, FaultKind.KILL_AT, "f0", f"{1 + number % 4} {moment}"),
-            Fault(15.2, None, FaultKind.KILL_AT, "f0", f"{1 + number % 3} {moment}"),
+            Fault(12.0, None, FaultKind.KILL_AT_DISK_CALL, "f0", f"{number} {moment}"),
+            Fault(14.0, None, FaultKind.KILL_AT_DISK_CALL, "f0", f"{1 + number % 4} {moment}"),
+            Fault(15.2, None, FaultKind.KILL_AT_DISK_CALL, "f0", f"{1 + number % 3} {moment}"),
         )
         report = play(Plan(number, faults, rate_per_s=6.0))
         assert not report.breaches, f"{number} {moment}: {report.breaches[0]}"
