--- a/emberlatch/faults/as2/result_checks.py
+++ b/emberlatch/faults/as2/result_checks.py
@@ -130,7 +130,9 @@
                     )
                 if delivery.at > first.at + DEDUP_WINDOW_S:
                     late_s = delivery.at - first.at
-                    self._breach(f"{message.id} was sent again after {late_s:.2f} s, over {DEDUP_WINDOW_S} s")
+                    self._breach(
+                        f"{message.id} was sent again after {late_s:.2f} s, window {DEDUP_WINDOW_S} s"
+                    )
             if sum(delivery.is_processed for delivery in deliveries) > 1:
                 self._breach(f"{message.id} took effect twice or more")
 
--- a/emberlatch/faults/disk.py
+++ b/emberlatch/faults/disk.py
@@ -59,9 +59,7 @@
         self.sizes_at_sync_start: dict[int, int] | None = None
         self._handles: dict[int, str] = {}
         self._last_handle = FIRST_HANDLE - 1
-        self._synced_bytes: dict[
-            int, int
-        ] = {}  # the length of the synced prefix, by the id() of a file's content
+        self._synced_bytes: dict[int, int] = {}  # length of the synced prefix, by the content's id()
         self._synced_names: dict[str, bytearray] = {}  # the files in the folder at its last sync
         self._removed: list[bytearray] = []  # referenced, so that Python reuses none of their id()s
 
--- a/emberlatch/faults/loop.py
+++ b/emberlatch/faults/loop.py
@@ -25,7 +25,7 @@
 START_TIME_S = 1000.0
 CLOCK_RESOLUTION_S = 1e-9
 
-P = TypeVar("P", bound=asyncio.Protocol)
+ProtocolT = TypeVar("ProtocolT", bound=asyncio.Protocol)
 T = TypeVar("T")
 
 
@@ -36,7 +36,9 @@
 class Connector(Protocol):
     """The network through which a loop connects and listens."""
 
-    async def connect(self, factory: Callable[[], P], address: Address) -> tuple[asyncio.Transport, P]:
+    async def connect(
+        self, factory: Callable[[], ProtocolT], address: Address
+    ) -> tuple[asyncio.Transport, ProtocolT]:
         """Connect to an address; raises OSError if the connection is refused."""
 
     def serve(self, factory: Callable[[], asyncio.Protocol], address: Address) -> Server:
@@ -63,7 +65,7 @@
 class AcceptedSocket(Protocol):
     """The connection that a listener's `accept` returns."""
 
-    def attach(self, factory: Callable[[], P]) -> tuple[asyncio.Transport, P]:
+    def attach(self, factory: Callable[[], ProtocolT]) -> tuple[asyncio.Transport, ProtocolT]:
         """Turn the socket into a transport of a new protocol."""
 
 
@@ -198,8 +200,8 @@
         return handle
 
     async def create_connection(  # type: ignore[override]
-        self, protocol_factory: Callable[[], P], host: str, port: int, **_: object
-    ) -> tuple[asyncio.Transport, P]:
+        self, protocol_factory: Callable[[], ProtocolT], host: str, port: int, **_: object
+    ) -> tuple[asyncio.Transport, ProtocolT]:
         """Connect through the virtual network."""
         return await self.network.connect(protocol_factory, (host, port))
 
@@ -210,8 +212,8 @@
         return self.network.serve(protocol_factory, (host, port))
 
     async def connect_accepted_socket(  # type: ignore[override]
-        self, protocol_factory: Callable[[], P], sock: AcceptedSocket, **_: object
-    ) -> tuple[asyncio.Transport, P]:
+        self, protocol_factory: Callable[[], ProtocolT], sock: AcceptedSocket, **_: object
+    ) -> tuple[asyncio.Transport, ProtocolT]:
         """Turn an accepted connection into a transport."""
         return sock.attach(protocol_factory)
 
--- a/emberlatch/faults/network.py
+++ b/emberlatch/faults/network.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from emberlatch.faults.listener import Listener, VirtualServer, check_descriptors
-from emberlatch.faults.loop import P, VirtualLoop
+from emberlatch.faults.loop import ProtocolT, VirtualLoop
 from emberlatch.faults.process import (
     ENVIRONMENT_CONTEXT,
     Address,
@@ -86,7 +86,9 @@
         """Listen on an address and accept each connection at once."""
         return VirtualServer(self.listen(address), factory)
 
-    async def connect(self, factory: Callable[[], P], address: Address) -> tuple[VirtualTransport, P]:
+    async def connect(
+        self, factory: Callable[[], ProtocolT], address: Address
+    ) -> tuple[VirtualTransport, ProtocolT]:
         """Connect from the current process, which takes a round trip; never returns for an isolated address.
 
         Raises OSError if no process listens there, or if the current process has no free descriptor.
--- a/emberlatch/faults/plan.py
+++ b/emberlatch/faults/plan.py
@@ -47,10 +47,8 @@
 
     # Faults of an overloaded directory, each with an argument:
     DIRECTORY_BUSY = "directory-busy"  # argument: seconds of work for each request
-    DIRECTORY_LOSING = (
-        "directory-losing"  # argument n: every n-th answer is lost, and its connection is reset
-    )
-    DIRECTORY_MUTE = "directory-mute"  # argument n: every n-th answer is lost, and its connection stays open
+    DIRECTORY_LOSING = "directory-losing"  # argument n: every n-th answer is lost, its connection is reset
+    DIRECTORY_MUTE = "directory-mute"  # argument n: every n-th answer is lost, its connection stays open
 
     # Faults of a forwarder (`f0`) and its disk, and operators' actions:
     DISK_FULL = "disk-full"
--- a/emberlatch/faults/transport.py
+++ b/emberlatch/faults/transport.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import Protocol, TypeVar
 
-from emberlatch.faults.loop import P, VirtualLoop
+from emberlatch.faults.loop import ProtocolT, VirtualLoop
 from emberlatch.faults.process import Address, Process, ProcessKilled
 
 KERNEL_BUFFER_BYTES = 128 * 1024  # capacity of both ends' kernel buffers for one direction
@@ -54,9 +54,7 @@
         self._send_buffer = bytearray()  # bytes in user space
         self._bytes_in_flight = 0  # bytes in the kernels' buffers or in transit to the peer
         self._last_arrival = 0.0  # time at which the last of these bytes arrives
-        self._receive_queue: deque[bytes | None] = (
-            deque()
-        )  # data that is not read yet; None marks the end of the stream
+        self._receive_queue: deque[bytes | None] = deque()  # unread data; None marks the end of the stream
         self._is_reading, self._is_closing = True, False
         self._is_write_paused, self._high_water_bytes = False, HIGH_WATER_BYTES
         self._eof_requested, self._eof_sent = False, False
@@ -64,7 +62,7 @@
 
     # The interface for protocols, as of an asyncio transport.
 
-    def attach(self, factory: Callable[[], P]) -> tuple[VirtualTransport, P]:
+    def attach(self, factory: Callable[[], ProtocolT]) -> tuple[VirtualTransport, ProtocolT]:
         """Turn the socket into a transport of a new protocol."""
         protocol = factory()
         self.bind_protocol(protocol)
--- a/tests/faults/planted_bugs.py
+++ b/tests/faults/planted_bugs.py
@@ -1,4 +1,4 @@
-"""Bugs planted on purpose: each a small change of the real code, for as long as a context lasts."""
+"""Bugs that tests plant in the real code; each plant returns a context manager that patches the code."""
 
 from __future__ import annotations
 
@@ -47,39 +47,41 @@
 
 
 def planted(plant: Plant) -> Plant:
+    """Register a plant in `PLANTED_BUGS` under its function's name."""
     PLANTED_BUGS[plant.__name__] = plant
     return plant
 
 
-def outcomes(change: Callable[[Outcome], Outcome]) -> Any:
-    """Every outcome of a call is changed on its way to the engine."""
+def patch_outcomes(change: Callable[[Outcome], Outcome]) -> Any:
+    """Apply `change` to every outcome that is reported to the engine."""
     real = Engine.outcome
     return patch.object(Engine, "outcome", lambda self, outcome: real(self, change(outcome)))
 
 
-def loaded(change: Callable[[list[Any]], list[Any]]) -> Any:
-    """What the journal reads at a start is changed."""
+def patch_loaded_entries(change: Callable[[list[Any]], list[Any]]) -> Any:
+    """Apply `change` to the entries that the journal loads at a start."""
     real = Journal.load
     return patch.object(Journal, "load", lambda self: change(real(self)))
 
 
-def instead(result: Result, other: Result) -> Any:
-    return outcomes(lambda o: replace(o, result=other) if o.result is result else o)
+def replace_result(result: Result, other: Result) -> Any:
+    """Report `other` to the engine wherever a call has the outcome `result`."""
+    return patch_outcomes(lambda o: replace(o, result=other) if o.result is result else o)
 
 
 @planted
 def reset_counts_as_never_sent() -> Any:
-    return instead(Result.RESET, Result.CONNECT_FAILED)
+    return replace_result(Result.RESET, Result.CONNECT_FAILED)
 
 
 @planted
 def timeout_counts_as_never_sent() -> Any:
-    return instead(Result.TIMEOUT, Result.CONNECT_FAILED)
+    return replace_result(Result.TIMEOUT, Result.CONNECT_FAILED)
 
 
 @planted
 def error_counts_as_rejected() -> Any:
-    return instead(Result.ERROR, Result.FULL)
+    return replace_result(Result.ERROR, Result.FULL)
 
 
 @planted
@@ -108,14 +110,14 @@
             endpoint.route.blocked_until = -1.0
         module(self, event)
 
-    return _both(
+    return _apply_both(
         patch.object(HttpCarrier, "update", update),
         patch.object(EndpointList, "on_update", directory),
     )
 
 
 @contextmanager
-def _both(*plants: Any) -> Iterator[None]:
+def _apply_both(*plants: Any) -> Iterator[None]:
     with plants[0], plants[1]:
         yield
 
@@ -178,7 +180,7 @@
             message.category.effect is Effect.UNSAFE and message.attempts < 6 and message.call is None
         )
 
-    return _both(
+    return _apply_both(
         patch.object(AttemptPolicy, "may_send", lambda s, m, e: unsafe(m) or may(s, m, e)),
         patch.object(AttemptPolicy, "has_attempt_left", lambda s, m: unsafe(m) or has_attempt(s, m)),
     )
@@ -191,12 +193,12 @@
 
 @planted
 def notice_is_forgotten_at_restart() -> Any:
-    return loaded(lambda entries: [entry for entry in entries if entry.notice is None])
+    return patch_loaded_entries(lambda entries: [entry for entry in entries if entry.notice is None])
 
 
 @planted
 def open_message_is_lost_at_restart() -> Any:
-    return loaded(lambda entries: [entry for entry in entries if entry.notice is not None])
+    return patch_loaded_entries(lambda entries: [entry for entry in entries if entry.notice is not None])
 
 
 @planted
@@ -206,7 +208,7 @@
             entry.unknown_outcomes.clear()
         return entries
 
-    return loaded(cleared)
+    return patch_loaded_entries(cleared)
 
 
 @planted
@@ -237,8 +239,10 @@
 
 @planted
 def batch_answer_counts_for_all() -> Any:
-    """A broken batch counts as delivered."""
-    return outcomes(lambda o: replace(o, result=Result.OK, closed=True) if o.result is Result.RESET else o)
+    """A batch whose connection is reset counts as delivered."""
+    return patch_outcomes(
+        lambda o: replace(o, result=Result.OK, closed=True) if o.result is Result.RESET else o
+    )
 
 
 @planted
@@ -268,8 +272,8 @@
 def notice_counts_as_confirmed() -> Any:
     real = NotificationSender._post
 
-    async def post(self: NotificationSender, body: bytes, patience: float) -> int:
-        return 204 if b"dead" in body else await real(self, body, patience)
+    async def post(self: NotificationSender, body: bytes, timeout_s: float) -> int:
+        return 204 if b"dead" in body else await real(self, body, timeout_s)
 
     return patch.object(NotificationSender, "_post", post)
 
@@ -373,7 +377,7 @@
         if (event.ref, event.attempt) in self.in_flight:
             real(self, event)
 
-    return _both(
+    return _apply_both(
         patch.object(CallTable, "on_outcome", outcome),
         patch.object(Call, "report_outcome", _only_first(Call.report_outcome)),
     )
@@ -389,10 +393,10 @@
     return report_outcome
 
 
-# The directory's client, and what the decision module does without lists.
+# Bugs in the directory's client, and in the decision module's handling of endpoints that recover.
 
 
-def _client(name: str, change: Callable[[Any], Any]) -> Any:
+def _patch_client(name: str, change: Callable[[Any], Any]) -> Any:
     return patch.object(Client, name, change(getattr(Client, name)))
 
 
@@ -408,7 +412,7 @@
 
         return failed
 
-    return _client("failed", change)
+    return _patch_client("failed", change)
 
 
 @planted
@@ -426,7 +430,7 @@
 
         return failed
 
-    return _client("failed", change)
+    return _patch_client("failed", change)
 
 
 @planted
@@ -461,12 +465,12 @@
 
         return act
 
-    return _client("act", change)
+    return _patch_client("act", change)
 
 
 @planted
 def pushed_lists_are_not_requested() -> Any:
-    """Unless the decision module asks for a list, none is received."""
+    """The forwarder receives a list only when the decision module asks for one."""
     real = DirectoryMembership.start
 
     def start(self: DirectoryMembership) -> None:
@@ -496,7 +500,7 @@
 
 @planted
 def only_the_latest_demand_counts() -> Any:
-    """What returns gets next to no calls."""
+    """Endpoints that recover receive almost no calls."""
     real = Route.demand_share
     return patch.object(Route, "demand_share", lambda self, now: 0.01 * real(self, now))
 
@@ -507,11 +511,11 @@
     return patch.object(Pool, "response_timeout", lambda self: 0.5 * self.baseline_latency)
 
 
-# Takeovers.
+# Bugs in takeovers.
 
 
-def handed_over(change: Callable[[dict[str, Any]], None]) -> Any:
-    """The state that the predecessor hands over is changed on its way."""
+def patch_handover_state(change: Callable[[dict[str, Any]], None]) -> Any:
+    """Apply `change` to the state that the predecessor hands over."""
     real = PlatformHandover.freeze
 
     def freeze(self: PlatformHandover, report: Any) -> StateSnapshot:
@@ -533,7 +537,7 @@
 
 @planted
 def relayed_call_is_not_counted() -> Any:
-    """The journal leaves out its unknown outcome, and yet nobody counts it as in flight."""
+    """The successor counts relayed calls neither as in flight nor as unknown outcomes in the journal."""
     real = Forwarder._on_handover_received
 
     def take_over(self: Forwarder, event: Any) -> None:
@@ -550,7 +554,7 @@
             for route in pool["routes"]:
                 route["blocked_until"] = -math.inf
 
-    return handed_over(change)
+    return patch_handover_state(change)
 
 
 @planted
@@ -575,7 +579,7 @@
         for member in state["known"]["members"]:
             member["phase"] = "SERVING"
 
-    return handed_over(change)
+    return patch_handover_state(change)
 
 
 @planted
--- a/tests/faults/test_capacity_bound.py
+++ b/tests/faults/test_capacity_bound.py
@@ -1,4 +1,4 @@
-"""What could have been carried, by hand: capacity, limits, outages, returns, waits and deadlines."""
+"""The capacity bound against hand-computed counts: limits, outages, warm-ups, waits and due times."""
 
 from __future__ import annotations
 
@@ -19,17 +19,19 @@
 }
 
 
-def made(per_call: int = 1, senders: int = 1) -> CapacityBound:
-    capacity_bound = CapacityBound(BEHAVIOURS, {"a": per_call, "b": per_call}, senders)
+def make_bound(per_call: int = 1, sender_count: int = 1) -> CapacityBound:
+    capacity_bound = CapacityBound(BEHAVIOURS, {"a": per_call, "b": per_call}, sender_count)
     for name in ("a-east", "b-east"):
         capacity_bound.on_listed(0.0, name, True)
     return capacity_bound
 
 
-def steady(partner: str, rate_per_s: int, duration_s: int, aim: float = 1.0) -> list[DemandedMessage]:
-    """So many messages a second, from 1 s on."""
+def steady_demand(
+    partner: str, rate_per_s: int, duration_s: int, latency_target_s: float = 1.0
+) -> list[DemandedMessage]:
+    """Messages at a constant rate for `duration_s` seconds, starting at 1 s."""
     return [
-        DemandedMessage(partner, at, at + aim)
+        DemandedMessage(partner, at, at + latency_target_s)
         for at in (1 + n / rate_per_s for n in range(rate_per_s * duration_s))
     ]
 
@@ -37,34 +39,43 @@
 @pytest.mark.parametrize(
     ("partner", "per_call", "rate_per_s", "least", "most"),
     [
-        ("a", 1, 5, 50, 50),  # half of what it can do
-        ("a", 1, 20, 100, 115),  # twice of it: 10 a second for 10 s, and what is in time behind that
-        ("a", 3, 20, 170, 195),  # three in a call take 1.7 times as long
-        ("b", 1, 10, 20, 25),  # a limit of 2 calls a second
-        ("b", 4, 10, 80, 95),  # which are full
+        ("a", 1, 5, 50, 50),  # half of the capacity
+        (
+            "a",
+            1,
+            20,
+            100,
+            115,
+        ),  # twice the capacity: 10 a second for 10 s, and those still in time after that
+        ("a", 3, 20, 170, 195),  # a call with three messages takes 1.7 times as long
+        ("b", 1, 10, 20, 25),  # limit of 2 calls a second
+        ("b", 4, 10, 80, 95),  # the same limit, with 4 messages in each call
     ],
 )
-def test_an_endpoint_serves_what_it_can_and_its_limit_allows(
+def test_servable_count_is_limited_by_capacity_and_rate_limit(
     partner: str, per_call: int, rate_per_s: int, least: int, most: int
 ) -> None:
-    assert least <= made(per_call).count_servable(steady(partner, rate_per_s, 10), 0.0, 99.0) <= most
+    assert (
+        least
+        <= make_bound(per_call).count_servable(steady_demand(partner, rate_per_s, 10), 0.0, 99.0)
+        <= most
+    )
 
 
-def test_nothing_is_served_in_an_outage_and_little_while_warming_up() -> None:
-    capacity_bound = made()
+def test_outage_allows_nothing_and_warm_up_allows_a_reduced_rate() -> None:
+    capacity_bound = make_bound()
     capacity_bound.on_condition(3.0, "a-east", Condition.HANG)
     capacity_bound.on_condition(6.0, "a-east", Condition.HEALTHY)
-    wanted = steady("a", 8, 20)
-    assert (
-        capacity_bound.count_servable(wanted, 3.0, 5.0) <= 2
-    )  # what came just before it ends is not in time
-    assert 2 * 2 <= capacity_bound.count_servable(wanted, 6.0, 8.0) <= 2 * 4  # cold: 2 to 3.6 a second
-    assert capacity_bound.count_servable(wanted, 16.0, 20.0) == 4 * 8
+    demand = steady_demand("a", 8, 20)
+    # Requests before 5 s are due before the outage ends at 6 s:
+    assert capacity_bound.count_servable(demand, 3.0, 5.0) <= 2
+    assert 2 * 2 <= capacity_bound.count_servable(demand, 6.0, 8.0) <= 2 * 4  # warm-up: 2 to 3.6 a second
+    assert capacity_bound.count_servable(demand, 16.0, 20.0) == 4 * 8
 
 
 @pytest.mark.parametrize("how", ["listed", "reached", "waits"])
-def test_nothing_goes_to_what_drains_is_unreachable_or_makes_all_senders_wait(how: str) -> None:
-    capacity_bound = made(senders=2)
+def test_endpoint_that_drains_is_unreachable_or_makes_all_senders_wait_serves_nothing(how: str) -> None:
+    capacity_bound = make_bound(sender_count=2)
     if how == "listed":
         capacity_bound.on_listed(3.0, "a-east", False)
         capacity_bound.on_listed(6.0, "a-east", True)
@@ -73,23 +84,22 @@
         capacity_bound.on_reachability(6.0, "a-east", True)
     else:
         capacity_bound.on_retry_after(3.0, "a-east", "f0", 3.0)
-        assert (
-            capacity_bound.count_servable(steady("a", 5, 10, aim=0.5), 3.0, 5.0) == 10
-        )  # the other may still send
+        # The other sender may still send:
+        assert capacity_bound.count_servable(steady_demand("a", 5, 10, latency_target_s=0.5), 3.0, 5.0) == 10
         capacity_bound.on_retry_after(3.0, "a-east", "f1", 3.0)
-    wanted = steady("a", 5, 10, aim=0.5)
-    assert capacity_bound.count_servable(wanted, 3.0, 5.4) <= 1
-    assert capacity_bound.count_servable(wanted, 6.0, 10.0) == 20
+    demand = steady_demand("a", 5, 10, latency_target_s=0.5)
+    assert capacity_bound.count_servable(demand, 3.0, 5.4) <= 1
+    assert capacity_bound.count_servable(demand, 6.0, 10.0) == 20
 
 
-def test_the_earliest_due_time_goes_first() -> None:
-    patient = [DemandedMessage("a", 1.0, 20.0) for _ in range(20)]
-    hurried = [DemandedMessage("a", 1.5, 2.5) for _ in range(9)]
-    assert made().count_servable(patient + hurried, 0.0, 99.0) == 29
+def test_messages_are_served_in_order_of_due_time() -> None:
+    late_due = [DemandedMessage("a", 1.0, 20.0) for _ in range(20)]
+    early_due = [DemandedMessage("a", 1.5, 2.5) for _ in range(9)]
+    assert make_bound().count_servable(late_due + early_due, 0.0, 99.0) == 29
 
 
-def test_one_forwarder_that_serves_nothing_is_not_hidden_by_the_others() -> None:
-    """Nine of ten serve: all together have more than enough in time."""
+def test_forwarder_that_serves_nothing_is_reported_though_the_total_suffices() -> None:
+    """The other nine of ten forwarders serve enough for the required total, which must not hide this one."""
     real = SimulatedClients.served_in_time
 
     def served_in_time(self: SimulatedClients, *span: Any) -> Iterator[tuple[float, bool]]:
@@ -101,7 +111,7 @@
         assert [breach.text[:3] for breach in play(plan).breaches] == ["f3 "]
 
 
-def test_no_run_serves_more_than_the_bound() -> None:
+def test_simulated_runs_serve_something_and_at_most_the_bound() -> None:
     for seed in range(6):
         served_in_time, capacity_bound = play(draw_mixed(seed)).since_last_fault
         assert 0 < served_in_time <= capacity_bound
--- a/tests/faults/test_checks.py
+++ b/tests/faults/test_checks.py
@@ -1,4 +1,4 @@
-"""Each rule is found broken where it is, and kept where it is."""
+"""The rule checks report violations and nothing else; plans can be generated, printed and parsed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from emberlatch.faults.checks import RuleChecks, RuleParameters
 from emberlatch.faults.plan_generator import LAST_FAULT_END_S
 
-FIGURES = RuleParameters(
+PARAMETERS = RuleParameters(
     slots=8,
     drain_grace_s=0.5,
     dedup_windows_s={"keyed": 8.0},
@@ -19,36 +19,36 @@
 )
 
 
-def checks(kind: str = "safe") -> RuleChecks:
-    """One forwarder that is ready, and a message that it took on."""
-    made = RuleChecks(FIGURES)
-    made.on_ready(0.0, "f0", [])
-    made.on_submitted("f0", "m", kind, 12.0)
-    made.on_submission_answered(1.01, "m", 202)
-    return made
+def make_checks(kind: str = "safe") -> RuleChecks:
+    """Checks with a ready forwarder that accepted one message."""
+    rule_checks = RuleChecks(PARAMETERS)
+    rule_checks.on_ready(0.0, "f0", [])
+    rule_checks.on_submitted("f0", "m", kind, 12.0)
+    rule_checks.on_submission_answered(1.01, "m", 202)
+    return rule_checks
 
 
-def sent(
-    made: RuleChecks, at: float, endpoint: str = "p1-east", number: int = 1, status: int | None = None
+def send_call(
+    rule_checks: RuleChecks, at: float, endpoint: str = "p1-east", number: int = 1, status: int | None = None
 ) -> None:
-    made.on_call(at, "f0", endpoint, number, ["m"])
+    rule_checks.on_call(at, "f0", endpoint, number, ["m"])
     if status is not None:
-        made.on_call_answered(at + 0.1, endpoint, number, status, True, 0.0)
+        rule_checks.on_call_answered(at + 0.1, endpoint, number, status, True, 0.0)
 
 
-def rules(made: RuleChecks) -> list[str]:
-    made.check_overdue(100.0)
-    return [breach.rule for breach in made.breaches]
+def broken_rules(rule_checks: RuleChecks) -> list[str]:
+    rule_checks.check_overdue(100.0)
+    return [breach.rule for breach in rule_checks.breaches]
 
 
-def test_a_delivery_or_one_notice_in_time_is_an_end() -> None:
-    made = checks()
-    sent(made, 2.0, status=200)
-    assert rules(made) == []
-    made = checks()
-    made.on_notice(12.2, "f0", "m", "dead")
-    made.on_notice(12.3, "f0", "m", "dead")  # repeated: its confirmation was lost
-    assert rules(made) == []
+def test_delivery_or_identical_notices_in_time_break_no_rule() -> None:
+    rule_checks = make_checks()
+    send_call(rule_checks, 2.0, status=200)
+    assert broken_rules(rule_checks) == []
+    rule_checks = make_checks()
+    rule_checks.on_notice(12.2, "f0", "m", "dead")
+    rule_checks.on_notice(12.3, "f0", "m", "dead")  # a repeat, as after a lost confirmation
+    assert broken_rules(rule_checks) == []
 
 
 @pytest.mark.parametrize(
@@ -63,32 +63,34 @@
         ("keyed", (10.5, "p1-east"), 500, True),
     ],
 )
-def test_repeats(kind: str, second: tuple[float, str], status: int, broken: bool) -> None:
-    made = checks(kind)
-    sent(made, 2.0, number=1, status=status)
-    sent(made, *second, number=2, status=200)
-    assert rules(made) == (["duplicates"] if broken else [])
+def test_repeated_call_is_a_duplicate_if_the_first_may_have_run_and_its_key_does_not_protect(
+    kind: str, second: tuple[float, str], status: int, broken: bool
+) -> None:
+    rule_checks = make_checks(kind)
+    send_call(rule_checks, 2.0, number=1, status=status)
+    send_call(rule_checks, *second, number=2, status=200)
+    assert broken_rules(rule_checks) == (["duplicates"] if broken else [])
 
 
-def test_a_call_that_broke_or_is_out_may_have_run() -> None:
+def test_repeat_of_an_unsafe_message_after_a_call_without_an_answer_is_a_duplicate() -> None:
     for change in (
         lambda c: c.on_call_broken(3.0, "p1-east", 1),
         lambda c: c.on_down("f0"),
         lambda c: None,
     ):
-        made = checks("unsafe")
-        sent(made, 2.0)
-        change(made)
-        sent(made, 5.0, number=2)
-        made.on_notice(6.0, "f0", "m", "dead")
-        assert rules(made) == ["duplicates"]
+        rule_checks = make_checks("unsafe")
+        send_call(rule_checks, 2.0)
+        change(rule_checks)
+        send_call(rule_checks, 5.0, number=2)
+        rule_checks.on_notice(6.0, "f0", "m", "dead")
+        assert broken_rules(rule_checks) == ["duplicates"]
 
 
-def test_a_rejection_of_what_may_have_run() -> None:
-    made = checks("keyed")
-    sent(made, 2.0, status=500)
-    made.on_notice(3.0, "f0", "m", "bounced")
-    assert rules(made) == ["duplicates"]
+def test_bounced_notice_for_a_message_that_may_have_run_is_reported() -> None:
+    rule_checks = make_checks("keyed")
+    send_call(rule_checks, 2.0, status=500)
+    rule_checks.on_notice(3.0, "f0", "m", "bounced")
+    assert broken_rules(rule_checks) == ["duplicates"]
 
 
 Event = Callable[[RuleChecks], None]
@@ -97,16 +99,17 @@
 @pytest.mark.parametrize(
     ("events", "broken"),
     [
-        ([lambda c: c.on_phase_sent(2.0, "f0", "p1-east", False), lambda c: sent(c, 2.5, status=200)], []),
         ([lambda c: c.on_phase_sent(2.0, "f0", "p1-east", False),
-          lambda c: sent(c, 2.6, status=200)], ["drains"]),
+          lambda c: send_call(c, 2.5, status=200)], []),
+        ([lambda c: c.on_phase_sent(2.0, "f0", "p1-east", False),
+          lambda c: send_call(c, 2.6, status=200)], ["drains"]),
         ([lambda c: c.on_phase_sent(2.0, "f0", "p1-east", False),
           lambda c: c.on_phase_sent(2.1, "f0", "p1-east", True),
-          lambda c: sent(c, 3.0, status=200)], []),
-        ([lambda c: c.on_notice(2.0, "f0", "m", "dead"), lambda c: sent(c, 3.0)], ["ends"]),
+          lambda c: send_call(c, 3.0, status=200)], []),
+        ([lambda c: c.on_notice(2.0, "f0", "m", "dead"), lambda c: send_call(c, 3.0)], ["ends"]),
         ([lambda c: c.on_notice(2.0, "f0", "m", "dead"),
           lambda c: c.on_notice(2.0, "f0", "m", "bounced")], ["ends"]),
-        ([lambda c: sent(c, 2.0, status=200), lambda c: c.on_notice(5.0, "f0", "m", "dead")], ["ends"]),
+        ([lambda c: send_call(c, 2.0, status=200), lambda c: c.on_notice(5.0, "f0", "m", "dead")], ["ends"]),
         ([lambda c: c.on_notice(2.0, "f0", "x", "dead"),
           lambda c: c.on_notice(2.0, "f0", "m", "dead")], ["ends"]),
         ([lambda c: c.on_given_up(2.0, "m"), lambda c: c.on_notice(2.2, "f0", "m", "dead")], []),
@@ -116,55 +119,55 @@
         ([lambda c: c.excuse("f0", [(11.0, 13.0)]), lambda c: c.on_notice(12.9, "f0", "m", "dead")], []),
     ],
 )  # fmt: skip
-def test_drains_ends_and_time(events: list[Event], broken: list[str]) -> None:
-    made = checks()
+def test_sequence_of_events_breaks_exactly_the_expected_rules(events: list[Event], broken: list[str]) -> None:
+    rule_checks = make_checks()
     for event in events:
-        event(made)
-    assert rules(made) == broken
+        event(rule_checks)
+    assert broken_rules(rule_checks) == broken
 
 
-def test_a_wait_binds_from_its_answer_until_it_is_over_or_the_process_is() -> None:
+def test_call_during_retry_after_is_reported_unless_the_process_has_restarted() -> None:
     for at, end, broken in (
         (2.05, False, False),
         (2.5, False, True),
         (3.2, False, False),
         (2.5, True, False),
     ):
-        made = checks()
-        sent(made, 2.0)
-        made.on_call_answered(2.0, "p1-east", 1, 429, True, 1.0)
+        rule_checks = make_checks()
+        send_call(rule_checks, 2.0)
+        rule_checks.on_call_answered(2.0, "p1-east", 1, 429, True, 1.0)
         if end:
-            made.on_down("f0")
-            made.on_ready(2.2, "f0", [])
-        sent(made, at, number=2, status=200)
-        assert rules(made) == (["waits"] if broken else [])
+            rule_checks.on_down("f0")
+            rule_checks.on_ready(2.2, "f0", [])
+        send_call(rule_checks, at, number=2, status=200)
+        assert broken_rules(rule_checks) == (["waits"] if broken else [])
 
 
-def test_leases() -> None:
-    made = checks()
+def test_too_many_calls_in_flight_to_one_partner_or_to_a_hanging_endpoint_are_reported() -> None:
+    rule_checks = make_checks()
     for n in range(6):
-        made.on_call(2.0, "f0", f"p1-{'east' if n % 2 else 'west'}", n, [])
-    made.check_leases(2.1, set())
-    assert [b.rule for b in made.breaches] == ["leases"]
-    made = checks()
-    made.check_leases(20.0, {"p1-east"})
+        rule_checks.on_call(2.0, "f0", f"p1-{'east' if n % 2 else 'west'}", n, [])
+    rule_checks.check_leases(2.1, set())
+    assert [b.rule for b in rule_checks.breaches] == ["leases"]
+    rule_checks = make_checks()
+    rule_checks.check_leases(20.0, {"p1-east"})
     for n in range(5):
-        made.on_call(20.1 + 3 * (n > 1), "f0", "p1-east", n, [])
-    assert [b.rule for b in made.breaches] == ["leases"]
+        rule_checks.on_call(20.1 + 3 * (n > 1), "f0", "p1-east", n, [])
+    assert [b.rule for b in rule_checks.breaches] == ["leases"]
 
 
-def test_overloaded_by_forwarders_that_had_seen_it_fail() -> None:
+def test_overload_is_reported_only_if_its_callers_saw_the_outage() -> None:
     for seen, broken in ((True, True), (False, False)):
-        made = checks()
-        made.on_outage("p1-east")
+        rule_checks = make_checks()
+        rule_checks.on_outage("p1-east")
         if seen:
-            sent(made, 2.0)
-            made.on_call_broken(2.5, "p1-east", 1)
-        made.on_overload(9.0, "p1-east", ["f0"] * 9 + ["f1"])
-        assert ("returns" in [b.rule for b in made.breaches]) is broken
+            send_call(rule_checks, 2.0)
+            rule_checks.on_call_broken(2.5, "p1-east", 1)
+        rule_checks.on_overload(9.0, "p1-east", ["f0"] * 9 + ["f1"])
+        assert ("returns" in [b.rule for b in rule_checks.breaches]) is broken
 
 
-def test_a_plan_is_drawn_the_same_and_read_as_it_is_written() -> None:
+def test_generated_plans_are_reproducible_overlapping_and_survive_parsing() -> None:
     for seed in range(300):
         plan = draw_mixed(seed)
         assert plan == draw_mixed(seed) and parse(str(plan)) == plan
@@ -191,59 +194,59 @@
         ("seed 1\nspeed 3\n", "line 2: a line is"),
     ],
 )
-def test_a_plan_that_cannot_be_read_is_reported_by_line(text: str, message: str) -> None:
+def test_invalid_plan_is_rejected_with_its_line_number(text: str, message: str) -> None:
     with pytest.raises(PlanError, match=message):
         parse(text)
 
 
-def test_a_plan_without_some_of_its_faults() -> None:
+def test_without_removes_the_given_faults() -> None:
     one, two = Fault(1.0, 2.0, FaultKind.HANG, "p1"), Fault(3.0, None, FaultKind.KILL, "f0")
     assert Plan(1, (one, two)).without([one]) == Plan(1, (two,))
 
 
-def drained(made: RuleChecks, at: float) -> list[str]:
-    """The directory lists a drain at 2 s that no forwarder hears of; a call is made at that time."""
-    made.on_listed(2.0, "p1-east", False)
-    sent(made, at)
-    return [breach.rule for breach in made.breaches]
+def broken_rules_after_drain(rule_checks: RuleChecks, at: float) -> list[str]:
+    """Return the rules broken by a call at the time `at`, after a drain at 2 s that no forwarder receives."""
+    rule_checks.on_listed(2.0, "p1-east", False)
+    send_call(rule_checks, at)
+    return [breach.rule for breach in rule_checks.breaches]
 
 
-def test_a_lost_list_counts_as_received_some_time_after_its_call() -> None:
-    for wait, due in ((None, 9.0), (5.0, 10.0)):  # a look-up of 3 s; a watch that could wait until 8 s
+def test_lost_list_counts_as_received_after_its_grace_time() -> None:
+    for wait, due in ((None, 9.0), (5.0, 10.0)):  # a look-up at 3 s; a watch that could wait until 8 s
         for at, broken in ((due + 0.4, False), (due + 0.7, True)):
-            made = checks()
-            made.on_poll(3.0, "f0")
-            made.on_list_lost("f0", 3.0, wait)
-            assert drained(made, at) == (["drains"] if broken else [])
-
-
-def test_a_lost_list_does_not_cover_later_changes() -> None:
-    made = checks()
-    made.on_poll(1.0, "f0")
-    made.on_list_lost("f0", 1.0, None)
-    assert drained(made, 8.0) == []
-    made.on_list_lost("f0", 1.0, 0.5)  # its wait was over before the drain
-    sent(made, 9.0, number=2)
-    assert not made.breaches
-
-
-def test_a_forwarder_that_does_not_poll_counts_as_informed_all_the_same() -> None:
-    made = RuleChecks(replace(FIGURES, poll_interval_s=10.0))
-    made.on_ready(0.0, "f0", [])
-    made.on_submitted("f0", "m", "safe", 30.0)
-    made.on_poll(0.5, "f0")
-    assert drained(made, 12.4) == []
-    sent(made, 12.7, number=2)
-    assert [breach.rule for breach in made.breaches] == ["drains"]
-
-
-def test_after_a_move_the_list_as_it_was_counts_as_received() -> None:
-    made = checks()
-    made.on_poll(1.0, "f0")
-    made.on_directory_moved(3.0, "f0")
-    assert drained(made, 7.4) == []
-    sent(made, 7.7, number=2)
-    assert [breach.rule for breach in made.breaches] == ["drains"]
-    made.on_listed(8.0, "p1-east", True)
-    sent(made, 9.0, number=3)
-    assert len(made.breaches) == 1
+            rule_checks = make_checks()
+            rule_checks.on_poll(3.0, "f0")
+            rule_checks.on_list_lost("f0", 3.0, wait)
+            assert broken_rules_after_drain(rule_checks, at) == (["drains"] if broken else [])
+
+
+def test_lost_list_does_not_inform_of_later_changes() -> None:
+    rule_checks = make_checks()
+    rule_checks.on_poll(1.0, "f0")
+    rule_checks.on_list_lost("f0", 1.0, None)
+    assert broken_rules_after_drain(rule_checks, 8.0) == []
+    rule_checks.on_list_lost("f0", 1.0, 0.5)  # the watch's longest wait ended before the drain
+    send_call(rule_checks, 9.0, number=2)
+    assert not rule_checks.breaches
+
+
+def test_forwarder_that_stops_polling_counts_as_informed_after_the_poll_interval() -> None:
+    rule_checks = RuleChecks(replace(PARAMETERS, poll_interval_s=10.0))
+    rule_checks.on_ready(0.0, "f0", [])
+    rule_checks.on_submitted("f0", "m", "safe", 30.0)
+    rule_checks.on_poll(0.5, "f0")
+    assert broken_rules_after_drain(rule_checks, 12.4) == []
+    send_call(rule_checks, 12.7, number=2)
+    assert [breach.rule for breach in rule_checks.breaches] == ["drains"]
+
+
+def test_after_a_directory_move_earlier_changes_count_as_received() -> None:
+    rule_checks = make_checks()
+    rule_checks.on_poll(1.0, "f0")
+    rule_checks.on_directory_moved(3.0, "f0")
+    assert broken_rules_after_drain(rule_checks, 7.4) == []
+    send_call(rule_checks, 7.7, number=2)
+    assert [breach.rule for breach in rule_checks.breaches] == ["drains"]
+    rule_checks.on_listed(8.0, "p1-east", True)
+    send_call(rule_checks, 9.0, number=3)
+    assert len(rule_checks.breaches) == 1
--- a/tests/faults/test_loopback.py
+++ b/tests/faults/test_loopback.py
@@ -1,4 +1,4 @@
-"""A plan on real loopback sockets: the simulation behaves as they do."""
+"""Runs on real loopback sockets, which must follow the same rules as the simulation."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from emberlatch.faults.plan import PROCESS_FAULTS
 
 
-def test_what_only_a_simulation_can_do_is_left_out() -> None:
+def test_loopback_plan_omits_faults_that_need_a_simulation() -> None:
     for seed in range(50):
         plan = loopback_plan(draw_mixed(seed))
         assert plan.forwarder_count == 1
@@ -20,7 +20,7 @@
         ]
 
 
-def test_a_plan_breaks_no_rule_on_real_sockets() -> None:
+def test_run_on_real_sockets_breaks_no_rule_and_records_a_trace() -> None:
     faults = (
         Fault(0.5, 2.0, FaultKind.RESET, "p2"),
         Fault(0.6, 1.8, FaultKind.FULL, "p1-east"),
--- a/tests/faults/test_power_loss.py
+++ b/tests/faults/test_power_loss.py
@@ -1,4 +1,4 @@
-"""A machine that loses power: what outlasts it under each class's terms, and planted bugs that break that."""
+"""Power losses: durable categories survive them, and planted bugs that break durability are detected."""
 
 from __future__ import annotations
 
@@ -22,30 +22,30 @@
 
 
 @pytest.fixture(autouse=True)
-def quiet(caplog: pytest.LogCaptureFixture) -> Iterator[None]:
+def suppress_log(caplog: pytest.LogCaptureFixture) -> Iterator[None]:
     with caplog.at_level("CRITICAL"):
         yield
 
 
-def broken(durable: frozenset[str], seeds: Iterable[int]) -> Counter[str]:
-    found: Counter[str] = Counter()
+def count_breaches(durable: frozenset[str], seeds: Iterable[int]) -> Counter[str]:
+    counts: Counter[str] = Counter()
     for seed in seeds:
         environment = play(seed, durable)
         assert environment.loop.failures == [], seed
-        found += environment.breaches()
-    return found
+        counts += environment.breaches()
+    return counts
 
 
 @pytest.mark.parametrize("first", range(0, 80, 20))
-def test_what_a_class_calls_durable_outlasts_the_machine(first: int) -> None:
-    assert broken(CATEGORY_NAMES, range(first, first + 20)) == {}
+def test_power_losses_break_no_rule_if_all_categories_are_durable(first: int) -> None:
+    assert count_breaches(CATEGORY_NAMES, range(first, first + 20)) == {}
 
 
-def test_without_durable_categories_a_power_loss_breaks_every_rule() -> None:
-    assert {"lost", "twice", "two ends"} <= set(broken(frozenset(), range(20)))
+def test_power_losses_break_rules_if_no_category_is_durable() -> None:
+    assert {"lost", "twice", "two ends"} <= set(count_breaches(frozenset(), range(20)))
 
 
-def test_a_class_that_is_not_durable_beside_one_that_is_costs_that_one_nothing() -> None:
+def test_durable_category_survives_beside_categories_that_are_not_durable() -> None:
     for seed in range(10):
         environment = play(seed, frozenset({"order"}))
         for name, message in environment.messages.items():
@@ -54,7 +54,7 @@
                 assert environment.keys.effects.get(name, 0) <= 1
 
 
-def test_a_sync_that_fails_is_final_and_the_next_process_goes_on() -> None:
+def test_failed_sync_ends_the_process_and_the_next_one_breaks_no_rule() -> None:
     for seed in range(10):
         environment = play(seed, failing_syncs=1)
         assert (
@@ -64,32 +64,33 @@
         )
 
 
-def test_a_power_loss_keeps_what_was_synced_and_any_part_of_the_rest() -> None:
-    seen: Counter[str] = Counter()
+def test_power_loss_keeps_synced_data_and_a_random_part_of_the_rest() -> None:
+    outcomes: Counter[str] = Counter()
     for seed in range(300):
-        disk, chance = Disk(), random.Random(seed)
+        disk, rng = Disk(), random.Random(seed)
         handle = disk.append_to("a")
         disk.write(handle, memoryview(b"s" * 700))
         disk.sync(handle)
         disk.sync_folder()
         disk.write(handle, memoryview(b"u" * 1500))
         disk.append_to("new")
-        disk.power_loss(chance)
+        disk.power_loss(rng)
         data = bytes(disk.files["a"])
         assert data[:700] == b"s" * 700
         tail = data[700:]
-        seen["whole"] += tail == b"u" * 1500
-        seen["none"] += tail == b""
-        seen["torn"] += 0 < len(tail) < 1500
-        seen["hole"] += len(tail) == 1500 and b"\0" in tail.rstrip(b"\0")
-        seen["longer"] += len(tail) > 1500 and len(tail) <= 1500 + BLOCK_BYTES
-        seen["new file"] += "new" in disk.files
+        outcomes["whole"] += tail == b"u" * 1500
+        outcomes["none"] += tail == b""
+        outcomes["torn"] += 0 < len(tail) < 1500
+        outcomes["hole"] += len(tail) == 1500 and b"\0" in tail.rstrip(b"\0")
+        outcomes["longer"] += len(tail) > 1500 and len(tail) <= 1500 + BLOCK_BYTES
+        outcomes["new file"] += "new" in disk.files
     assert (
-        all(seen[kind] for kind in ("whole", "none", "torn", "hole", "longer")) and 0 < seen["new file"] < 300
+        all(outcomes[kind] for kind in ("whole", "none", "torn", "hole", "longer"))
+        and 0 < outcomes["new file"] < 300
     )
 
 
-def test_a_name_is_there_once_the_folder_is_synced_and_a_sync_promises_what_was_there_when_it_began() -> None:
+def test_file_survives_after_a_folder_sync_and_a_slow_sync_covers_only_data_from_before_its_start() -> None:
     disk = Disk()
     handle = disk.append_to("a")
     disk.write(handle, memoryview(b"one"))
@@ -98,18 +99,18 @@
     disk.sync(handle)
     disk.sync_folder()
     disk.sizes_at_sync_start = None
-    kept = {bytes(_lost(disk, seed)["a"]) for seed in range(60)}
+    kept = {bytes(_files_after_power_loss(disk, seed)["a"]) for seed in range(60)}
     assert all(data.startswith(b"one") for data in kept) and b"one" in kept and b"onetwo" in kept
 
 
-def _lost(disk: Disk, seed: int) -> dict[str, bytearray]:
-    again = copy.deepcopy(disk)
-    again._synced_bytes = {id(again.files["a"]): disk._synced_bytes[id(disk.files["a"])]}
-    again.power_loss(random.Random(seed))
-    return again.files
+def _files_after_power_loss(disk: Disk, seed: int) -> dict[str, bytearray]:
+    copied = copy.deepcopy(disk)
+    copied._synced_bytes = {id(copied.files["a"]): disk._synced_bytes[id(disk.files["a"])]}
+    copied.power_loss(random.Random(seed))
+    return copied.files
 
 
-# Planted bugs, each caught by drawn runs.
+# Planted bugs, each of which seeded runs detect.
 
 
 def answers_before_the_sync(patch: Callable[..., None]) -> None:
@@ -124,6 +125,8 @@
 
 
 def tells_ends_before_the_sync(patch: Callable[..., None]) -> None:
+    """Completion notices are sent before the completion is synced."""
+
     def complete(
         self: Completions, entry: Entry, result: CompletionResult, wait_ms: int | None = None
     ) -> None:
@@ -156,7 +159,7 @@
 
 
 def removes_the_old_copy_first(patch: Callable[..., None]) -> None:
-    """A compaction removes a segment, and syncs that, before the copies of its records are synced."""
+    """Compaction removes a segment and syncs the folder before the copies of its records are synced."""
     compact = Journal._compact
 
     def early(self: Journal) -> None:
@@ -172,7 +175,10 @@
 
 
 def believes_the_page_cache(patch: Callable[..., None]) -> None:
-    """A sync that failed is tried again, and counts as done, for the kernel has forgotten what it lost."""
+    """A failed sync counts as done.
+
+    This is what a retry would do: the kernel has dropped the unwritten pages and reports success.
+    """
 
     async def run(self: GroupSync) -> None:
         while self._waiting:
@@ -188,10 +194,12 @@
 
 
 def goes_by_what_an_earlier_life_did_not_sync(patch: Callable[..., None]) -> None:
+    """A process uses records that an earlier process wrote but never synced, without syncing them."""
     patch(SegmentFiles, "sync_existing", lambda self: None)
 
 
 def reads_doubts_as_never_run(patch: Callable[..., None]) -> None:
+    """Recovery treats messages with unknown outcomes as never sent."""
     recover = Engine._recover
 
     def clean(self: Engine, entry: Entry, now: float) -> None:
@@ -215,10 +223,10 @@
 
 
 @pytest.mark.parametrize("bug", BUGS, ids=lambda bug: bug.__name__)
-def test_a_planted_bug_is_caught(bug: Callable[..., Any], monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_bug_is_detected_by_a_seed(bug: Callable[..., Any], monkeypatch: pytest.MonkeyPatch) -> None:
     bug(monkeypatch.setattr)
     for seed in range(120):
         environment: PowerLossEnvironment = play(seed, failing_syncs=seed % 3)
         if environment.breaches() or environment.loop.failures:
             return
-    pytest.fail("caught by nothing")
+    pytest.fail(f"{bug.__name__} was not detected by 120 seeds")
--- a/tests/faults/test_seeds.py
+++ b/tests/faults/test_seeds.py
@@ -1,4 +1,4 @@
-"""Seeded runs: fixed seeds and kept plans break nothing, planted bugs are caught, replays are the same."""
+"""Seeded runs: fixed seeds and stored plans break no rule, planted bugs are detected, replays are equal."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 
 PLANS = sorted((ROOT / "tests" / "plans").glob("**/*.plan"))
 SEEDS, CHUNKS = 300, 30
-RELEASES = 60  # a third of them at 10 forwarders, which take as long as six others
+RELEASES = 60  # a third of them have 10 forwarders and take six times as long as the others
 
 
 @pytest.mark.parametrize("chunk", range(CHUNKS))
-def test_fixed_seeds_break_nothing(chunk: int) -> None:
+def test_mixed_plans_of_fixed_seeds_break_no_rule(chunk: int) -> None:
     for seed in range(chunk, SEEDS, CHUNKS):
         report = play(draw_mixed(seed))
         assert not report.breaches, f"seed {seed}: {report.breaches[0]}"
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("chunk", range(12))
-def test_fixed_releases_under_an_overloaded_directory_break_nothing(chunk: int) -> None:
+def test_releases_under_an_overloaded_directory_break_no_rule(chunk: int) -> None:
     for seed in range(chunk, RELEASES, 12):
         report = play(draw_release(seed))
         assert not report.breaches, f"release {seed}: {report.breaches[0]}"
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("chunk", range(6))
-def test_fixed_releases_by_pushed_lists_break_nothing(chunk: int) -> None:
+def test_releases_with_pushed_lists_break_no_rule(chunk: int) -> None:
     for seed in range(chunk, 60, 6):
         report = play(draw_pushed_release(seed))
         assert not report.breaches, f"pushed {seed}: {report.breaches[0]}"
@@ -58,31 +58,34 @@
 
 
 @pytest.mark.parametrize("chunk", range(6))
-def test_fixed_takeovers_break_nothing(chunk: int) -> None:
-    followed = 0
+def test_takeovers_break_no_rule(chunk: int) -> None:
+    takeover_count = 0
     for seed in range(chunk, 48, 6):
         report = play(draw_takeovers(seed))
         assert not report.breaches, f"takeover {seed}: {report.breaches[0]}"
-        followed += sum(" took-over " in line for line in report.lines)
-    assert followed > 10
+        takeover_count += sum(" took-over " in line for line in report.lines)
+    assert takeover_count > 10
 
 
-def test_calls_that_are_relayed_twice_are_counted_by_the_last_process() -> None:
-    """A second takeover while calls of the first are out, and the process in the middle is killed."""
+def test_calls_relayed_through_two_takeovers_are_counted_by_the_last_process() -> None:
+    """A second takeover begins while the first process relays calls; then the middle process is killed."""
     assert not play(draw_takeovers(1103)).breaches
 
 
 @pytest.mark.parametrize("path", PLANS, ids=lambda path: path.stem)
-def test_kept_plans_break_nothing(path: Path) -> None:
+def test_stored_plans_break_no_rule(path: Path) -> None:
     report = play(parse(path.read_text()))
     assert not report.breaches, report.breaches[0]
     assert report.messages > 50
 
 
 @pytest.mark.parametrize("moment", ["before", "within", "after"])
-def test_a_kill_at_any_call_of_the_disk_and_another_in_the_recovery(moment: str) -> None:
-    """Between intent and send, between answer and journal, in compaction: each call of a stretch, and the
-    calls of the start that follows."""
+def test_kills_at_any_disk_call_and_during_the_recovery_break_no_rule(moment: str) -> None:
+    """The kills fall on each of 24 successive disk calls, and on disk calls of the following starts.
+
+    Among them are kills between a call's intent and its sending, between an answer and its journal record,
+    and during compaction.
+    """
     for number in range(1, 25):
         faults = (
             Fault(3.0, 9.0, FaultKind.RESET, "p2"),
@@ -94,7 +97,7 @@
         assert not report.breaches, f"{number} {moment}: {report.breaches[0]}"
 
 
-def test_runs_without_faults_serve_every_request() -> None:
+def test_runs_without_faults_break_no_rule_and_give_up_few_messages() -> None:
     for seed in range(10):
         report = play(Plan(seed, rate_per_s=3.0))
         assert not report.breaches
@@ -102,7 +105,7 @@
         assert len(ends) <= 0.02 * report.messages
 
 
-CAUGHT: dict[str, int | str] = {
+DETECTED_BY: dict[str, int | str] = {
     "reset_counts_as_never_sent": 5,
     "timeout_counts_as_never_sent": 2,
     "error_counts_as_rejected": 0,
@@ -157,12 +160,12 @@
     "drains_are_not_handed_over": "takeover:13",
     "relayed_attempt_is_numbered_again": "takeover:9",
 }
-"""Each planted bug and the seed (of a draw), or the kept plan, that catches it."""
+"""Each planted bug, and what detects it: a seed, a generator with a seed, or the name of a stored plan."""
 
 
-@pytest.mark.parametrize("name", sorted(CAUGHT))
-def test_a_planted_bug_is_caught_and_replayed_from_its_seed(name: str) -> None:
-    found = CAUGHT[name]
+@pytest.mark.parametrize("name", sorted(DETECTED_BY))
+def test_planted_bug_is_detected_and_its_breaches_are_reproducible(name: str) -> None:
+    found = DETECTED_BY[name]
     if isinstance(found, int):
         plan = draw_mixed(found)
     elif (kind := found.partition(":")[0]) in DRAWS:
@@ -175,11 +178,11 @@
     assert not play(plan).breaches
 
 
-def test_every_planted_bug_has_its_seed() -> None:
-    assert CAUGHT.keys() == PLANTED_BUGS.keys() and len(PLANTED_BUGS) >= 25
+def test_every_planted_bug_has_a_plan_that_detects_it() -> None:
+    assert DETECTED_BY.keys() == PLANTED_BUGS.keys() and len(PLANTED_BUGS) >= 25
 
 
-def test_two_replays_are_the_same_to_the_byte_in_every_process() -> None:
+def test_trace_digests_do_not_depend_on_the_process_or_its_hash_seed() -> None:
     code = "from emberlatch.faults import *; print([digest(play(draw_mixed(s))) for s in (3, 6, 11)])"
     outputs = set()
     for hash_seed in ("0", "1", "4711"):
@@ -196,7 +199,7 @@
     assert outputs == {f"{[digest(play(draw_mixed(seed))) for seed in (3, 6, 11)]}\n"}
 
 
-def test_shrinking_leaves_the_faults_that_matter() -> None:
+def test_shrink_keeps_only_the_faults_that_cause_the_breach() -> None:
     plan = Plan(
         3,
         (
@@ -211,7 +214,7 @@
         assert [fault.kind for fault in shrink(plan, "duplicates").faults] == ["reset"]
 
 
-def test_the_command_runs_replays_and_draws(tmp_path: Path) -> None:
+def test_faults_command_runs_replays_shrinks_and_explains(tmp_path: Path) -> None:
     def call(*arguments: str) -> tuple[int, str]:
         done = CliRunner().invoke(main, ["faults", *arguments])
         return done.exit_code, done.output
--- a/tests/faults/test_simulated_machine.py
+++ b/tests/faults/test_simulated_machine.py
@@ -1,4 +1,4 @@
-"""The virtual loop, network and disk: what they promise the code that runs on them."""
+"""The behaviour of the virtual loop, network and disk that the code under test relies on."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from emberlatch.faults.process import Process, ProcessKilled, current_process
 from emberlatch.faults.transport import KERNEL_BUFFER_BYTES
 
-HERE = ("10.0.0.1", 80)
+SERVER_ADDRESS = ("10.0.0.1", 80)
 
 
-def run(test: Callable[[VirtualLoop, Network], Awaitable[Any]]) -> Any:
+def run_on_virtual_loop(test: Callable[[VirtualLoop, Network], Awaitable[Any]]) -> Any:
     loop = VirtualLoop()
     network = Network(loop, seed=1)
 
@@ -32,8 +32,8 @@
         loop.close()
 
 
-class Side(asyncio.Protocol):
-    """Remembers what it hears."""
+class RecordingProtocol(asyncio.Protocol):
+    """Records the events that its transport reports."""
 
     def __init__(self) -> None:
         self.events: list[Any] = []
@@ -61,39 +61,39 @@
         self.paused = False
 
 
-async def pair(loop: VirtualLoop, network: Network) -> tuple[Side, Side]:
-    sides: list[Side] = []
+async def connect_pair(loop: VirtualLoop, network: Network) -> tuple[RecordingProtocol, RecordingProtocol]:
+    servers: list[RecordingProtocol] = []
 
-    def factory() -> Side:
-        sides.append(Side())
-        return sides[-1]
+    def factory() -> RecordingProtocol:
+        servers.append(RecordingProtocol())
+        return servers[-1]
 
-    network.serve(factory, HERE)
-    _, client = await loop.create_connection(Side, *HERE)
+    network.serve(factory, SERVER_ADDRESS)
+    _, client = await loop.create_connection(RecordingProtocol, *SERVER_ADDRESS)
     await asyncio.sleep(0.01)
-    return client, sides[0]
+    return client, servers[0]
 
 
-def test_time_moves_only_when_nothing_is_ready_and_costs_none() -> None:
+def test_virtual_clock_advances_only_when_nothing_is_ready_and_without_real_time() -> None:
     async def test(loop: VirtualLoop, network: Network) -> None:
-        began = loop.time()
+        started_at = loop.time()
         for _ in range(100):
             await asyncio.sleep(0)
-        assert loop.time() == began
+        assert loop.time() == started_at
         await asyncio.sleep(86400)
-        assert loop.time() == pytest.approx(began + 86400)
+        assert loop.time() == pytest.approx(started_at + 86400)
 
-    began = time.monotonic()
-    run(test)
-    assert time.monotonic() - began < 5
+    started_at = time.monotonic()
+    run_on_virtual_loop(test)
+    assert time.monotonic() - started_at < 5
 
 
-def test_a_deadlock_is_reported() -> None:
+def test_waiting_for_nothing_raises_deadlock_error() -> None:
     async def test(loop: VirtualLoop, network: Network) -> None:
         await asyncio.Event().wait()
 
     with pytest.raises(DeadlockError, match="nothing is due"):
-        run(test)
+        run_on_virtual_loop(test)
 
 
 @pytest.mark.parametrize(
@@ -101,20 +101,20 @@
     [
         lambda loop: asyncio.to_thread(time.sleep, 0),
         lambda loop: loop.getaddrinfo("localhost", 80),
-        lambda loop: loop.sock_connect(None, HERE),
+        lambda loop: loop.sock_connect(None, SERVER_ADDRESS),
     ],
 )
-def test_threads_and_real_sockets_raise(call: Any) -> None:
+def test_threads_and_real_sockets_raise_runtime_error(call: Any) -> None:
     async def test(loop: VirtualLoop, network: Network) -> None:
         with pytest.raises(RuntimeError, match="virtual clock"):
             await call(loop)
 
-    run(test)
+    run_on_virtual_loop(test)
 
 
-def test_bytes_arrive_in_order_after_the_latency_and_an_end_follows_them() -> None:
+def test_bytes_arrive_in_order_after_the_latency_followed_by_the_end() -> None:
     async def test(loop: VirtualLoop, network: Network) -> None:
-        client, server = await pair(loop, network)
+        client, server = await connect_pair(loop, network)
         for n in range(50):
             client.transport.write(b"%d," % n)
         client.transport.close()
@@ -123,12 +123,12 @@
         assert server.data == b"".join(b"%d," % n for n in range(50))
         assert server.events == ["eof", None] and client.events == [None]
 
-    run(test)
+    run_on_virtual_loop(test)
 
 
-def test_a_half_closed_connection_still_receives() -> None:
+def test_half_closed_connection_still_receives() -> None:
     async def test(loop: VirtualLoop, network: Network) -> None:
-        client, server = await pair(loop, network)
+        client, server = await connect_pair(loop, network)
         server.keep_open = True
         client.transport.write_eof()
         await asyncio.sleep(0.05)
@@ -136,24 +136,24 @@
         await asyncio.sleep(0.05)
         assert client.data == b"late" and client.events == []
 
-    run(test)
+    run_on_virtual_loop(test)
 
 
-def test_an_abort_resets_the_other_side_behind_what_was_sent() -> None:
+def test_abort_resets_the_peer_after_the_sent_bytes() -> None:
     async def test(loop: VirtualLoop, network: Network) -> None:
-        client, server = await pair(loop, network)
+        client, server = await connect_pair(loop, network)
         client.transport.write(b"x")
         client.transport.abort()
         await asyncio.sleep(0.05)
         assert server.data == b"x" and server.events == [ConnectionResetError]
         assert client.events == [None] and not network.transports
 
-    run(test)
+    run_on_virtual_loop(test)
 
 
-def test_a_reader_that_pauses_pauses_the_writer() -> None:
+def test_paused_reader_pauses_the_writer() -> None:
     async def test(loop: VirtualLoop, network: Network) -> None:
-        client, server = await pair(loop, network)
+        client, server = await connect_pair(loop, network)
         client.transport.set_write_buffer_limits(high=0)
         server.transport.pause_reading()
         client.transport.write(bytes(KERNEL_BUFFER_BYTES))
@@ -166,42 +166,42 @@
         assert not client.paused and len(server.data) == KERNEL_BUFFER_BYTES + 4
         assert not server.transport.get_extra_info("unread")()
 
-    run(test)
+    run_on_virtual_loop(test)
 
 
-def test_connections_are_refused_and_isolated_ones_are_silent_until_they_are_reset() -> None:
+def test_connection_is_refused_without_a_listener_and_reset_after_an_isolation() -> None:
     async def test(loop: VirtualLoop, network: Network) -> None:
         with pytest.raises(ConnectionRefusedError):
-            await loop.create_connection(Side, *HERE)
-        client, server = await pair(loop, network)
-        network.isolate(HERE)
+            await loop.create_connection(RecordingProtocol, *SERVER_ADDRESS)
+        client, server = await connect_pair(loop, network)
+        network.isolate(SERVER_ADDRESS)
         client.transport.write(b"x")
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(30):
-                await loop.create_connection(Side, *HERE)
+                await loop.create_connection(RecordingProtocol, *SERVER_ADDRESS)
         assert server.data == b"" and client.events == []
-        network.rejoin(HERE)
+        network.rejoin(SERVER_ADDRESS)
         await asyncio.sleep(0.05)
         assert client.events == [ConnectionResetError]
-        await loop.create_connection(Side, *HERE)
+        await loop.create_connection(RecordingProtocol, *SERVER_ADDRESS)
 
-    run(test)
+    run_on_virtual_loop(test)
 
 
-def test_a_process_that_dies_resets_its_connections_and_runs_no_further() -> None:
+def test_killed_process_has_its_connections_reset_and_runs_no_callback() -> None:
     async def test(loop: VirtualLoop, network: Network) -> None:
-        await pair(loop, network)
-        process, went_on = Process("p"), list[str]()
+        await connect_pair(loop, network)
+        process, late_events = Process("p"), list[str]()
 
         async def work() -> None:
             listener = network.listen(("10.0.0.2", 80))
-            _, mine = await loop.create_connection(Side, *HERE)
-            loop.call_later(5, went_on.append, "timer")
-            assert listener.fileno() == 0 and mine.data == b""
+            _, client = await loop.create_connection(RecordingProtocol, *SERVER_ADDRESS)
+            loop.call_later(5, late_events.append, "timer")
+            assert listener.fileno() == 0 and client.data == b""
             try:
                 await asyncio.sleep(10)
             finally:
-                went_on.append("unwound")
+                late_events.append("unwound")
 
         context = contextvars.copy_context()
         context.run(current_process.set, process)
@@ -209,21 +209,21 @@
         await asyncio.sleep(1)
         process.kill()
         await asyncio.sleep(20)
-        assert went_on == [] and not process.connections and len(network.transports) == 2
+        assert late_events == [] and not process.connections and len(network.transports) == 2
         network.listen(("10.0.0.2", 80))  # its address is free again
 
-    run(test)
+    run_on_virtual_loop(test)
 
 
-def test_a_process_runs_out_of_descriptors() -> None:
+def test_connecting_without_free_descriptors_raises_emfile() -> None:
     async def test(loop: VirtualLoop, network: Network) -> None:
-        network.serve(Side, HERE)
+        network.serve(RecordingProtocol, SERVER_ADDRESS)
         process, errors = Process("p", descriptors=10), []
 
         async def work() -> None:
             try:
                 for _ in range(5):
-                    await loop.create_connection(Side, *HERE)
+                    await loop.create_connection(RecordingProtocol, *SERVER_ADDRESS)
             except OSError as error:
                 errors.append((error.errno, len(process.connections)))
 
@@ -232,14 +232,14 @@
         await loop.create_task(work(), context=context)
         assert errors == [(24, 2)]
 
-    run(test)
+    run_on_virtual_loop(test)
 
 
 def write(disk: Disk, data: bytes, name: str = "a") -> int:
     return disk.write(disk.append_to(name), memoryview(data))
 
 
-def test_a_disk_keeps_what_was_written_and_counts_full_blocks() -> None:
+def test_disk_keeps_written_data_over_a_restart_and_counts_full_blocks() -> None:
     disk = Disk()
     assert write(disk, b"x" * 600) == 600 and write(disk, b"y", "b") == 1
     disk.restart()
@@ -254,7 +254,7 @@
         disk.read("a")
 
 
-def test_a_disk_that_is_full_failing_or_short() -> None:
+def test_full_failing_or_short_disk_limits_or_fails_writes() -> None:
     disk = Disk()
     disk.faults.capacity_bytes = 1024
     assert write(disk, b"x" * 2000) == 1024
@@ -269,13 +269,15 @@
 
 
 @pytest.mark.parametrize(
-    ("moment", "left"), [(KillMoment.BEFORE, 0), (KillMoment.WITHIN, 5), (KillMoment.AFTER, 10)]
+    ("moment", "expected_bytes"), [(KillMoment.BEFORE, 0), (KillMoment.WITHIN, 5), (KillMoment.AFTER, 10)]
 )
-def test_a_process_is_killed_at_a_chosen_call(moment: KillMoment, left: int) -> None:
+def test_process_is_killed_at_the_chosen_point_of_a_disk_call(
+    moment: KillMoment, expected_bytes: int
+) -> None:
     disk, process = Disk(), Process("p")
     disk.kill_at = 2, moment
     context = contextvars.copy_context()
     context.run(current_process.set, process)
     with pytest.raises(ProcessKilled):
         context.run(write, disk, b"0123456789")
-    assert not process.alive and len(disk.read("a")) == left
+    assert not process.alive and len(disk.read("a")) == expected_bytes
