--- a/emberlatch/faults/loop.py
+++ b/emberlatch/faults/loop.py
@@ -21,7 +21,7 @@
 
 from emberlatch.faults.process import ENVIRONMENT, Address, Process, ProcessKilled, current_process
 
-MAX_STEPS = 5_000_000  # number of callbacks from which a run counts as endless
+MAX_STEPS = 5_000_000  # number of callbacks after which a run counts as endless
 START_TIME_S = 1000.0
 CLOCK_RESOLUTION_S = 1e-9
 
