--- a/emberlatch/faults/power_loss/environment.py
+++ b/emberlatch/faults/power_loss/environment.py
@@ -184,7 +184,7 @@
             effects = self.keys.effects.get(name, 0)
             results = set(message.completions)
             counts["lost"] += message.accepted_at < math.inf and not results
-            counts["two results"] += len(results) > 1 and message.submission_count == 1
+            counts["two ends"] += len(results) > 1 and message.submission_count == 1
             counts["twice"] += effects > 1 and message.category != "note"
             counts["untrue"] += "delivered" in results and not effects
             counts["untrue"] += "bounced" in results and effects > 0 and message.category == "order"
--- a/tests/faults/test_power_loss.py
+++ b/tests/faults/test_power_loss.py
@@ -42,7 +42,7 @@
 
 
 def test_power_losses_break_rules_if_no_category_is_durable() -> None:
-    assert {"lost", "twice", "two results"} <= set(count_breaches(frozenset(), range(20)))
+    assert {"lost", "twice", "two ends"} <= set(count_breaches(frozenset(), range(20)))
 
 
 def test_durable_category_survives_beside_categories_that_are_not_durable() -> None:
