--- a/tests/faults/test_capacity_bound.py
+++ b/tests/faults/test_capacity_bound.py
@@ -40,13 +40,7 @@
     ("partner", "per_call", "rate_per_s", "least", "most"),
     [
         ("a", 1, 5, 50, 50),  # half of the capacity
-        (
-            "a",
-            1,
-            20,
-            100,
-            115,
-        ),  # twice the capacity: 10 a second for 10 s, and those still in time after that
+        ("a", 1, 20, 100, 115),  # twice the capacity: 10 a second for 10 s, then those still in time
         ("a", 3, 20, 170, 195),  # a call with three messages takes 1.7 times as long
         ("b", 1, 10, 20, 25),  # limit of 2 calls a second
         ("b", 4, 10, 80, 95),  # the same limit, with 4 messages in each call
