--- a/emberlatch/cli/__init__.py
+++ b/emberlatch/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The `emberlatch` command: each of its commands is thin over a package."""
+"""The `emberlatch` command; each subcommand is a thin layer over a package."""
 
 from emberlatch.cli.main import main
 
--- a/emberlatch/cli/as2.py
+++ b/emberlatch/cli/as2.py
@@ -23,7 +23,7 @@
 )
 from emberlatch.config import Gateway
 
-if TYPE_CHECKING:  # what AS2 needs is an extra
+if TYPE_CHECKING:  # the libraries that AS2 needs are an optional extra
     from emberlatch.as2.evidence import Dispute, Evidence
     from emberlatch.as2.profile import Parties, Partner
     from emberlatch.config.as2 import As2
@@ -64,7 +64,7 @@
 
 
 def _named_partners(parties: Parties, name: str | None) -> list[Partner]:
-    """The one of that name, or all of them."""
+    """Return the partner with the name, or all partners if `name` is None."""
     return [_named_partner(parties, name)] if name else list(parties.partners.values())
 
 
@@ -72,7 +72,7 @@
 @click.argument("config_path", metavar="CONFIG", type=PATH)
 @click.argument("name", required=False)
 def check_partner(config_path: Path, name: str | None) -> None:
-    """Show the profiles in CONFIG, send a test message to a stand-in of each, say what should be renewed."""
+    """Show the profiles in CONFIG, send a test message to a stand-in of each, list certificates to renew."""
     from emberlatch.as2.build import expiry
     from emberlatch.as2.certificates import described
     from emberlatch.cli.as2_exchange import exchange_with_stand_in
@@ -101,11 +101,11 @@
 @click.argument("config_path", metavar="CONFIG", type=PATH)
 @click.argument("name")
 @click.argument("file", type=FILE)
-@click.option("--to", help="host:port, if not the partner's first endpoint in the inventory.")
+@click.option("--to", help="host:port; the default is the partner's first endpoint in the inventory.")
 def send(config_path: Path, name: str, file: Path, to: str | None) -> None:
-    """Send FILE to the partner NAME once, past the gateway, and say what its receipt proves.
+    """Send FILE to the partner NAME once, without the gateway, and show what its receipt proves.
 
-    It is a message of its own: nothing of it is journalled, repeated, or known to the running gateway.
+    The message is not journalled and not repeated, and the running gateway does not know it.
     """
     from emberlatch.cli.as2_exchange import exchange
 
@@ -136,10 +136,15 @@
 
 @as2.command()
 @click.argument("file", type=FILE)
-@click.option("--config", "config_path", type=PATH, help="Whose keys and partners open it.")
-@click.option("--partner", "name", help="Which of its partners sent it.")
+@click.option(
+    "--config",
+    "config_path",
+    type=PATH,
+    help="The configuration whose keys and partners are used to open it.",
+)
+@click.option("--partner", "name", help="The partner that sent it.")
 def verify(file: Path, config_path: Path | None, name: str | None) -> None:
-    """Explain a captured message or receipt: headers, a blank line, and the body, as it came."""
+    """Explain a captured message or receipt: headers, a blank line, and the body as received."""
     from emberlatch.as2 import explain, mime
     from emberlatch.as2.errors import As2Error
 
@@ -164,7 +169,7 @@
 
 @as2.group()
 def cert() -> None:
-    """Certificates for a lab."""
+    """Certificates for trials."""
 
 
 @cert.command()
@@ -174,14 +179,14 @@
 )
 @click.option("--days", type=click.IntRange(1, 3650), default=365, show_default=True)
 def new(name: str, out: Path, days: int) -> None:
-    """Make a key and a certificate that nobody vouches for, for trials."""
+    """Create a key and a self-signed certificate, for trials."""
     from emberlatch.as2.lab import new_certificate, to_pem
 
     certificate_path, key_path = out.with_suffix(".crt"), out.with_suffix(".pem")
     try:
         certificate, certificate_and_key = to_pem(*new_certificate(name, days))
         certificate_path.write_bytes(certificate)
-        key_path.unlink(missing_ok=True)  # a file that is there may be readable by others
+        key_path.unlink(missing_ok=True)  # an existing file might be readable by others
         descriptor = os.open(key_path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, PRIVATE_KEY_MODE)
         with open(descriptor, "wb") as file:
             file.write(certificate_and_key)
@@ -195,7 +200,7 @@
 @click.option("--json", "as_json", is_flag=True, help="A JSON list, for scripts.")
 @click.option("--export", "export_folder", type=click.Path(path_type=Path), help="A folder for the receipts.")
 def disputes(config_path: Path, as_json: bool, export_folder: Path | None) -> None:
-    """List messages whose ends and receipts say different things; also while the gateway runs."""
+    """List messages whose outcome and receipt disagree; works while the gateway runs."""
     from emberlatch.as2.evidence import Evidence
     from emberlatch.as2.side import LEDGER
     from emberlatch.store import Folder
--- a/emberlatch/cli/as2_exchange.py
+++ b/emberlatch/cli/as2_exchange.py
@@ -1,4 +1,4 @@
-"""One AS2 message past the gateway: to a partner, or to a stand-in of it."""
+"""Sends one AS2 message without the running gateway, to a partner or to a stand-in of it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def exchange(parties: Parties, partner: Partner, address: tuple[str, int], body: bytes) -> str:
-    """Send a message once; returns what its receipt proves, or how it failed."""
+    """Send a message once; returns what its receipt proves, or why the exchange failed."""
     try:
         return str(await send(parties, partner, address, body, time.time()))
     except (OSError, NoResponseError, CertificateError, As2Error) as error:
@@ -26,7 +26,7 @@
 
 
 async def exchange_with_stand_in(parties: Parties, partner: Partner) -> str:
-    """Send a test message to a stand-in that has keys of its own: whether our side of the profile works."""
+    """Send a test message to a stand-in with keys of its own, to check our side of the profile."""
     certificate, key = new_certificate(partner.as2_name, STAND_IN_CERTIFICATE_DAYS)
     identity = Identity(((certificate, key),))
     own_trust = Trust(tuple(own for own, _ in parties.own.identity.key_pairs))
--- a/emberlatch/cli/common.py
+++ b/emberlatch/cli/common.py
@@ -1,4 +1,4 @@
-"""What the commands share: errors as lines with exit code 2, and how configuration and inventory are read."""
+"""Shared functions of the commands: print errors, exit with 2, read configuration and inventory."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from emberlatch.inventory import load as read_inventory
 from emberlatch.standalone.answers import ERROR, Command, JsonObject
 
-if TYPE_CHECKING:  # what AS2 needs is an extra
+if TYPE_CHECKING:  # the libraries that AS2 needs are an optional extra
     from emberlatch.as2.profile import Parties
     from emberlatch.config.as2 import As2
 
@@ -26,24 +26,24 @@
 
 
 def has_libraries(names: Iterable[str]) -> bool:
-    """Whether the libraries of an extra are installed."""
+    """Return whether the libraries of an extra are installed."""
     return all(importlib.util.find_spec(name) is not None for name in names)
 
 
 def has_as2() -> bool:
-    """Whether the libraries of AS2 are installed."""
+    """Return whether the libraries of AS2 are installed."""
     return has_libraries(AS2_LIBRARIES)
 
 
 def fail(lines: Iterable[object]) -> NoReturn:
-    """Print what is wrong, a line each, and exit with 2."""
+    """Print each error on a line of standard error, and exit with 2."""
     for line in lines:
         click.echo(str(line), err=True)
     raise SystemExit(EXIT_CODE_OF_ERRORS)
 
 
 def load_configuration(path: Path) -> Gateway:
-    """The configuration in a file; prints all its problems and exits with 2 if there are any."""
+    """Load a configuration file; print all its problems and exit with 2 if it has any."""
     try:
         return load(path)
     except ConfigError as error:
@@ -51,7 +51,7 @@
 
 
 def load_parties(path: Path, config: Gateway, as2_config: As2) -> Parties:
-    """The AS2 profiles of a configuration; prints what is wrong and exits with 2 if one can't be used."""
+    """Load the AS2 profiles of a configuration; print the error and exit with 2 if one can't be used."""
     from emberlatch.as2.build import ProfileError, parties
 
     try:
@@ -61,7 +61,7 @@
 
 
 def query_gateway(config_path: Path, command: Command) -> JsonObject:
-    """What the running gateway of a configuration answers; exits with 2 if none does, or if it failed."""
+    """Query the running gateway of a configuration; exit with 2 if none answers or the command fails."""
     from emberlatch.standalone import send_command
 
     config = load_configuration(config_path)
@@ -76,7 +76,7 @@
 
 
 def load_inventory(paths: list[Path], vocabulary: Vocabulary) -> Inventory:
-    """The inventory in files and folders; prints all its problems and exits with 2 if there are any."""
+    """Load the inventory in files and folders; print all its problems and exit with 2 if it has any."""
     try:
         return read_inventory(paths, vocabulary)
     except RefusedError as error:
@@ -84,13 +84,15 @@
 
 
 def inventory_of(config: Gateway) -> Inventory:
-    """The inventory of a configuration, as `load_inventory`."""
+    """Load the inventory of a configuration; see `load_inventory` for problems."""
     return load_inventory([config.path(path) for path in config.inventory.paths], vocabulary_of(config))
 
 
 def inventory_at(source: Path, config_path: Path | None) -> Inventory:
-    """The inventory of a configuration (`*.toml`), or of a file or folder with the vocabulary of a
-    configuration."""
+    """Load the inventory of a configuration (`*.toml`), or the one in a file or folder.
+
+    The allowed wings and kinds of a file or folder are those of `config_path`, or the defaults.
+    """
     if source.suffix == ".toml":
         return inventory_of(load_configuration(source))
     if config_path is None:
--- a/emberlatch/cli/demo.py
+++ b/emberlatch/cli/demo.py
@@ -1,4 +1,4 @@
-"""`emberlatch demo`."""
+"""The command `emberlatch demo`."""
 
 from __future__ import annotations
 
--- a/emberlatch/cli/demo_tables.py
+++ b/emberlatch/cli/demo_tables.py
@@ -14,11 +14,11 @@
     "sent": 0, "service": 1.0, "late": 0, "refused": {}, "failed": 0, "median": 0.0,
 }  # fmt: skip
 TEXT_COLUMNS = ("partner", "part")
-"""Aligned to the left; all others are numbers."""
+"""Columns that are aligned to the left; all others are numbers."""
 
 
 def _narrow_table(*columns: str, title: str = "") -> Table:
-    """A table of which nothing is cut on 80 columns."""
+    """Create a table whose cells are not truncated on 80 columns."""
     table = Table(box=SIMPLE_HEAD, pad_edge=False, title=title or None)
     for column in columns:
         table.add_column(column, justify="left" if column in TEXT_COLUMNS else "right", no_wrap=True)
@@ -26,7 +26,7 @@
 
 
 def progress_table(progress: Progress) -> Table:
-    """The live table."""
+    """Build the live table of a running demonstration."""
     broken = progress.statistics.broken
     state = {
         DemoPhase.BEFORE: "all partners are well",
--- a/emberlatch/cli/faults.py
+++ b/emberlatch/cli/faults.py
@@ -16,7 +16,7 @@
 
 
 def _plan_at(source: str) -> Plan:
-    """The plan of a seed (12, or release:12 for another way to draw), or the one in a file."""
+    """Return the plan of a seed (12, or release:12 for another draw), or the plan in a file."""
     draw, colon, seed = source.rpartition(":")
     if seed.isdigit() and (not colon or draw in DRAWS):
         return DRAWS[draw or DEFAULT_DRAW](int(seed))
@@ -35,9 +35,9 @@
 
 @click.group()
 def faults() -> None:
-    """Play the real code through seeded faults on a virtual clock.
+    """Run the real code under seeded faults on a virtual clock.
 
-    A SOURCE is a seed (12), a seed of another draw (release:12) or the file of a plan.
+    A SOURCE is a seed (12), a seed of another draw (release:12) or a file with a plan.
     """
 
 
@@ -88,7 +88,7 @@
 @faults.command(name="shrink")
 @click.argument("source")
 def shrink_plan(source: str) -> None:
-    """Leave out every fault of SOURCE that its first breach does not need, and print what remains."""
+    """Remove every fault of SOURCE that its first breach does not need, and print the smaller plan."""
     plan = _plan_at(source)
     breaches = play(plan).breaches
     if not breaches:
@@ -102,7 +102,7 @@
 @click.argument("source")
 @click.option("--output", "-o", type=PATH, required=True, help="A file for the SVG picture.")
 def explain(source: str, output: Path) -> None:
-    """Draw a timeline of SOURCE: one lane an endpoint, faults behind the calls, breaches as red lines."""
+    """Draw a timeline of SOURCE: a lane per endpoint, faults behind the calls, breaches as red lines."""
     from emberlatch.faults.timeline import render_svg
 
     report = play(_plan_at(source))
--- a/emberlatch/cli/fleet.py
+++ b/emberlatch/cli/fleet.py
@@ -22,8 +22,7 @@
 @click.argument("config_path", metavar="CONFIG", type=PATH)
 @AS_JSON
 def status(config_path: Path, as_json: bool) -> None:
-    """Whether this member is with a majority, since when, and which part of each limit is its own, and
-    why."""
+    """Show whether this member reaches a majority, since when, and its part of each limit and why."""
     answer = query_gateway(config_path, Command.FLEET)
     if as_json:
         click.echo(json.dumps(answer))
@@ -37,7 +36,7 @@
 @click.argument("config_paths", metavar="CONFIGS...", type=PATH, nargs=-1, required=True)
 @AS_JSON
 def members(config_paths: tuple[Path, ...], as_json: bool) -> None:
-    """Who sees whom: a row for each member whose configuration is named and which runs here."""
+    """Show which members see each other: a row for each CONFIG whose gateway runs here."""
     documents = {path: query_gateway(path, Command.FLEET) for path in config_paths}
     if as_json:
         click.echo(json.dumps({str(document["me"]): document for document in documents.values()}))
@@ -51,6 +50,6 @@
 @fleet.command()
 @click.argument("config_path", metavar="CONFIG", type=PATH)
 def leave(config_path: Path) -> None:
-    """Have the gateway say that it leaves, and stop, as SIGTERM does."""
+    """Make the gateway announce that it leaves the fleet, and stop, as on SIGTERM."""
     query_gateway(config_path, Command.LEAVE)
     click.echo("leaving")
--- a/emberlatch/cli/fleet_tables.py
+++ b/emberlatch/cli/fleet_tables.py
@@ -11,7 +11,7 @@
 from emberlatch.standalone.answers import FleetAnswer, MemberAnswer
 
 FULL_SHARE = 0.999
-"""Of an equal quota share: from there on the figures differ by rounding only."""
+"""Fraction of an equal quota share that counts as all of it; above it, figures differ by rounding only."""
 STATE_MARKS = {"alive": "+", "suspect": "?", "unreachable": "x", "left": "-", "joining": "."}
 MARKS_LEGEND = "+ alive  ? suspect  x unreachable  - left  . joining  ~ heard through others only"
 
@@ -51,7 +51,7 @@
 
 
 def show_members(views: Mapping[str, FleetAnswer]) -> None:
-    """Print who sees whom: a row for each member that was asked."""
+    """Print which members each queried member sees, a row for each queried member."""
     names = sorted({*views, *(name for view in views.values() for name in view.members)})
     table = Table("seen by", *names, "cut off", box=SIMPLE_HEAD)
     for me, view in sorted(views.items()):
--- a/emberlatch/cli/gateway_tables.py
+++ b/emberlatch/cli/gateway_tables.py
@@ -26,7 +26,7 @@
 
 
 def show_status(status: StatusAnswer) -> None:
-    """Print what a gateway has in flight, the state of its inventory and of AS2, and its pools."""
+    """Print a gateway's messages in flight, the state of its inventory and of AS2, and its pools."""
     console = Console()
     console.print(
         f"set {status.inventory.digest} with {status.inventory.endpoints} endpoints; "
@@ -61,7 +61,7 @@
 
 
 def _pool_rows(pool: PoolAnswer) -> Iterator[list[str]]:
-    """A row for each endpoint; the pool's own cells stand in the first one only."""
+    """Yield a row for each endpoint; only the first row has the cells of the pool itself."""
     pool_cells = [pool.partner, str(pool.destination), str(pool.leases), str(pool.queued)]
     pool_cells.append(_milliseconds(pool.usual_latency_s))
     for route in pool.routes:
--- a/emberlatch/cli/inventory.py
+++ b/emberlatch/cli/inventory.py
@@ -14,7 +14,7 @@
     "--config",
     "config_path",
     type=PATH,
-    help="Where wings and kinds are named, if SOURCE is no *.toml.",
+    help="The file that defines wings and kinds, if SOURCE is not a *.toml file.",
 )
 
 
@@ -28,7 +28,7 @@
 @CONFIG
 @click.option("--json", "as_json", is_flag=True, help="A JSON list, for scripts.")
 def show(source: Path, config_path: Path | None, as_json: bool) -> None:
-    """List the endpoints of SOURCE as they are in effect, with all that they inherit."""
+    """List the endpoints of SOURCE with all values, including inherited ones."""
     found = inventory_at(source, config_path)
     if as_json:
         endpoints = found.endpoints.values()
@@ -46,7 +46,7 @@
 @CONFIG
 @click.option("--json", "as_json", is_flag=True, help="A JSON list, for scripts.")
 def compare(old: Path, new: Path, config_path: Path | None, as_json: bool) -> None:
-    """Say what changes in effect from OLD to NEW; exit 1 if anything does."""
+    """Show how the endpoints change from OLD to NEW; exit 1 if any change."""
     changes = diff(inventory_at(old, config_path), inventory_at(new, config_path))
     if as_json:
         click.echo(json.dumps([_document(change) for change in changes], indent=1))
@@ -68,10 +68,10 @@
 @inventory.command()
 @click.argument("source", type=PATH)
 @click.option("--to", "file_format", type=click.Choice(["csv", "yaml"]), required=True)
-@click.option("--output", "-o", type=PATH, help="A file; else standard output.")
+@click.option("--output", "-o", type=PATH, help="A file; the default is standard output.")
 @CONFIG
 def convert(source: Path, file_format: str, output: Path | None, config_path: Path | None) -> None:
-    """Write SOURCE as one CSV or YAML file that gives the same set."""
+    """Write SOURCE as one CSV or YAML file with the same endpoints."""
     found = inventory_at(source, config_path)
     text = to_csv(found) if file_format == "csv" else to_yaml(found)
     if output is None:
--- a/emberlatch/cli/main.py
+++ b/emberlatch/cli/main.py
@@ -31,7 +31,7 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="emberlatch")
 def main() -> None:
-    """A gateway that takes messages, owes each exactly one final answer, and delivers them to partners."""
+    """A gateway that accepts messages, delivers them to partners and gives each exactly one final answer."""
 
 
 main.add_command(inventory)
@@ -45,7 +45,7 @@
 @main.command()
 @click.argument("config_path", metavar="CONFIG", type=PATH)
 def serve(config_path: Path) -> None:
-    """Run the gateway that CONFIG describes, until SIGTERM. SIGHUP looks at the inventory at once."""
+    """Run the gateway that CONFIG describes until SIGTERM. SIGHUP reloads the inventory at once."""
     from emberlatch.inventory import RefusedError
     from emberlatch.standalone import GatewayError
     from emberlatch.standalone import serve as run
@@ -66,7 +66,7 @@
 @main.command()
 @click.argument("config_path", metavar="CONFIG", type=PATH)
 def check(config_path: Path) -> None:
-    """Check CONFIG and its inventory: all that is wrong, by file and line, and exit 2; nothing is started."""
+    """Check CONFIG and its inventory, start nothing; list problems by file and line, and exit 2 if any."""
     config = load_configuration(config_path)
     found = inventory_of(config)
     if config.as2 is not None:
@@ -81,7 +81,7 @@
 @main.command()
 @click.argument("config_path", metavar="CONFIG", type=PATH)
 def reload(config_path: Path) -> None:
-    """Make the running gateway look at its inventory now; exit 1 if what it found was not taken."""
+    """Make the running gateway reload its inventory now; exit 1 if the new files were not used."""
     answer = decode(query_gateway(config_path, Command.RELOAD), ReloadAnswer)
     for problem in answer.problems:
         click.echo(problem, err=True)
@@ -96,7 +96,7 @@
 @click.argument("config_path", metavar="CONFIG", type=PATH)
 @click.option("--json", "as_json", is_flag=True, help="One JSON object, for scripts.")
 def status(config_path: Path, as_json: bool) -> None:
-    """Show the running gateway's messages in flight, and the pools, waits and endpoints that are in use."""
+    """Show the running gateway's messages in flight, and its pools, waits and endpoints."""
     answer = query_gateway(config_path, Command.STATUS)
     if as_json:
         click.echo(json.dumps(answer))
--- a/emberlatch/cli/seeds.py
+++ b/emberlatch/cli/seeds.py
@@ -11,7 +11,7 @@
     name = "seeds"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> range:
-        """The range; both ends belong to it."""
+        """Parse the range; the first and the last seed are included."""
         first, dash, last = str(value).partition("-")
         try:
             return range(int(first), int(last if dash else first) + 1)
--- a/emberlatch/cli/storm.py
+++ b/emberlatch/cli/storm.py
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _SweepTask:
-    """What the processes of a sweep do alike with each seed."""
+    """Plays one seed of a sweep; the parameters are the same for all seeds."""
 
     members: int
     seconds: float
@@ -61,7 +61,7 @@
 
 
 def _print_verdict(history: History, chart: Path | None) -> int:
-    """Print what came of a history; returns the number of breaches."""
+    """Print the results of a history; returns the number of breaches."""
     breaches = check_history(history)
     if has_libraries(REPORT_LIBRARIES):
         click.echo(render_table(history))
@@ -89,17 +89,17 @@
 
 
 def _plan_of(path: Path | None, seed: int | None, members: int, seconds: float) -> Plan:
-    """The plan of a file, or of a seed; raises OSError or PlanError."""
+    """Return the plan in a file or of a seed; raises OSError or PlanError."""
     if path is not None:
         return parse_plan(path.read_text())
     return generate_plan(seed or 0, members, seconds)
 
 
 class _RunByDefault(click.Group):
-    """`storm PLAN` and `storm --seed N` stand for `storm run ...`."""
+    """Treats `storm PLAN` and `storm --seed N` as `storm run ...`."""
 
     def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
-        """Put `run` before arguments that begin with no command."""
+        """Insert `run` before arguments that don't begin with a command."""
         if args and args[0] not in (*self.commands, "-h", "--help"):
             args = ["run", *args]
         return super().parse_args(ctx, args)
@@ -107,7 +107,7 @@
 
 @click.group(cls=_RunByDefault)
 def storm() -> None:
-    """Play faults on a fleet of real processes, and hold it to the rules.
+    """Inject faults into a fleet of real processes, and check the fleet against the rules.
 
     `emberlatch storm PLAN.toml` and `emberlatch storm --seed 7` play one storm.
     """
@@ -116,7 +116,7 @@
 @storm.command()
 @click.argument("plan_path", metavar="[PLAN]", type=PATH, required=False)
 @click.option("--seed", type=int, help="Draw the plan from a seed.")
-@click.option("--members", type=click.IntRange(0, MAX_PROCESSES), default=0, help="So many, with --seed.")
+@click.option("--members", type=click.IntRange(0, MAX_PROCESSES), default=0, help="Members, with --seed.")
 @click.option(
     "--seconds", type=click.FloatRange(6, 600), default=20.0, show_default=True, help="With --seed."
 )
@@ -148,10 +148,10 @@
 @storm.command()
 @click.option("--seeds", type=SeedRange(), default="0-11", show_default=True)
 @click.option("--jobs", type=click.IntRange(1, 64), default=4, show_default=True)
-@click.option("--members", type=click.IntRange(0, 64), default=0, help="So many; drawn if 0.")
+@click.option("--members", type=click.IntRange(0, 64), default=0, help="Number of members; drawn if 0.")
 @click.option("--seconds", type=click.FloatRange(6, 600), default=20.0, show_default=True)
 @click.option("--keep", type=PATH, help="A folder for histories and logs.")
-@click.option("--virtual", is_flag=True, help="In the simulation: links and members, many seeds a second.")
+@click.option("--virtual", is_flag=True, help="Simulate links and members, many seeds a second.")
 def sweep(seeds: range, jobs: int, members: int, seconds: float, keep: Path | None, virtual: bool) -> None:
     """Play the storms of many seeds, several at once. Exit 1 if a rule is broken in any."""
     if members > MAX_PROCESSES and not virtual:
@@ -173,7 +173,7 @@
 @click.argument("history_path", metavar="HISTORY", type=PATH)
 @click.option("--chart", type=PATH, help="A picture of messages by outcome over time.")
 def replay(history_path: Path, chart: Path | None) -> None:
-    """Judge a history that was kept, without running anything. Exit 1 if a rule is broken."""
+    """Check a kept history without running anything. Exit 1 if a rule is broken."""
     try:
         history = read_history(history_path)
     except (OSError, ValueError) as error:
--- a/emberlatch/config/as2.py
+++ b/emberlatch/config/as2.py
@@ -43,7 +43,7 @@
 
 
 class As2Orders(Section):
-    """Properties of a partner's orders that the signed contents of an order do not give themselves."""
+    """Properties of a partner's orders that the signed contents of an order do not include."""
 
     category: Annotated[str, Field(alias="class", min_length=1)]
     tenant: str = ""
@@ -86,7 +86,7 @@
 
 
 class As2(Section):
-    """AS2: our identity, the address for orders and receipts, and the partners' profiles."""
+    """The gateway's AS2 identity, its address for orders and receipts, and the partners' profiles."""
 
     name: As2Name
     certificates: Annotated[list[Text], Field(min_length=1)]
--- a/emberlatch/config/decision_settings.py
+++ b/emberlatch/config/decision_settings.py
@@ -9,7 +9,7 @@
 from emberlatch.inventory.model import Vocabulary
 
 DECISION_ROUND_S = 0.005
-OVER_QUOTA_WORTH = 0.1  # factor on the worth of messages over their tenant's quota share
+OVER_QUOTA_WORTH = 0.1  # factor on the value of messages in excess of their tenant's quota share
 REPORT_FIELDS = ("x0", "x1")
 
 _EFFECTS = {"safe": api.Effect.SAFE, "keyed": api.Effect.KEYED, "unsafe": api.Effect.UNSAFE}
@@ -17,7 +17,7 @@
 
 
 def settings(config: Gateway) -> api.Settings:
-    """The decision module's settings: one sender, listed limits are exact, the controller is never asked."""
+    """Return the decision module's settings for one sender, with exact limits and no polled directory."""
     rules = config.rules
     return api.Settings(
         categories=tuple(_category(name, item) for name, item in config.classes.items()),
@@ -49,7 +49,7 @@
 
 
 def vocabulary_of(config: Gateway) -> Vocabulary:
-    """The values that an inventory may use under a configuration."""
+    """Return the values that an inventory may use under a configuration."""
     return Vocabulary(
         wings=tuple(config.wings),
         kinds=tuple(config.kinds),
@@ -60,7 +60,7 @@
 
 
 def default_vocabulary() -> Vocabulary:
-    """The wings and kinds of a configuration that sets none."""
+    """Return the wings and kinds of a configuration that defines none."""
     fields = Gateway.model_fields
     return Vocabulary(
         wings=tuple(fields["wings"].get_default(call_default_factory=True)),
--- a/emberlatch/config/fleet.py
+++ b/emberlatch/config/fleet.py
@@ -32,5 +32,5 @@
 
     @property
     def listen_address(self) -> Address:
-        """The address that this process listens on: `listen`, or its own among the members."""
+        """The address that this process listens on: `listen`, else its own address among the members."""
         return parse_address(self.listen or self.members[self.me])
--- a/emberlatch/config/load.py
+++ b/emberlatch/config/load.py
@@ -22,12 +22,12 @@
 _KEY_PART = re.compile(r"""[A-Za-z0-9_-]+|"[^"]*"|'[^']*'""")
 MAX_FILE_BYTES = 1 << 20
 _KEY_ERROR = "[key]"
-"""Marks, in an error's location, that the key and not its value is invalid."""
+"""The part of a Pydantic error location that means that the key is invalid, not its value."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigProblem:
-    """A problem in a configuration file; its line counts from 1, and 0 means the file itself."""
+    """A problem in a configuration file; lines are counted from 1, and line 0 means the whole file."""
 
     file: str
     line: int
@@ -40,7 +40,7 @@
 
 
 class ConfigError(Exception):
-    """A configuration file is invalid or can't be read; `problems` has every reason, ordered by line."""
+    """Raised when a file is invalid or can't be read; `problems` has every reason, ordered by line."""
 
     def __init__(self, problems: Sequence[ConfigProblem]) -> None:
         super().__init__("; ".join(map(str, problems)))
@@ -57,7 +57,7 @@
 
 
 def parse(data: bytes, name: str) -> Gateway:
-    """Validate a file's contents; `name` is for the problems. Raises ConfigError."""
+    """Validate a file's contents; `name` is the file name that problems show. Raises ConfigError."""
     if len(data) > MAX_FILE_BYTES:
         raise ConfigError([ConfigProblem(name, 0, "", f"is over {MAX_FILE_BYTES} bytes")])
     try:
@@ -80,7 +80,7 @@
 
 
 def _problem(name: str, lines: dict[tuple[str, ...], int], details: ErrorDetails) -> ConfigProblem:
-    """A validation error as a problem, at the line of the nearest enclosing key that the file has."""
+    """Convert a validation error to a problem, at the line of the nearest enclosing key in the file."""
     path = tuple(str(part) for part in details["loc"] if part != _KEY_ERROR)
     known = path
     while known and known not in lines:
@@ -100,22 +100,22 @@
 
 
 def _siblings(path: Sequence[str]) -> list[str]:
-    """The keys that the table at a path may have."""
+    """Return the keys that the table at a path may have."""
     model: type[BaseModel] = Gateway
     for part in path:
         field = _fields_by_key(model).get(part)
         found = list(_models(field.annotation)) if field is not None else []
-        model = found[0] if found else model  # a name that the operator chose has no field of its own
+        model = found[0] if found else model  # a key that the operator chose has no field
     return list(_fields_by_key(model))
 
 
 def _fields_by_key(model: type[BaseModel]) -> dict[str, FieldInfo]:
-    """The fields of a table by their keys in the file."""
+    """Return the fields of a table by their keys in the file."""
     return {field.alias or name: field for name, field in model.model_fields.items()}
 
 
 def _models(annotation: object) -> Iterator[type[BaseModel]]:
-    """The models that a type annotation contains."""
+    """Yield the models that a type annotation contains."""
     if isinstance(annotation, type) and issubclass(annotation, BaseModel):
         yield annotation
     for inner in getattr(annotation, "__args__", ()):
@@ -123,7 +123,7 @@
 
 
 def _lines(text: str) -> dict[tuple[str, ...], int]:
-    """The line of each key and table, which `tomllib` does not keep. The text must be valid TOML."""
+    """Return the line of each key and table, which `tomllib` does not report; needs valid TOML."""
     found: dict[tuple[str, ...], int] = {}
     table: tuple[str, ...] = ()
     for number, line in enumerate(text.split("\n"), 1):
--- a/emberlatch/config/schema.py
+++ b/emberlatch/config/schema.py
@@ -35,7 +35,7 @@
 
 
 class Limits(Section):
-    """Limits of what the process has in flight, in memory and on disk."""
+    """Limits on calls, messages, connections and files of the process."""
 
     calls: Count = 64
     messages: Count = 5000
@@ -47,20 +47,20 @@
 
 
 class Wing(Section):
-    """A zone of the network; `fee` is the cost of an attempt there, in units of a message's `worth`."""
+    """A zone of the network; `fee` is the cost of an attempt in it, in the unit of a message's `worth`."""
 
     fee: Number = 0.0
 
 
 class Kind(Section):
-    """A kind of partner: messages per call, and whether its endpoints are limited and fail separately."""
+    """A kind of partner: messages per call, and whether each endpoint has its own limit and fails alone."""
 
     batch: Annotated[StrictInt, Field(ge=1, le=1000)] = 1
     routes: Literal["separate", "shared"] = "separate"
 
 
 class MessageClass(Section):
-    """A class of messages; `window` and `scope` give how long and where duplicates are dropped."""
+    """A class of messages; partners drop duplicates within `window` seconds at the endpoints of `scope`."""
 
     effect: Literal["safe", "keyed", "unsafe"]
     aim: Duration = 4.0
@@ -69,8 +69,10 @@
     late_share: Annotated[float, Field(ge=0, le=1)] = 0.4
     window: Duration = 0.0
     scope: Literal["all", "wing", "endpoint"] = "wing"
-    durable: Literal["process", "machine", "fleet"] = "process"  # what an accepted message (202) survives
-    cut_off: Literal["own", "least", "refuse"] = "least"  # while no other member is reachable
+    durable: Literal["process", "machine", "fleet"] = "process"
+    """The failure that an accepted message (202) survives."""
+    cut_off: Literal["own", "least", "refuse"] = "least"
+    """The policy while no other member of the fleet is reachable."""
 
     @model_validator(mode="after")
     def _coherent(self) -> MessageClass:
@@ -90,7 +92,7 @@
 
 
 class Rules(Section):
-    """Parameters of the decision module's rules; durations are in seconds once parsed."""
+    """Parameters of the decision module's rules; parsed durations are in seconds."""
 
     drain_grace: Duration = 0.5
     fall_multiple: Annotated[float, Field(gt=0)] = 1.5
@@ -144,7 +146,7 @@
         return parse_address(self.listen)
 
     def at(self, file: Path) -> Gateway:
-        """Set the file that this was read from, which relative paths start from; returns itself."""
+        """Set the file that this was read from; relative paths start at its folder. Returns itself."""
         self._file = file.resolve()
         self._folder = self._file.parent
         return self
@@ -155,5 +157,5 @@
         return self._file
 
     def path(self, text: str) -> Path:
-        """Resolve a path from the configuration: relative ones start from the file's folder."""
+        """Resolve a path from the configuration, relative to the file's folder."""
         return self._folder / text
--- a/emberlatch/config/section.py
+++ b/emberlatch/config/section.py
@@ -9,7 +9,7 @@
 from emberlatch.net.http_connection import parse_address
 
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
-"""A name that the operator chooses, like that of a wing."""
+"""A name that the operator chooses, such as the name of a wing."""
 
 
 def _validate_host_port(text: str) -> str:
--- a/emberlatch/config/units.py
+++ b/emberlatch/config/units.py
@@ -1,4 +1,4 @@
-"""Durations and sizes with their units, as they are written in the configuration file."""
+"""Parses durations and sizes, which the configuration file gives with a unit."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 
 def parse_duration(value: object) -> float:
-    """Seconds of a text like `"500ms"` or `"25s"`; raises ValueError with the remedy."""
+    """Parse a duration like `"500ms"` or `"25s"` to seconds; raises ValueError with the remedy."""
     return _quantity(value, SECONDS_PER_UNIT, "500ms")
 
 
 def parse_size(value: object) -> int:
-    """Bytes of a text like `"64KiB"`; raises ValueError with the remedy."""
+    """Parse a size like `"64KiB"` to bytes; raises ValueError with the remedy."""
     return round(_quantity(value, BYTES_PER_UNIT, "64KiB"))
 
 
 Duration = Annotated[float, BeforeValidator(parse_duration)]
-"""Seconds."""
+"""A duration, in seconds once parsed."""
 
 Size = Annotated[int, BeforeValidator(parse_size)]
-"""Bytes."""
+"""A size, in bytes once parsed."""
--- a/emberlatch/inventory/__init__.py
+++ b/emberlatch/inventory/__init__.py
@@ -1,4 +1,4 @@
-"""Inventories of endpoints in CSV and YAML files: a validated set, or every problem by file and line."""
+"""Reads inventories of endpoints from CSV and YAML files, and reports every problem by file and line."""
 
 from emberlatch.inventory.assembly import assemble
 from emberlatch.inventory.changes import Change, diff
--- a/emberlatch/inventory/assembly.py
+++ b/emberlatch/inventory/assembly.py
@@ -11,7 +11,7 @@
 from typing import cast
 
 from emberlatch.engine import Address
-from emberlatch.inventory.groups import Groups, shown
+from emberlatch.inventory.groups import Groups, format_value
 from emberlatch.inventory.model import (
     Endpoint,
     Inventory,
@@ -36,7 +36,7 @@
 
 
 def assemble(files: Iterable[ParsedFile], vocabulary: Vocabulary = _EMPTY_VOCABULARY) -> Inventory:
-    """The inventory that the files make, in whatever order they come; raises RefusedError."""
+    """Combine the files, in any order, into one inventory; raises RefusedError."""
     return _Assembly(list(files), vocabulary).inventory()
 
 
@@ -85,7 +85,7 @@
         return unique
 
     def _resolved(self, row: Row, partners: Mapping[str, Defaults]) -> FieldValues:
-        """All values of a row: its own, those of its groups, those of its partner, the defaults."""
+        """Return all values of a row, by precedence: its own, its groups', its partner's, the defaults."""
         values = {**self._groups.inherited_by(row), **row.values}
         self._move_partner_name(row, values)
         name = values.get("partner")
@@ -104,7 +104,7 @@
         return values
 
     def _move_partner_name(self, row: Row, values: FieldValues) -> None:
-        """A destination may be given as the partner's name: that is then moved to its own field."""
+        """Move a destination that is a partner's name to the field `partner`."""
         destination = values.get("destination")
         if not isinstance(destination, str):
             return
@@ -114,7 +114,7 @@
         del values["destination"]
 
     def _check_protocols(self, rows: list[ResolvedRow]) -> None:
-        """An AS2 endpoint needs an AS2 profile of its partner, and accepts one message per call."""
+        """Report AS2 endpoints without an AS2 profile or of a kind that accepts several messages per call."""
         for row, values in rows:
             if values["protocol"] != "as2":
                 continue
@@ -128,7 +128,7 @@
                 self._add_problem(row.location("protocol"), "protocol", fault, "a kind with batch = 1")
 
     def _check_unique(self, rows: list[ResolvedRow], field: str) -> None:
-        """No two endpoints may have the same id, or the same address."""
+        """Report each row whose value of `field` (`id` or `address`) an earlier row has."""
         first: dict[FieldValue, ResolvedRow] = {}
         for row, values in rows:
             value = values[field]
@@ -139,9 +139,9 @@
                 continue
             location, wing, first_wing = first_row.location(field), values["wing"], first_values["wing"]
             if INVALID in (wing, first_wing) or wing == first_wing:
-                fault, remedy = f"{shown(value)} is a duplicate", f"once; it stands in {location}"
+                fault, remedy = f"{format_value(value)} is a duplicate", f"once; it stands in {location}"
             else:
-                fault = f"{shown(value)} in {wing} conflicts with {first_wing} in {location}"
+                fault = f"{format_value(value)} in {wing} conflicts with {first_wing} in {location}"
                 remedy = "one wing for one endpoint"
             self._add_problem(row.location(field), field, fault, remedy)
 
@@ -152,7 +152,7 @@
 
 
 def _endpoint(values: FieldValues) -> Endpoint:
-    """The endpoint of a row in which every field is valid."""
+    """Build the endpoint from the values of a row; every value must be valid."""
     return Endpoint(
         id=cast(str, values["id"]),
         address=cast(Address, values["address"]),
--- a/emberlatch/inventory/changes.py
+++ b/emberlatch/inventory/changes.py
@@ -1,4 +1,4 @@
-"""The difference in effect between two inventories, whatever the files and rows they were read from."""
+"""Compares the endpoints of two inventories; their division into files and rows makes no difference."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
     @property
     def endpoint(self) -> Endpoint:
-        """The endpoint's newest form: after the change, or before it if it was removed."""
+        """The endpoint after the change, or before the change if the endpoint was removed."""
         endpoint = self.after or self.before
         assert endpoint is not None
         return endpoint
@@ -41,7 +41,7 @@
 
 
 def _describe(field: str, before: Endpoint, after: Endpoint) -> str:
-    """One changed field, for operators."""
+    """Describe one changed field for operators."""
     match field:
         case "draining":
             return "drains" if after.draining else "serves again"
@@ -58,7 +58,7 @@
 def diff(old: Inventory, new: Inventory) -> list[Change]:
     """The changes from one inventory to the other, ordered by id.
 
-    An endpoint that changed its wing or its destination is removed, and added as another.
+    An endpoint that changed its wing or its destination is reported as one removed and one added.
     """
     return sorted(_changes(old, new), key=lambda change: (change.endpoint.id, change.after is not None))
 
--- a/emberlatch/inventory/csv_format.py
+++ b/emberlatch/inventory/csv_format.py
@@ -16,7 +16,7 @@
 
 
 def parse_csv(text: str, file: str, vocabulary: Vocabulary) -> ParsedFile:
-    """Parse a file's text. The delimiter is comma or semicolon, whichever the header has more of."""
+    """Parse a file's text. The delimiter is comma or semicolon, whichever is more frequent in the header."""
     builder = ParsedFileBuilder(file)
     header = text.partition("\n")[0]
     delimiter = ";" if header.count(";") > header.count(",") else ","
@@ -27,7 +27,7 @@
         for cells in records:
             line, next_line = next_line, records.line_num + 1
             if not any(cell.strip() for cell in cells):
-                continue  # a blank line, or the empty cells that spreadsheets leave at the end
+                continue  # a blank line, or a row of empty cells at the end of a spreadsheet
             if columns is None:
                 columns = _parse_header(builder, line, cells)
             elif len(cells) != len(columns):
@@ -84,6 +84,8 @@
         except FieldError as error:
             values[field] = INVALID
             builder.add_problem(line, field, error.fault, error.remedy)
-    if _GROUP in values:  # the group is invalid: fields that it might have given are not reported as missing
+    if (
+        _GROUP in values
+    ):  # The group is invalid, so fields that it might have set are not reported as missing.
         values |= dict.fromkeys((name for name in columns if name and name not in values), INVALID)
     return row
--- a/emberlatch/inventory/fields.py
+++ b/emberlatch/inventory/fields.py
@@ -1,4 +1,4 @@
-"""The fields of an endpoint: their names, and how the text of a cell is parsed."""
+"""Defines the names of an endpoint's fields, and parses the text of each field."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class FieldError(Exception):
-    """A cell or a field's name is invalid: what is wrong, and the remedy."""
+    """Raised for an invalid cell or field name; `fault` is what is wrong."""
 
     def __init__(self, fault: str, remedy: str = "") -> None:
         super().__init__(f"{fault}; {remedy}")
@@ -47,7 +47,7 @@
 
 
 def field_named(name: str) -> str:
-    """The field that a column's or key's name means; raises FieldError if there is none."""
+    """Return the field for the name of a column or key; raises FieldError if the name is unknown."""
     name = name.strip()
     if name in FIELDS:
         return name
@@ -59,16 +59,16 @@
 
 
 def parse(field: str, text: str, vocabulary: Vocabulary) -> ParsedValue:
-    """The value of a cell that is not empty; raises FieldError.
+    """Parse a cell that is not empty; raises FieldError.
 
-    An address is (host, port), a destination int or str, a limit float (calls per second), tags a tuple, a
-    phase True if the endpoint drains; all others are str.
+    Returns (host, port) for an address, an int or str for a destination, a float (calls per second) for a
+    limit, a tuple for tags, True for the phase `draining`, and a str for every other field.
     """
     return _PARSERS[field](_checked_text(text), vocabulary)
 
 
 def parse_id(text: str) -> str:
-    """An id of an endpoint or a group; raises FieldError."""
+    """Parse the id of an endpoint or a group; raises FieldError."""
     return _id(_checked_text(text))
 
 
--- a/emberlatch/inventory/file_set.py
+++ b/emberlatch/inventory/file_set.py
@@ -18,20 +18,21 @@
 
 
 class InventoryFiles:
-    """Reads files as they become stable. All methods block on I/O and parsing: they are for a thread."""
+    """Reads files as they become stable. All methods block on I/O or parsing: call them in a thread."""
 
     def __init__(self, paths: Sequence[Path], quiet_period_s: float, vocabulary: Vocabulary) -> None:
         self._paths, self._vocabulary, self._quiet_period_s = paths, vocabulary, quiet_period_s
         self._stability = StabilityTracker(quiet_period_s)
         self._parsed: dict[str, PackedFile] = {}
         self.waiting: dict[str, str] = {}
-        """Files that are not read yet, and why."""
+        """Path of each file that has not been read yet -> the reason."""
 
     def read_first(self, now: float, wall: float, trusting: bool) -> None:
-        """Read what is there at the start; raises RefusedError if a path does not exist.
+        """Read the files that exist at the start; raises RefusedError if a configured path does not exist.
 
-        Files so young that they may be half written are left for later scans, unless `trusting`: there
-        is no inventory to fall back to then. `now` is monotonic time, `wall` Unix time, in seconds.
+        A file that was modified within the quiet period may be half written: it is read by a later scan.
+        With `trusting` it is read now, because there is no other inventory to use. `now` is monotonic
+        time, `wall` Unix time, in seconds.
         """
         if missing := missing_paths(self._paths):
             raise RefusedError(missing)
@@ -43,7 +44,7 @@
         self.waiting = self._stability.scan(now, found).waiting
 
     def update(self, now: float, forced: bool) -> bool:
-        """Read the files that are stable now; whether any was read or deleted. Raises RefusedError."""
+        """Read the files that are stable; returns whether any was read or deleted. Raises RefusedError."""
         result = self._stability.scan(now, scan(self._paths), forced)
         self.waiting = result.waiting
         were_read = [self._read(path, None) for path in result.to_read]
@@ -54,11 +55,14 @@
         return any(were_read) or bool(result.deleted)
 
     def _read(self, path: str, expected: FileSignature | None) -> bool:
-        """Read and parse a file, if its signature is the expected one (None: any)."""
+        """Read and parse a file; returns False if it can't be read or its signature is not `expected`.
+
+        If `expected` is None, every signature is accepted.
+        """
         try:
             signature, data = read(path)
         except UnstableFileError:
-            return False  # the next scan finds another signature
+            return False  # the next scan finds a new signature
         except OSError as error:
             log.warning("inventory file %s cannot be read: %s", path, error.strerror)
             return False
@@ -69,5 +73,5 @@
         return True
 
     def assemble(self) -> Inventory:
-        """The inventory that the files make; raises RefusedError."""
+        """Combine the files that were read into one inventory; raises RefusedError."""
         return assemble((packed.unpack() for packed in self._parsed.values()), self._vocabulary)
--- a/emberlatch/inventory/groups.py
+++ b/emberlatch/inventory/groups.py
@@ -1,4 +1,4 @@
-"""The YAML groups of all files together, and the values that rows inherit from them."""
+"""Merges the YAML groups of all files, and determines the values that rows inherit from them."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 """Receives a location, a field (may be empty), what is wrong there, and the remedy."""
 
 _FIELDS_OF_GROUPS = ("partner", "kind", "wing", "destination")
-"""Fields that an undefined group might have given: they are not reported as missing as well."""
+"""Fields that an undefined group might have set; a row of it is not also reported for missing them."""
 
 
 class Groups:
-    """All groups, checked: each has one parent, and one value for each field."""
+    """The groups of all files; reports a group with two parents, or with two values of one field."""
 
     def __init__(self, definitions: Iterable[Defaults], add_problem: AddProblem) -> None:
-        """Take the definitions in the order of files and lines; a conflict is reported at the later one."""
+        """Merge the definitions, ordered by file and line; a conflict is reported at the later one."""
         self._add_problem = add_problem
         self._values: dict[str, FieldValues] = {ROOT_GROUP: {}}
         self._parents: dict[str, str] = {}
@@ -38,7 +38,9 @@
             location = SourceLocation(definition.file, definition.lines[field])
             first = self._value_locations.setdefault((name, field), location)
             if field in values and values[field] != value and INVALID not in (value, values[field]):
-                fault = f"{shown(value)} for group {name!r} is {shown(values[field])} in {first}"
+                fault = (
+                    f"{format_value(value)} for group {name!r} is {format_value(values[field])} in {first}"
+                )
                 self._add_problem(location, field, fault, "one value for a group")
             values.setdefault(field, value)
 
@@ -55,14 +57,14 @@
             del self._parents[name]
 
     def _ancestry(self, name: str) -> list[str]:
-        """The group and its ancestors, the nearest first, the root group last."""
+        """The group and its ancestors, from the group itself to the root group."""
         ancestry = [name]
         while (parent := self._parents.get(ancestry[-1])) is not None and parent not in ancestry:
             ancestry.append(parent)
         return ancestry if ROOT_GROUP in ancestry else [*ancestry, ROOT_GROUP]
 
     def _merged(self, name: str) -> FieldValues:
-        """The values that the nearest ancestor gives."""
+        """Merge the values of a group and its ancestors; the nearest definition takes precedence."""
         return {
             field: value
             for group in reversed(self._ancestry(name))
@@ -70,7 +72,7 @@
         }
 
     def inherited_by(self, row: Row) -> FieldValues:
-        """The values that a row inherits; an undefined group is reported."""
+        """Return the values that a row inherits; report its group if that is not defined."""
         name = row.group or ROOT_GROUP
         if name not in self._inherited:
             fault = f"{name!r} is not defined"
@@ -79,8 +81,8 @@
         return self._inherited[name]
 
 
-def shown(value: FieldValue) -> str:
-    """A value as problems quote it."""
+def format_value(value: FieldValue) -> str:
+    """Format a value for the text of a problem."""
     if not isinstance(value, tuple):
         return f"{value!r}"
     match value:
--- a/emberlatch/inventory/last_good.py
+++ b/emberlatch/inventory/last_good.py
@@ -1,4 +1,4 @@
-"""The last good inventory in the state folder: a restart uses it while the inventory files are invalid.
+"""Stores the last good inventory in the state folder, for restarts while the inventory files are invalid.
 
 The file has JSON lines: a header with version, time and digest, then one endpoint per line.
 """
@@ -30,12 +30,12 @@
     "draining": "draining",
     "tags": "tags",
 }
-"""Attribute of `Endpoint` -> key in the file, in the order of the file. The keys never change."""
+"""Attribute of `Endpoint` -> key in the file, in the order of the file. The keys must never change."""
 
 
 @dataclass(frozen=True, slots=True)
 class LastGoodInventory:
-    """An inventory and when it came into force (Unix time in seconds)."""
+    """An inventory, and the Unix time in seconds from which the gateway used it."""
 
     inventory: Inventory
     taken_at: float
@@ -46,11 +46,12 @@
 
 
 def save(folder: Path, inventory: Inventory, taken_at: float) -> None:
-    """Replace the stored inventory; raises OSError, and then the stored one stays as it was."""
+    """Replace the stored inventory; if that raises OSError, the stored inventory is unchanged."""
     new = folder / f"{FILE_NAME}.new"
     header = {"version": _FORMAT_VERSION, "taken": taken_at, "digest": inventory.digest}
-    # One `json.dumps` of everything would block the event loop for its duration. So would many small writes:
-    # a thread that releases the interpreter lock for an instant, again and again, starves a waiting one.
+    # A single `json.dumps` call for all endpoints would block the event loop for its duration. Many small
+    # writes would too: a thread that repeatedly releases the interpreter lock for an instant starves the
+    # thread that waits for the lock.
     with new.open("w", buffering=WRITE_BUFFER_BYTES) as file:
         for document in chain([header], map(_to_document, inventory.endpoints.values())):
             file.write(json.dumps(document, separators=(",", ":")) + "\n")
@@ -58,7 +59,7 @@
 
 
 def load(folder: Path) -> LastGoodInventory | None:
-    """The stored inventory; None if there is none, if it can't be read or if its digest doesn't match."""
+    """Load the stored inventory; None if none is stored, it can't be read or its digest doesn't match."""
     try:
         with (folder / FILE_NAME).open() as file:
             header = json.loads(file.readline())
--- a/emberlatch/inventory/membership.py
+++ b/emberlatch/inventory/membership.py
@@ -1,4 +1,4 @@
-"""The inventory as the engine's membership: watches the files, and reports changes in effect."""
+"""The engine's membership from an inventory: watches the files, and reports changed endpoints."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class InventoryMembership:
-    """Keeps one valid inventory in force, and gives every update of it to `on_update`."""
+    """Keeps one valid inventory in use, and passes each update of it to `on_update`."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         on_update: Callable[[DirectoryUpdate, Addresses], None],
         tasks: Tasks,
     ) -> None:
-        """Load the inventory to start with; raises RefusedError if there is none."""
+        """Load the first inventory; raises RefusedError if neither files nor state folder have one."""
         self._files = InventoryFiles(paths, quiet_period_s, vocabulary)
         self._state_folder, self._vocabulary = state_folder, vocabulary
         self._poll_interval_s = poll_interval_s
@@ -47,13 +47,13 @@
         self._scan_lock = asyncio.Lock()
         self.inventory = Inventory(())
         self.taken_at = 0.0
-        """When the inventory in force was taken: Unix time in seconds."""
+        """Unix time, in seconds, from which the current inventory was used."""
         self.problems: tuple[Problem, ...] = ()
-        """Why the newest files are not in force; empty if they are."""
+        """Why the newest files are not in use; empty if they are."""
         self._load_first()
 
     def _load_first(self) -> None:
-        """Use the files if they are valid and complete, else the last good inventory."""
+        """Use the files if they are valid and completely written, else the last good inventory."""
         last = last_good.load(self._state_folder)
         if last is not None and not _fits(last.inventory, self._vocabulary):
             last = None
@@ -77,7 +77,7 @@
 
     @property
     def waiting(self) -> Mapping[str, str]:
-        """Files that are not read yet, and why."""
+        """Path of each file that has not been read yet -> the reason."""
         return self._files.waiting
 
     def named(self, partner: str) -> int | None:
@@ -85,7 +85,7 @@
         return self.inventory.names.get(partner)
 
     def start(self) -> None:
-        """Report all endpoints, none of them as newly added, and watch the files from now on."""
+        """Report all endpoints, without a slow start for any, and start to watch the files."""
         entries = tuple(self._entry(endpoint) for endpoint in self.inventory.endpoints.values())
         addresses = {target: endpoint.address for target, endpoint in self.inventory.endpoints.items()}
         self._revision += 1
@@ -127,7 +127,7 @@
                 await self._apply(new)
 
     def _read_files(self, forced: bool) -> Inventory | None:
-        """In a thread: the new inventory, or None if no file has changed."""
+        """Read changed files and return the new inventory, None if no file has changed. Runs in a thread."""
         with _garbage_collection_paused():
             if not self._files.update(time.monotonic(), forced):
                 return None
@@ -140,18 +140,22 @@
         for problem in self.problems[:MAX_LOGGED_PROBLEMS]:
             log.error("inventory: %s", problem)
         if self.problems:
-            log.error("%d problems; set %s stays in force", len(self.problems), self.inventory.digest)
+            log.error(
+                "inventory has %d problems; set %s stays in use", len(self.problems), self.inventory.digest
+            )
         else:
-            log.warning("inventory files may be half saved: %s", error)
+            log.warning("inventory files may be incompletely written: %s", error)
 
     async def _apply(self, new: Inventory) -> None:
         changes = await asyncio.to_thread(diff, self.inventory, new)
         if not changes:
             return
-        log.info("inventory set %s taken: %d changes, %d endpoints", new.digest, len(changes), len(new))
+        log.info(
+            "inventory set %s is now in use: %d changes, %d endpoints", new.digest, len(changes), len(new)
+        )
         self.inventory, self.taken_at = new, time.time()
-        # Removals and drains go first: they must be in effect within 500 ms, and an endpoint that changes its
-        # wing must not be in two.
+        # Removals and drains are reported first: they must take effect within 500 ms, and an endpoint that
+        # changes its wing must not be in two wings at once.
         changes.sort(key=lambda c: (c.after is not None, c.after is not None and not c.after.draining))
         for start in range(0, len(changes), CHANGES_PER_UPDATE):
             self._report_changes(changes[start : start + CHANGES_PER_UPDATE])
@@ -193,9 +197,9 @@
 
 @contextmanager
 def _garbage_collection_paused() -> Iterator[None]:
-    """Keep the collector from walking all new objects, which would stall the event loop.
+    """Pause the garbage collector: its traversal of all new objects would stall the event loop.
 
-    The objects have no cycles, so none of them needs the collector.
+    The new objects have no reference cycles, so they don't need the collector.
     """
     gc.disable()
     try:
@@ -205,7 +209,7 @@
 
 
 def _fits(inventory: Inventory, vocabulary: Vocabulary) -> bool:
-    """Whether a stored inventory is still valid under the configuration."""
+    """Return whether a stored inventory is still valid under the configuration."""
     return all(
         e.wing in vocabulary.wings
         and e.kind in vocabulary.kinds
--- a/emberlatch/inventory/model.py
+++ b/emberlatch/inventory/model.py
@@ -10,7 +10,7 @@
 from emberlatch.engine import Address
 
 FIRST_DERIVED_DESTINATION = 10**9
-"""Destination numbers from here on are derived from partner names; smaller ones are assigned by people."""
+"""The lowest destination number that is derived from a partner's name; people assign lower numbers."""
 
 _DIGEST_BYTES = 6
 
@@ -41,7 +41,7 @@
 
 
 class RefusedError(Exception):
-    """The files do not make a valid inventory; `problems` has every reason, at least one."""
+    """Raised when the files are not a valid inventory; `problems` has every reason, at least one."""
 
     def __init__(self, problems: Sequence[Problem]) -> None:
         super().__init__(f"{len(problems)} problems, the first: {problems[0]}")
@@ -82,20 +82,20 @@
         """The endpoint's identity in the decision module and in the journal.
 
         The wing is part of it: an endpoint that moved to another wing is a new one, since a keyed
-        message that may have run in the old wing must not be repeated in the new one. So is the
-        destination, because only its messages may be sent there.
+        message that may have run in the old wing must not be repeated in the new one. The destination is
+        part of it because only messages to that destination may be sent to the endpoint.
         """
         return f"{self.id}@{self.wing}/{self.destination}".encode()
 
     @property
     def host_port(self) -> str:
-        """The address in the form that the files have, IPv6 in brackets."""
+        """The address as in inventory files, with IPv6 in brackets."""
         host, port = self.address
         return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
     @property
     def phase(self) -> str:
-        """The phase in the form that the files have: `serving` or `draining`."""
+        """The phase as in inventory files: `serving` or `draining`."""
         return "draining" if self.draining else "serving"
 
 
@@ -118,9 +118,9 @@
         return len(self.endpoints)
 
     def sharing(self, other: Inventory) -> Inventory:
-        """This inventory, with equal endpoints replaced by the objects of `other`.
+        """Replace endpoints by equal objects of `other`; returns this inventory.
 
-        After a small change few new objects stay alive, and the garbage collector has little to walk.
+        After a small change few new objects stay alive, so the garbage collector has few to traverse.
         """
         for target, endpoint in self.endpoints.items():
             if other.endpoints.get(target) == endpoint:
@@ -142,7 +142,7 @@
 
 
 def _canonical_form(endpoint: Endpoint) -> str:
-    """The text of an endpoint that is hashed: stored digests depend on each character of it."""
+    """Format an endpoint for the digest; stored digests depend on each character of the text."""
     return (
         f"Endpoint(id={endpoint.id!r}, address={endpoint.address!r}, partner={endpoint.partner!r}, "
         f"destination={endpoint.destination!r}, kind={endpoint.kind!r}, wing={endpoint.wing!r}, "
@@ -152,6 +152,6 @@
 
 
 def destination_number(partner: str) -> int:
-    """The number derived from a partner's name, where none is assigned: equal in every file and process."""
+    """Derive the number of a partner without an assigned one; it is the same in every file and process."""
     digest = hashlib.blake2b(partner.encode(), digest_size=_DIGEST_BYTES).digest()
     return FIRST_DERIVED_DESTINATION + int.from_bytes(digest, "big")
--- a/emberlatch/inventory/parsed_file.py
+++ b/emberlatch/inventory/parsed_file.py
@@ -12,7 +12,7 @@
 
 
 class Invalid:
-    """Stands for a value that is reported already, so that later checks report nothing more about it."""
+    """Marks a value whose problem is already reported, so that later checks don't report it again."""
 
     def __reduce__(self) -> str:
         return "INVALID"  # there is one instance, also after unpickling
@@ -24,15 +24,15 @@
 """A valid value of a field, as `fields.parse` returns it."""
 
 FieldValue = ParsedValue | Invalid | None
-"""A value of a row: None where it is not known."""
+"""A value of a row; None if the value is not known."""
 
 FieldValues = dict[str, FieldValue]
-"""Values by field."""
+"""Field name -> value."""
 
 
 @dataclass(slots=True)
 class Row:
-    """An endpoint as it was written; `lines` has the fields that are not on the row's own line."""
+    """An endpoint as in its file; `lines` has the line of each field that is not on the row's own line."""
 
     file: str
     line: int
@@ -41,7 +41,7 @@
     lines: dict[str, int] | None = None
 
     def location(self, name: str = "") -> SourceLocation:
-        """Where a field was written."""
+        """Return where a field was written, or where the row was if the field has no line of its own."""
         return SourceLocation(self.file, (self.lines or {}).get(name, self.line))
 
 
@@ -72,14 +72,14 @@
     problems: list[Problem] = field(default_factory=list)
 
 
-_ROWS_PER_CHUNK = 500  # unpickling a chunk keeps the interpreter lock
+_ROWS_PER_CHUNK = 500  # unpickling a chunk blocks all other threads: it does not release the interpreter lock
 
 
 class PackedFile:
     """A parsed file in pickled form, kept in memory until another file changes.
 
-    Kept as objects, the rows of a large inventory would be walked by each full garbage collection,
-    which stalls the event loop.
+    If the rows of a large inventory were kept as objects, each full garbage collection would traverse
+    them, which stalls the event loop.
     """
 
     def __init__(self, parsed: ParsedFile) -> None:
@@ -90,7 +90,7 @@
         self._row_chunks = [pickle.dumps(chunk) for chunk in chunks]
 
     def unpack(self) -> ParsedFile:
-        """A new copy of the parsed file."""
+        """Return a new copy of the parsed file."""
         parsed: ParsedFile = pickle.loads(self._rest)
         parsed.rows = [row for chunk in self._row_chunks for row in _unpickled(chunk)]
         return parsed
@@ -101,7 +101,7 @@
 
 
 class ParsedFileBuilder:
-    """Collects what a parser finds in one file."""
+    """Collects the rows, groups, partners and problems that a parser finds in one file."""
 
     def __init__(self, file: str) -> None:
         self.file, self.parsed = file, ParsedFile()
--- a/emberlatch/inventory/partners.py
+++ b/emberlatch/inventory/partners.py
@@ -1,4 +1,4 @@
-"""The names and destination numbers of partners: one spelling of each name, one number per name and back.
+"""Checks that each partner has one spelling and one destination number, and each number one partner.
 
 A conflict is reported at each row of the minority, with the location of a row of the majority.
 """
@@ -20,7 +20,7 @@
 
 
 def unify_spelling(rows: list[ResolvedRow], partners: Iterable[Defaults], add_problem: AddProblem) -> None:
-    """Report each name that is spelt unlike the majority, and replace it by the majority's spelling."""
+    """Report each name whose spelling is not the most frequent one, and replace it by that spelling."""
     spellings: dict[str, dict[str, list[SourceLocation]]] = {}
     for row, values in rows:
         if isinstance(name := values["partner"], str):
@@ -38,7 +38,7 @@
 
 
 def assign_destinations(rows: list[ResolvedRow], add_problem: AddProblem) -> None:
-    """Complete the partner's name and the destination number of every row, each from the other."""
+    """Derive the partner's name or the destination number of each row that has only one of them."""
     number_of = _assigned_numbers(rows, add_problem)
     name_of = _names_by_number(rows, number_of, add_problem)
     derived: dict[int, str] = {}
@@ -59,7 +59,7 @@
 
 
 def _assigned_numbers(rows: list[ResolvedRow], add_problem: AddProblem) -> dict[str, int]:
-    """The number of each partner that has one in a file."""
+    """Return the destination number of each partner that has one in a row."""
     uses: dict[str, dict[int, list[SourceLocation]]] = {}
     for row, partner, number in _rows_with_both(rows):
         uses.setdefault(partner, {}).setdefault(number, []).append(row.location("destination"))
@@ -72,7 +72,7 @@
 def _names_by_number(
     rows: list[ResolvedRow], number_of: dict[str, int], add_problem: AddProblem
 ) -> dict[int, str]:
-    """The partner of each number that is in a file."""
+    """Return the partner of each destination number that a row has."""
     uses: dict[int, dict[str, list[SourceLocation]]] = {}
     for row, partner, _ in _rows_with_both(rows):
         names = uses.setdefault(number_of[partner], {})
@@ -96,7 +96,7 @@
     describe: Callable[[_Value, _Value], str],
     add_problem: AddProblem,
 ) -> _Value:
-    """The value with the most uses (of equal ones the first); each use of another value is reported."""
+    """Return the most frequent value, on a tie the first, and report each use of another value."""
     majority = min(uses, key=lambda value: (-len(uses[value]), uses[value][0]))
     for value, locations in uses.items():
         if value == majority:
@@ -107,5 +107,5 @@
 
 
 def _folded(name: str) -> str:
-    """A name without case and separators: names that differ only in these are one name."""
+    """Remove case and separators from a name; names that differ only in these are the same name."""
     return re.sub(r"[ ._-]", "", name).casefold()
--- a/emberlatch/inventory/reader.py
+++ b/emberlatch/inventory/reader.py
@@ -27,13 +27,13 @@
 
 
 class UnstableFileError(Exception):
-    """A file changed while it was read, or may still be being written."""
+    """Raised when a file changed while it was read, or may not be completely written."""
 
 
 def scan(paths: Iterable[Path]) -> dict[str, FileSignature]:
-    """The signatures of the inventory files at and under `paths`, by path.
+    """Return the signature of each inventory file at and under `paths`, by path.
 
-    Within folders, hidden files, backups and other file name extensions are ignored. Raises RefusedError
+    In folders, hidden files, backups and files with other extensions are ignored. Raises RefusedError
     if there are too many files.
     """
     found: dict[str, FileSignature] = {}
@@ -60,9 +60,9 @@
 
 
 def read(path: str) -> tuple[FileSignature, bytes]:
-    """A file's signature and contents.
+    """Return a file's signature and contents.
 
-    Raises UnstableFileError if the file was written meanwhile, OSError if it can't be read.
+    Raises UnstableFileError if the file was written during the read, OSError if it can't be read.
     """
     with open(path, "rb") as file:
         before = os.fstat(file.fileno())
@@ -80,7 +80,7 @@
 
 
 def parse(data: bytes, file: str, vocabulary: Vocabulary) -> ParsedFile:
-    """Parse a file's contents; its name's extension gives the format."""
+    """Parse a file's contents in the format that the extension of its name gives."""
     builder = ParsedFileBuilder(file)
     parser = PARSERS.get(Path(file).suffix.lower())
     if parser is None:
@@ -103,9 +103,9 @@
 
 
 def _non_text_positions(text: str) -> Iterator[int]:
-    """Where control characters and undecodable bytes are.
+    """Yield the positions of control characters and undecodable bytes.
 
-    The search goes in chunks, since it keeps the interpreter lock for the duration of a call.
+    The text is searched in chunks because a search call does not release the interpreter lock.
     """
     for start in range(0, len(text), SEARCH_CHUNK_CHARACTERS):
         for match in _NON_TEXT.finditer(text, start, start + SEARCH_CHUNK_CHARACTERS):
@@ -113,7 +113,7 @@
 
 
 def _describe_character(character: str) -> str:
-    """A control character, or a byte that is not UTF-8."""
+    """Describe a control character, or a byte that is not UTF-8."""
     code = ord(character)
     if code >= _FIRST_SURROGATE_ESCAPE:
         return f"the byte {code - _FIRST_SURROGATE_ESCAPE:#04x}"
@@ -121,7 +121,7 @@
 
 
 def load(paths: Iterable[Path], vocabulary: Vocabulary) -> Inventory:
-    """Read an inventory once, as its files are now; raises RefusedError with every problem."""
+    """Read an inventory once from its current files; raises RefusedError with every problem."""
     paths = list(paths)
     parsed: list[ParsedFile] = []
     unread: list[Problem] = []
@@ -139,5 +139,5 @@
 
 
 def missing_paths(paths: Iterable[Path]) -> list[Problem]:
-    """A problem for each configured path that does not exist."""
+    """Return a problem for each configured path that does not exist."""
     return [Problem(SourceLocation(str(path), 1), "", "is not there") for path in paths if not path.exists()]
--- a/emberlatch/inventory/stability.py
+++ b/emberlatch/inventory/stability.py
@@ -12,38 +12,38 @@
 from dataclasses import dataclass, field
 
 FORCED_QUIET_PERIOD_S = 0.2
-"""The quiet period, at most, of a scan that an operator asked for."""
+"""The longest quiet period of a scan that an operator requested."""
 
 
 @dataclass(frozen=True, slots=True)
 class FileSignature:
-    """What `stat` returns of a file; every write and every rename changes it."""
+    """Parts of a file's `stat` result; every write and every rename changes at least one of them."""
 
     device: int
     inode: int
     size: int
     modified_ns: int
-    changed_ns: int  # the last change of contents or name
+    changed_ns: int  # time of the last change of contents or name
 
     def replaces(self, before: FileSignature | None) -> bool:
-        """Whether the file, complete, was renamed over the one with the signature `before`."""
+        """Return whether a complete file was renamed over the file with the signature `before`."""
         another_file = before is None or (self.device, self.inode) != (before.device, before.inode)
         return another_file and self.size > 0 and self.changed_ns > self.modified_ns
 
 
 @dataclass(slots=True)
 class ScanResult:
-    """What to do after a scan, by path: files to read, files that were deleted, and unstable files."""
+    """The result of a scan, by path: files to read, files that were deleted, and unstable files."""
 
     to_read: list[str] = field(default_factory=list)
     deleted: list[str] = field(default_factory=list)
-    waiting: dict[str, str] = field(default_factory=dict)  # why each is not stable yet
+    waiting: dict[str, str] = field(default_factory=dict)  # path -> why the file is not stable yet
 
 
 class StabilityTracker:
-    """Knows the signatures of the files in use, and since when a changed file has been stable.
+    """Tracks the signatures of the files in use, and for how long each changed file has been stable.
 
-    All times are seconds of one monotonic clock, which the caller reads.
+    All times are in seconds of one monotonic clock, which the caller reads.
     """
 
     def __init__(self, quiet_period_s: float) -> None:
@@ -70,7 +70,7 @@
         return result
 
     def _stable_for(self, path: str, signature: FileSignature | None, now: float) -> float:
-        """Since how many seconds a changed file has had this signature."""
+        """Return for how many seconds a changed file has had this signature."""
         pending = self._pending.get(path)
         if pending is None or pending[0] != signature:
             self._pending[path] = signature, now
@@ -78,12 +78,12 @@
         return now - pending[1]
 
     def mark_read(self, path: str, signature: FileSignature) -> None:
-        """A file was read, with the same signature before and after."""
+        """Record that a file was read, and had the same signature before and after."""
         self._in_use[path] = signature
         self._pending.pop(path, None)
 
     def forget(self, path: str) -> None:
-        """A file was deleted for good."""
+        """Stop tracking a file that was deleted."""
         self._in_use.pop(path, None)
         self._pending.pop(path, None)
 
--- a/emberlatch/inventory/writer.py
+++ b/emberlatch/inventory/writer.py
@@ -11,14 +11,14 @@
 from emberlatch.inventory.model import FIRST_DERIVED_DESTINATION, Endpoint, Inventory
 
 _GROUP_FIELDS = ("id", "kind", "wing")
-"""Fields that YAML gives by the host's key and its group."""
+"""Fields that a YAML file gives in the host's key and the group's vars."""
 
 _NUMBERS = ("limit", "destination")
 _MAX_GROUP_CHARACTERS = 64
 
 
 def cells(endpoint: Endpoint) -> dict[str, str]:
-    """The cells of an endpoint by field; empty where a reader derives the value itself."""
+    """Return the cells of an endpoint by field; empty where the reader derives the value."""
     derived = endpoint.destination >= FIRST_DERIVED_DESTINATION
     return {
         "id": endpoint.id,
@@ -35,7 +35,7 @@
 
 
 def to_csv(inventory: Inventory) -> str:
-    """All endpoints, ordered by id, after a header."""
+    """Return CSV text with a header and all endpoints, ordered by id."""
     text = io.StringIO()
     writer = csv.DictWriter(text, FIELDS, lineterminator="\n")
     writer.writeheader()
@@ -44,7 +44,7 @@
 
 
 def to_yaml(inventory: Inventory) -> str:
-    """All endpoints, ordered by id within one group per kind and wing."""
+    """Return YAML text with one group per kind and wing, and its endpoints ordered by id."""
     return "".join(f"{line}\n" for line in _yaml_lines(inventory))
 
 
@@ -70,4 +70,4 @@
 
 
 def _quoted(text: str) -> str:
-    return json.dumps(text, ensure_ascii=False)  # a JSON string is a YAML one
+    return json.dumps(text, ensure_ascii=False)  # every JSON string is a valid YAML string
--- a/emberlatch/inventory/yaml_format.py
+++ b/emberlatch/inventory/yaml_format.py
@@ -1,4 +1,4 @@
-"""Parses inventory files in YAML, as configuration tools keep them: groups with vars, hosts and children."""
+"""Parses inventory files in YAML, structured like those of configuration tools: vars, hosts, children."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
                 self._group(key, value, None)
 
     def _items(self, node: Node, what: str) -> list[tuple[Scalar, Node]]:
-        """The items of a mapping; an empty value is an empty mapping."""
+        """Return the items of a mapping; an empty value counts as an empty mapping, others are reported."""
         if isinstance(node, Mapping):
             return list(node.items.values())
         if not (isinstance(node, Scalar) and node.empty):
@@ -98,7 +98,7 @@
     def _values(
         self, node: Node, what: str, forbidden: tuple[str, ...]
     ) -> tuple[FieldValues, dict[str, int]]:
-        """The fields of a mapping, and the line of each."""
+        """Return the values of a mapping by field, and the line of each field."""
         values: FieldValues = {}
         lines: dict[str, int] = {}
         for key, value in self._items(node, what):
@@ -117,7 +117,7 @@
         return values, lines
 
     def _value(self, field: str, node: Node) -> FieldValue:
-        """The value of a node; INVALID, and a problem, if it has none."""
+        """Return the value of a node; report an invalid one and return INVALID."""
         try:
             if isinstance(node, Sequence) and field == "tags":
                 texts = [self._text(field, item) for item in node.items]
--- a/emberlatch/inventory/yaml_nodes.py
+++ b/emberlatch/inventory/yaml_nodes.py
@@ -1,4 +1,4 @@
-"""YAML as a tree of nodes with line numbers, without any construct that YAML readers disagree about.
+"""Composes YAML as a tree of nodes with line numbers, and reports constructs that YAML readers disagree on.
 
 The nodes are composed from PyYAML's parser events, not by its loader: the loader resolves by YAML 1.1
 (`no` is false there), follows aliases, and keeps the last of two equal keys.
@@ -49,7 +49,7 @@
         return self.plain and self.text in ("", "~", "null")
 
     def ambiguity(self, numbers: bool) -> str:
-        """Why another YAML reader could take the scalar for something else than text; empty if none could.
+        """Why another YAML reader could interpret the scalar as something other than text, or an empty text.
 
         Plain numbers are unambiguous where a number is expected.
         """
@@ -81,7 +81,7 @@
 
 
 class _CompositionError(Exception):
-    """The rest of the text can't be composed; the reason is reported already."""
+    """Raised when the rest of the text can't be composed; the reason has been reported."""
 
 
 class _Composer:
@@ -89,7 +89,7 @@
         self._events, self._report = events, report
 
     def document(self) -> Node | None:
-        """The only document; None if there is none."""
+        """Compose the only document; None if the text has none."""
         for event in self._events:
             if isinstance(event, yaml.DocumentStartEvent):
                 root = self._node(next(self._events), 0)
@@ -120,7 +120,9 @@
                 items.append(self._node(inner, depth + 1))
             return Sequence(line, items)
         assert isinstance(event, yaml.ScalarEvent)
-        return Scalar(event.value, not event.style, line)  # the C parser gives "" for a plain scalar's style
+        return Scalar(
+            event.value, not event.style, line
+        )  # the C parser gives "" as the style of a plain scalar
 
     def _mapping(self, line: int, depth: int) -> Mapping:
         mapping = Mapping(line)
@@ -144,10 +146,9 @@
 
 
 def compose(text: str, report: ReportProblem) -> Node | None:
-    """The root node of a text; None if the text is empty or can't be composed (which is reported)."""
-    loader = getattr(
-        yaml, "CSafeLoader", yaml.SafeLoader
-    )  # the C parser is optional, and gives the same events
+    """Compose a text; returns its root node, None if it is empty or can't be composed (which is reported)."""
+    # The C parser is optional, and gives the same events.
+    loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
     try:
         return _Composer(yaml.parse(text, Loader=loader), report).document()
     except yaml.MarkedYAMLError as error:
