--- a/emberlatch/config/load.py
+++ b/emberlatch/config/load.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigProblem:
-    """A problem in a configuration file; lines are counted from 1, and line 0 means the whole file."""
+    """A problem in a configuration file; lines are counted from 1, and line 0 means the file itself."""
 
     file: str
     line: int
--- a/emberlatch/inventory/csv_format.py
+++ b/emberlatch/inventory/csv_format.py
@@ -84,8 +84,7 @@
         except FieldError as error:
             values[field] = INVALID
             builder.add_problem(line, field, error.fault, error.remedy)
-    if (
-        _GROUP in values
-    ):  # The group is invalid, so fields that it might have set are not reported as missing.
+    if _GROUP in values:
+        # The group is invalid. Fields that it might have set must not be reported as missing.
         values |= dict.fromkeys((name for name in columns if name and name not in values), INVALID)
     return row
--- a/emberlatch/inventory/file_set.py
+++ b/emberlatch/inventory/file_set.py
@@ -30,9 +30,9 @@
     def read_first(self, now: float, wall: float, trusting: bool) -> None:
         """Read the files that exist at the start; raises RefusedError if a configured path does not exist.
 
-        A file that was modified within the quiet period may be half written: it is read by a later scan.
-        With `trusting` it is read now, because there is no other inventory to use. `now` is monotonic
-        time, `wall` Unix time, in seconds.
+        A file that was modified within the quiet period, and not renamed into place, may be half
+        written: a later scan reads it. With `trusting` it is read now, because there is no other inventory
+        to use. `now` is monotonic time, `wall` Unix time, in seconds.
         """
         if missing := missing_paths(self._paths):
             raise RefusedError(missing)
