--- a/emberlatch/demo/__init__.py
+++ b/emberlatch/demo/__init__.py
@@ -1,4 +1,4 @@
-"""A demonstration: the gateway under traffic, with stand-in partners of which one stops responding."""
+"""A demonstration: the gateway under traffic to stand-in partners, one of which stops responding."""
 
 from emberlatch.demo.run import Progress, run
 from emberlatch.demo.statistics import DemoPhase, DemoStatistics, PhaseSummary, Summary
--- a/emberlatch/demo/processes.py
+++ b/emberlatch/demo/processes.py
@@ -61,7 +61,7 @@
 
 
 def free_port() -> int:
-    """A TCP port of the loopback address that nobody listens on at the moment."""
+    """Return a TCP port of the loopback address on which no process listens at the moment."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         port: int = listener.getsockname()[1]
     return port
@@ -74,7 +74,7 @@
     stdout: int | None = None,
     stderr: IO[bytes] | None = None,
 ) -> AsyncIterator[Process]:
-    """Run a Python module; terminated at the end, and killed if it does not exit in time."""
+    """Run a Python module; at the end, terminate its process, and kill it if it does not exit in time."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", *arguments, stdin=stdin, stdout=stdout, stderr=stderr, env=os.environ
     )
@@ -91,7 +91,7 @@
 
 
 class Partners:
-    """The running stand-in partners, controlled by a JSON object per line."""
+    """Controls the running stand-in partners, with one line of JSON per command."""
 
     def __init__(self, process: Process) -> None:
         assert process.stdin is not None and process.stdout is not None
@@ -109,7 +109,7 @@
         self.addresses = json.loads(await self._exchange(endpoints))
 
     async def set_condition(self, endpoint: str, condition: str) -> None:
-        """Change how an endpoint behaves from now on."""
+        """Change the condition of an endpoint, until the next change."""
         await self._exchange({"id": endpoint, "condition": condition})
 
     async def _exchange(self, command: object) -> bytes:
@@ -128,7 +128,7 @@
 
 
 def write_configuration(folder: Path, addresses: Mapping[str, str], listen: str) -> None:
-    """Write the gateway's configuration and inventory: operators in a CSV file, banks in a YAML one."""
+    """Write the gateway's configuration and inventory: operators in a CSV file, banks in a YAML file."""
     inventory = folder / "inventory"
     inventory.mkdir()
     (folder / "gateway.toml").write_text(CONFIG.format(listen=listen))
@@ -149,7 +149,7 @@
 
 @contextlib.asynccontextmanager
 async def start_gateway(folder: Path, port: int) -> AsyncIterator[None]:
-    """Run the gateway and wait until it accepts connections; raises RuntimeError with its log if it exits."""
+    """Run the gateway and wait until it accepts connections; if it exits, raise RuntimeError with its log."""
     with (folder / "log").open("wb") as log:
         async with _process("emberlatch", "serve", str(folder / "gateway.toml"), stderr=log) as process:
             for _ in range(CONNECT_ATTEMPTS):
--- a/emberlatch/demo/run.py
+++ b/emberlatch/demo/run.py
@@ -30,11 +30,11 @@
 
 MESSAGES_PER_S = 60.0
 LATENCY_TARGET_S = 4.0
-"""The target of the priority class that is used."""
+"""The latency target of the messages' priority class."""
 FINAL_OUTCOMES_TIMEOUT_S = 25.0
-"""In which the last outcomes must arrive: none takes longer than its deadline."""
+"""How long to wait for the last outcomes: just over the messages' deadline of 24 s."""
 POLL_INTERVAL_S = 0.25
-"""Between two reads of the outcome log and of the gateway's status."""
+"""The interval between reads of the outcome log and of the gateway's status."""
 ACCEPTED_STATUS = 202
 REJECTION_REASONS = {429: "rejected at once: not expected in time", 503: "rejected at once: no capacity"}
 """Why a message was not accepted, by the status of the response."""
@@ -59,7 +59,7 @@
 
 
 async def run(seconds: float, seed: int, show: ShowProgress) -> Summary:
-    """Run one demonstration: a third each before, during and after the fault."""
+    """Run one demonstration; a third of the time each is before, during and after the fault."""
     with tempfile.TemporaryDirectory(prefix="emberlatch-") as name:
         folder = Path(name)
         async with start_partners() as partners:
@@ -81,12 +81,12 @@
         self._statistics = DemoStatistics(PARTNERS, BROKEN_PARTNER, LATENCY_TARGET_S)
         self._nothing_open = asyncio.Event()
         self._idle_connections: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
-        self._log_offset = 0  # bytes of the outcome log that were read
+        self._log_offset = 0  # number of bytes of the outcome log that have been read
         self._status: dict[str, Any] = {}
         self._phase = DemoPhase.BEFORE
 
     async def run(self) -> Summary:
-        """Send the traffic to its end, and wait for the last outcomes."""
+        """Send all traffic, and wait for the last outcomes."""
         started_at = asyncio.get_running_loop().time()
         async with asyncio.TaskGroup() as tasks:
             progress = tasks.create_task(self._report_progress(started_at))
@@ -109,7 +109,7 @@
             tasks.create_task(self._submit(f"demo-{number}"))
 
     async def _wait_for_outcomes(self) -> None:
-        """Wait until no message is without an outcome, within the time-out."""
+        """Wait until every message has an outcome, or until the time-out."""
         if not self._statistics.open:
             return
         with contextlib.suppress(TimeoutError):
@@ -134,7 +134,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def _read_outcomes(self) -> None:
-        """Read the lines that were appended to the outcome log; an incomplete last one is left for later."""
+        """Read the lines that were appended to the outcome log; an incomplete last line is read next time."""
         with contextlib.suppress(FileNotFoundError), (self._state_folder / CURRENT_FILE).open("rb") as file:
             file.seek(self._log_offset)
             data = file.read()
--- a/emberlatch/demo/statistics.py
+++ b/emberlatch/demo/statistics.py
@@ -9,7 +9,7 @@
 from typing import TypedDict
 
 TOLERANCE = 0.02
-"""How far the others' share in time may drop while the fault still counts as contained."""
+"""The largest drop in the other partners' share in time at which the fault counts as contained."""
 DELIVERED, REFUSED = "delivered", "refused"
 
 
@@ -40,13 +40,13 @@
     in_time: int = 0
     late: int = 0
     rejections: Counter[str] = field(default_factory=Counter)
-    """How many were rejected, by reason."""
+    """Number of rejected messages, by reason."""
     failed: int = 0
     latencies_s: list[float] = field(default_factory=list)
 
     @property
     def rejected(self) -> int:
-        """How many were rejected, for any reason."""
+        """Number of rejected messages, for all reasons together."""
         return self.rejections.total()
 
     @property
@@ -60,7 +60,7 @@
         return sorted(self.latencies_s)[len(self.latencies_s) // 2] if self.latencies_s else 0.0
 
     def summary(self) -> PhaseSummary:
-        """The rounded figures."""
+        """Return the rounded figures."""
         return {
             "sent": self.sent,
             "service": round(self.in_time_share, 4),
@@ -88,12 +88,12 @@
 
     @property
     def contained(self) -> bool:
-        """Whether the others were served as before, and each message had exactly one outcome."""
+        """Whether the other partners were served as before and each message had exactly one outcome."""
         unaffected = self.others_during >= self.others_before - TOLERANCE
         return unaffected and not self.unanswered and not self.answered_twice
 
     def document(self) -> dict[str, object]:
-        """The JSON output."""
+        """Return the JSON output."""
         return asdict(self) | {"contained": self.contained}
 
 
@@ -125,12 +125,12 @@
         return len(self._open)
 
     def sent(self, message: str, partner: str, phase: DemoPhase, at: float) -> None:
-        """A message is submitted; `at` is in seconds of any clock."""
+        """Record that a message is submitted; `at` is in seconds of any one clock."""
         self._open[message] = _OpenMessage(partner, phase, at)
         self.partners[partner].setdefault(phase, PhaseStatistics()).sent += 1
 
     def ended(self, message: str, state: str, at: float, reason: str = "") -> None:
-        """A message has its outcome; `reason` says why it was rejected."""
+        """Record the outcome of a message; `reason` says why it was rejected."""
         if message not in self._open:
             self.answered_twice += message in self._ended
             return
@@ -150,7 +150,7 @@
             statistics.failed += 1
 
     def in_time_share(self, phase: DemoPhase, others: bool) -> float:
-        """The share delivered in time to the broken partner, or to all others together."""
+        """Return the share delivered in time to the broken partner, or to all others together."""
         chosen = [
             phases[phase]
             for name, phases in self.partners.items()
@@ -160,7 +160,7 @@
         return sum(statistics.in_time for statistics in chosen) / sent if sent else 1.0
 
     def summary(self) -> Summary:
-        """The result so far."""
+        """Return the result of all messages so far."""
         return Summary(
             broken=self.broken,
             others_before=round(self.in_time_share(DemoPhase.BEFORE, others=True), 4),
--- a/emberlatch/simlink/adapter.py
+++ b/emberlatch/simlink/adapter.py
@@ -38,7 +38,7 @@
 
 
 class Host:
-    """The instances in this process; they share nothing but the registered lists of targets."""
+    """The instances in this process; they share only the registered lists of targets."""
 
     def __init__(self) -> None:
         self._decoder = Decoder()
--- a/emberlatch/simlink/decoder.py
+++ b/emberlatch/simlink/decoder.py
@@ -24,12 +24,12 @@
     CLIENT_GONE = 1020
     START = 1030
     TIMER = 1040
-    ABOUT = 1050  # the instance that the records after it are for
+    ABOUT = 1050  # gives the instance of the records that follow
     DIRECTORY_UPDATE = 1060
     OUTCOME = 1070
     PEER_MESSAGE = 1080
     ARRIVAL = 1090
-    REGISTER = 1100  # a numbered list of targets, for later directory updates of any instance
+    REGISTER = 1100  # defines a numbered list of targets for later directory updates of any instance
     RESPONSE_STARTED = 1110
 
 
@@ -50,13 +50,13 @@
 
 
 class Decoder:
-    """Decodes frames; it keeps the registered lists of targets, which all instances share."""
+    """Decodes frames, and stores the registered lists of targets, which all instances share."""
 
     def __init__(self) -> None:
         self._lists: dict[int, tuple[api.Entry, ...]] = {}
 
     def decode(self, data: bytes) -> tuple[float, list[tuple[int, WireEvent]]]:
-        """Decode one complete frame: the clock, and each event with its instance, in order.
+        """Decode one complete frame; returns the clock, and each event with its instance, in order.
 
         Raises:
             WireError: the frame does not follow the protocol.
@@ -193,4 +193,4 @@
     EventCode.ARRIVAL: _decode_arrival,
     EventCode.RESPONSE_STARTED: _decode_response_started,
 }
-"""Of the frequent events, by code; each gets the frame, and where in it the record starts."""
+"""Event code -> decoder of a frequent event, which gets the frame and the offset of the record."""
--- a/emberlatch/simlink/encoder.py
+++ b/emberlatch/simlink/encoder.py
@@ -31,11 +31,11 @@
     FAULT = 1090
     WATCH = 1100
     LOOKUP = 1110
-    BY = 1120  # the instance whose actions follow
+    BY = 1120  # gives the instance of the records that follow
 
 
 def _packer(code: ActionCode, layout: str) -> Callable[..., bytes]:
-    """Packs a record with this code; `layout` is that of the values after it."""
+    """Return a function that packs a record with this code; `layout` is the format of its other values."""
     record = struct.Struct(f"<H{layout}")
     assert record.size == RECORD_SIZE
     return partial(record.pack, int(code))
@@ -57,7 +57,7 @@
 
 
 def encode_reply(groups: Iterable[tuple[int, Iterable[WireAction]]]) -> bytes:
-    """Encode one reply: the actions of each instance that has any, after a record that names the instance."""
+    """Encode one reply: for each instance with actions, a record with its number and then the actions."""
     records: list[bytes] = []
     tail = bytearray()
     for instance, actions in groups:
--- a/emberlatch/simlink/errors.py
+++ b/emberlatch/simlink/errors.py
@@ -1,14 +1,14 @@
-"""What is wrong with input that does not follow the protocol."""
+"""Exceptions for input that does not follow the protocol."""
 
 from __future__ import annotations
 
 
 class WireError(ValueError):
-    """Input does not follow the simulator's protocol; the text says where and why."""
+    """Raised for input that does not follow the simulator's protocol; the text says where and why."""
 
 
 class SettingsError(WireError):
-    """The JSON settings of an instance are invalid; the text names the key."""
+    """Raised for invalid JSON settings of an instance; the text names the key."""
 
     def __init__(self, cause: str) -> None:
         super().__init__(f"settings: {cause}")
--- a/emberlatch/simlink/messages.py
+++ b/emberlatch/simlink/messages.py
@@ -1,4 +1,4 @@
-"""What the protocol transmits beside the events and actions of the decision module."""
+"""Messages of the protocol other than the events and actions of the decision module."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """An instance starts without any state, with these settings."""
+    """An instance starts with these settings and no state."""
 
     seed: int
     settings: api.Settings
--- a/emberlatch/simlink/settings.py
+++ b/emberlatch/simlink/settings.py
@@ -68,7 +68,7 @@
         },
     ),
 )
-"""Section of the document (empty: the document itself), conversion, and the field of `Settings` of each key.
+"""Section of the document (empty for the document itself), conversion, and key -> field of `Settings`.
 
 A key that is missing or null leaves the field at its default.
 """
@@ -153,7 +153,7 @@
 
 
 def _positive_number(section: JsonObject, key: str, path: str) -> float:
-    """A number over 0, excluding what Python could convert to one."""
+    """Return a finite number over 0; texts and booleans, which Python could convert, are rejected."""
     value = _required(section, key, path)
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < math.inf:
         raise SettingsError(f"{path}{key}: must be a number over 0")
@@ -161,10 +161,10 @@
 
 
 def _optional(section: JsonObject, fields: Mapping[str, str], convert: Callable[[object], T]) -> dict[str, T]:
-    """The values of the keys that are present, by the names of their fields."""
+    """Return the converted values of the keys that are present, by field name."""
     return {name: convert(section[key]) for key, name in fields.items() if section.get(key) is not None}
 
 
 def _items(value: object) -> Iterable[object]:
-    """The elements of an array, none if it is missing; iterating over anything else raises TypeError."""
+    """Return an array, or an empty one if it is missing; iterating over another value raises TypeError."""
     return cast(Iterable[object], value or ())
--- a/emberlatch/standins/__init__.py
+++ b/emberlatch/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the systems outside, on loopback addresses: for tests, demonstrations and benchmarks."""
+"""Stand-ins for external systems on loopback addresses, for tests, demonstrations and benchmarks."""
 
 from emberlatch.standins.directory import Directory, DirectoryObserver, DirectoryServer
 from emberlatch.standins.endpoint_model import Behaviour, CallOutcome, Condition, EndpointModel, Message
--- a/emberlatch/standins/__main__.py
+++ b/emberlatch/standins/__main__.py
@@ -1,8 +1,9 @@
 """A process that hosts endpoints of partners: `python -m emberlatch.standins`.
 
-It speaks JSON lines. The first line on its standard input is a list of endpoints,
-`{"id": ..., "behaviour": {...}}` (`endpoint_model.BEHAVIOUR_KEYS`); it answers with their addresses. From
-then on `{"id": ..., "condition": "hang"}` changes one, and the end of its input ends it.
+The process exchanges lines of JSON. The first line on its standard input is a list of endpoints,
+`{"id": ..., "behaviour": {...}}` (`endpoint_model.BEHAVIOUR_KEYS`); the process answers with their
+addresses. Each later line, like `{"id": ..., "condition": "hang"}`, changes the condition of one endpoint.
+The process exits at the end of its input.
 """
 
 from __future__ import annotations
--- a/emberlatch/standins/as2_partner.py
+++ b/emberlatch/standins/as2_partner.py
@@ -1,8 +1,8 @@
-"""A partner that speaks AS2, and does to its receipts whatever a script says.
+"""A stand-in partner that speaks AS2; a script determines which receipts it sends.
 
-It knows the messages that it processed by Message-ID, and processes a repetition no second time: within a
-window, and only at endpoints that share the filter. Of the forwarder's code it uses what reads and writes the
-layers of a message, and nothing else.
+The partner recognises repeated messages by Message-ID, within a window and at endpoints that share a filter,
+and does not process them again. Of the forwarder's code it uses only the parts that read and write the layers
+of a message.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class As2Partner:
-    """One endpoint: `own` is who it is, `gateway` the forwarder as it knows it."""
+    """One endpoint; `own` is its identity, `gateway` its profile of the forwarder."""
 
     def __init__(
         self,
@@ -60,16 +60,16 @@
 
     @property
     def address(self) -> str:
-        """host:port, once it has listened."""
+        """The address as host:port; valid after the first `start`."""
         return f"127.0.0.1:{self._port}"
 
     @property
     def open_connections(self) -> int:
-        """How many connections of the forwarder are open."""
+        """Number of open connections from the forwarder."""
         return len(self._connections)
 
     async def start(self, tls: ssl.SSLContext | None = None) -> None:
-        """Listen on a port that the kernel chooses, or on the same again."""
+        """Listen on a port that the kernel chooses; after a stop, listen on the same port again."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: As2Connection(self, self._connections), "127.0.0.1", self._port, ssl=tls
@@ -77,7 +77,7 @@
         self._port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Refuse connections and end those that are there; receipts that are under way are lost."""
+        """Refuse new connections and break the open ones; receipts that are not yet delivered are lost."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -86,7 +86,7 @@
             task.cancel()
 
     def on_message(self, connection: As2Connection, headers: dict[str, str], body: bytes) -> None:
-        """A message's last byte has come."""
+        """Serve a message that was received completely."""
         task = asyncio.get_running_loop().create_task(self._serve(connection, headers, body))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -116,7 +116,10 @@
                 connection.respond(200, [], b"")
 
     def _process(self, headers: dict[str, str], body: bytes) -> tuple[Script, Opened | None]:
-        """Open a message and process it, unless its script says otherwise; the script as it came out."""
+        """Open and process a message unless its script forbids it; returns the script and the message.
+
+        If the message can't be opened, the script's behaviour is `REFUSED`.
+        """
         script, now = self.next_script(), asyncio.get_running_loop().time
         original = names.message_id(headers["message-id"])
         opened = None
@@ -142,7 +145,7 @@
 
 
 async def _post_receipt(url: str, receipt: Receipt) -> bool:
-    """Deliver a receipt, in a few attempts at most; returns whether it was confirmed."""
+    """Deliver a receipt, in at most `MAX_RECEIPT_ATTEMPTS`; returns whether it was confirmed."""
     host, _, port = url.removeprefix("http://").partition("/")[0].partition(":")
     for _ in range(MAX_RECEIPT_ATTEMPTS):
         try:
@@ -156,18 +159,18 @@
 
 
 class As2Connection(HttpConnection):
-    """One connection of the forwarder."""
+    """One connection from the forwarder."""
 
     def __init__(self, partner: As2Partner, connections: OpenConnections) -> None:
         super().__init__(connections)
         self._partner = partner
 
     def on_request(self, request: HttpRequest) -> None:
-        """A message's last byte has come."""
+        """Pass a complete message to the partner."""
         self._partner.on_message(self, request.headers, request.body)
 
     def respond(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
-        """Write an answer, if the connection is still there."""
+        """Write a response unless the connection is closing."""
         if not self.transport.is_closing():
             head = "".join(f"{name}: {value}\r\n" for name, value in headers)
             lines = f"HTTP/1.1 {status} X\r\n{head}Content-Length: {len(body)}\r\n\r\n"
--- a/emberlatch/standins/as2_receipts.py
+++ b/emberlatch/standins/as2_receipts.py
@@ -1,4 +1,4 @@
-"""Builds the receipts of a stand-in AS2 partner, right or wrong as its script says."""
+"""Builds the receipts of a stand-in AS2 partner, valid or faulty as its script requires."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Receipt:
-    """A receipt as it is sent, `delay_s` after the step before."""
+    """A receipt to send `delay_s` seconds after the message or the receipt before it."""
 
     delay_s: float
     headers: tuple[tuple[str, str], ...]
@@ -29,12 +29,12 @@
     """Builds the receipts of one partner."""
 
     def __init__(self, own: Own, gateway: Partner, wrong_signer: Identity, wall: Callable[[], float]) -> None:
-        """`wrong_signer` signs what should be the partner's; `wall` gives Unix time in seconds."""
+        """`wrong_signer` signs receipts of `MISSIGNED`; `wall` gives Unix time in seconds."""
         self._own, self._gateway = own, gateway
         self._wrong_signer, self._wall = wrong_signer, wall
 
     def build(self, script: Script, original: str, opened: Opened | None, options: str) -> Iterator[Receipt]:
-        """The receipts for a message, in order; `options` is its Disposition-Notification-Options."""
+        """Yield the receipts for a message in order; `options` is its Disposition-Notification-Options."""
         behaviour = script.behaviour
         if behaviour in WITHOUT_RECEIPT:
             return
--- a/emberlatch/standins/as2_script.py
+++ b/emberlatch/standins/as2_script.py
@@ -1,4 +1,4 @@
-"""What a stand-in AS2 partner is to do to messages and receipts, and what it remembers of them."""
+"""Scripts for a stand-in AS2 partner, and its records of messages and receipts."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 
 class ReceiptBehaviour(Enum):
-    """What becomes of a message and its receipt."""
+    """How the partner handles a message and its receipt."""
 
     RECEIPT = "receipt"  # processed, with a receipt
-    LATE = "late"  # the same, a long time after
-    DROPPED = "dropped"  # processed; no answer and no receipt ever
-    EMPTY = "empty"  # processed; 200 and no receipt
+    LATE = "late"  # processed, with a receipt after a long delay
+    DROPPED = "dropped"  # processed, without any response or receipt
+    EMPTY = "empty"  # processed, with status 200 and no receipt
     TWICE = "twice"  # processed, with the receipt twice
-    CORRUPT = "corrupt"  # a byte of the receipt is flipped
-    MISSIGNED = "missigned"  # signed by another key
-    UNSIGNED = "unsigned"  # though a signature was asked for
+    CORRUPT = "corrupt"  # processed; one bit of the receipt is flipped
+    MISSIGNED = "missigned"  # processed; the receipt is signed with another key
+    UNSIGNED = "unsigned"  # processed; the receipt lacks the requested signature
     WRONG_MIC = "wrong-mic"
-    OTHER_ENDS = "other-ends"  # a MIC over other line ends
-    FOR_ANOTHER = "for-another"  # names a message that was never sent
-    CONTRADICTS = "contradicts"  # processed, and then refused
-    UNEXPECTED = "unexpected"  # fails while it is processed
-    STATUS = "status"  # processed; a 503 of an intermediary
-    RESET = "reset"  # processed; the connection breaks
-    REFUSED = "refused"  # could not be decrypted: not executed
-    BUSY = "busy"  # 429: not executed
+    OTHER_ENDS = "other-ends"  # processed; the MIC is computed over other line ends
+    FOR_ANOTHER = "for-another"  # processed; the receipt is for a message that was never sent
+    CONTRADICTS = "contradicts"  # processed, with a receipt and then a refusal
+    UNEXPECTED = "unexpected"  # processed; the receipt reports an unexpected processing error
+    STATUS = "status"  # processed; an intermediary answers 503
+    RESET = "reset"  # processed; the connection is reset
+    REFUSED = "refused"  # not processed; the receipt reports a decryption error
+    BUSY = "busy"  # not processed; status 429
 
 
 NOT_EXECUTED = frozenset({ReceiptBehaviour.REFUSED, ReceiptBehaviour.BUSY})
@@ -40,7 +40,7 @@
         ReceiptBehaviour.CONTRADICTS,
     }
 )
-"""With these a receipt that proves the effect is sent."""
+"""Behaviours with a receipt that proves that the message was processed."""
 WITHOUT_RECEIPT = frozenset(
     {
         ReceiptBehaviour.DROPPED,
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Script:
-    """What happens to the next message; seconds until its receipt, and until a late one."""
+    """How the next message is handled; the delay of its receipt, and of a late receipt, in seconds."""
 
     behaviour: ReceiptBehaviour = ReceiptBehaviour.RECEIPT
     delay_s: float = 0.02
@@ -62,23 +62,23 @@
 
     @property
     def first_delay_s(self) -> float:
-        """Until the first receipt."""
+        """The delay of the first receipt, in seconds."""
         return self.late_delay_s if self.behaviour is ReceiptBehaviour.LATE else self.delay_s
 
 
 @dataclass(slots=True)
 class DuplicateFilter:
-    """Which Message-IDs were processed, for the endpoints of a partner in one wing."""
+    """The Message-IDs that a partner's endpoints in one wing have processed."""
 
     window_s: float = math.inf
-    """For which a Message-ID is remembered."""
+    """How long a Message-ID is remembered, in seconds."""
     processed: dict[str, float] = field(default_factory=dict)
-    """Message-ID -> when it was processed last."""
+    """Message-ID -> time at which it was last processed."""
     effects: list[tuple[float, str]] = field(default_factory=list)
-    """Each processing: when, and the Message-ID."""
+    """The time and the Message-ID of each processed message, in order."""
 
     def process(self, now: float, original: str) -> bool:
-        """Process a message unless it was within the window; returns whether it was processed now."""
+        """Process a message unless it was processed within the window; returns whether it was not."""
         if original in self.processed and now - self.processed[original] <= self.window_s:
             return False
         self.processed[original] = now
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedMessage:
-    """A message that came, and what was done with it; `opened` is None where it could not be read."""
+    """A received message and how it was handled; `opened` is None if it was not or could not be opened."""
 
     at: float
     original: str
--- a/emberlatch/standins/directory.py
+++ b/emberlatch/standins/directory.py
@@ -1,7 +1,7 @@
-"""The platform's discovery and its endpoint for reports, as a stand-in.
+"""A stand-in for the platform's discovery service and its endpoint for reports.
 
-One service for all forwarders that works through calls in turn (`service_queue`), and that is slow, silent or
-down, or loses answers, on demand.
+One service for all forwarders serves calls one after another (`service_queue`). A test can make it slow,
+silent or unavailable, or make it lose answers.
 """
 
 from __future__ import annotations
@@ -35,45 +35,45 @@
 
 
 class DirectoryObserver(Protocol):
-    """Is notified of lists that were asked for and sent, and of what was reported."""
+    """Is notified of lists that are requested and sent, and of reported outcomes."""
 
     def on_list_request(self, process: str) -> None:
-        """A process has asked for the list, or for what changed."""
+        """A process has requested the list, or the changes since a revision."""
 
     def on_list(self, process: str, members: list[Member]) -> None:
-        """A list, or what has changed, is written to a process."""
+        """The list, or the changes since a revision, are written to a process."""
 
     def on_lost_answer(self, process: str, requested_at: float, watch_s: float | None) -> None:
-        """An answer was lost to a call that came at `requested_at`, on the loop's clock."""
+        """The answer to a request was lost; `requested_at` is the request's time on the loop's clock."""
 
     def on_notice(self, process: str, notice: Notice) -> None:
-        """A notice has come from a process and is confirmed."""
+        """A notice was received from a process and is confirmed."""
 
 
 @dataclass
 class Directory:
-    """The list, its versions, and the faults of the service."""
+    """The list of members, its revisions, and the faults of the service."""
 
     members: dict[str, Member] = field(default_factory=dict)
     revision: int = 1
     down: bool = False
-    """Lists are answered with 503; notices are confirmed all the same."""
+    """Whether requests for lists are answered with 503; notices are still confirmed."""
     silent: bool = False
-    """Requests for lists are not answered."""
+    """Whether requests for lists are left without an answer."""
     answer_delay_s: float = 0.0
-    """By which each list is later."""
+    """Additional delay of each list, in seconds."""
     garbled: bool = False
-    """Lists cannot be parsed."""
+    """Whether lists are sent as text that cannot be parsed."""
     service_queue: ServiceQueue = field(default_factory=ServiceQueue)
     hang_on_lost_answer: bool = False
-    """A lost answer leaves its connection open and silent; else it is reset."""
+    """Whether the connection of a lost answer stays open without data; otherwise it is reset."""
     reports_down: bool = False
-    """Notices are answered with 503."""
+    """Whether notices are answered with 503."""
     observer: DirectoryObserver | None = None
     changes: list[tuple[int, str]] = field(default_factory=list)
-    """Revision and the member that changed with it."""
+    """Each revision, with the member that changed in it."""
     watches: dict[Callable[[], None], None] = field(default_factory=dict)
-    """What resumes each watch that waits for a change, in the order in which they came."""
+    """Callbacks that resume the watches that wait for a change, in order of arrival (an ordered set)."""
 
     def change(self, name: str, **values: object) -> None:
         """Change a member, add it, or with `phase="DELETED"` remove it."""
@@ -83,18 +83,18 @@
         self.wake()
 
     def wake(self) -> None:
-        """Let the watches that wait look again."""
+        """Resume all waiting watches, which then check for changes."""
         for wake in list(self.watches):
             wake()
 
     def entries(self, since: int | None) -> int:
-        """How many members an answer has."""
+        """Return the number of members in an answer."""
         if since is None or since > self.revision:
             return len(self.members)
         return len({name for revision, name in self.changes if revision > since})
 
     def document(self, since: int | None = None) -> MemberList:
-        """The complete list, or what has changed since a version."""
+        """Return the complete list, or the members that changed since a revision."""
         if since is None or since > self.revision:
             members = [member for member in self.members.values() if member["phase"] != DELETED]
             return {"revision": self.revision, "complete": True, "members": members}
@@ -122,7 +122,7 @@
         self.address = f"{host}:{port}"
 
     def stop(self, at_once: bool = True) -> None:
-        """Take no new connection, and end those that are there if `at_once`."""
+        """Accept no new connections, and break the open ones if `at_once`."""
         if self._server is not None:
             self._server.close()
         if at_once:
@@ -130,7 +130,7 @@
 
 
 class _Connection(HttpConnection):
-    """A forwarder's connection: a request for a list, a watch, or a report at a time."""
+    """A forwarder's connection; it has one request at a time, for a list, a watch or a report."""
 
     def __init__(self, directory: Directory, connections: OpenConnections) -> None:
         super().__init__(connections)
@@ -164,7 +164,7 @@
             self._queue()
 
     def _resume(self) -> None:
-        """There is a change for a watch, or its time is up: it is queued once more."""
+        """Queue the watch again, after a change or at its time-out."""
         self._directory.watches.pop(self._resume, None)
         if self._timer is not None:
             self._timer.cancel()
@@ -177,7 +177,7 @@
         self._timer = loop.call_at(turn.at + directory.answer_delay_s, respond)
 
     def _respond(self) -> None:
-        """It is served: answer, or wait on if it is a watch and nothing has changed."""
+        """Answer the request, or let a watch wait longer if nothing has changed before its time-out."""
         loop, directory = asyncio.get_running_loop(), self._directory
         if directory.down:
             self._answer(503, b"")
--- a/emberlatch/standins/endpoint_model.py
+++ b/emberlatch/standins/endpoint_model.py
@@ -1,10 +1,12 @@
-"""What a partner's endpoint does with a call: pure, on the caller's clock, so that a socket server and a
-simulation can both run it.
+"""A model of how a partner's endpoint handles calls.
 
-An endpoint has workers that each serve one call at a time; a call that finds none free waits in a queue. It
-may have a rate limit, which its answers report (`x0`, `x1`). After an outage it warms up: it has
-`warm_up_start_share` of its capacity at first and all of it after `warm_up_s`; more than `overload_factor`
-times its capacity, kept up for `overload_tolerance_s`, makes it fail for good.
+The model does no I/O and uses the caller's clock, so that a socket server and a simulation can both run it.
+
+An endpoint has workers that each serve one call at a time; if no worker is free, a call waits in a queue. The
+endpoint may have a rate limit, which its answers report (`x0`, `x1`). After an outage the endpoint warms up:
+its capacity is `warm_up_start_share` of the full capacity at first, and the full capacity after `warm_up_s`.
+While it warms up, a load of more than `overload_factor` times its capacity for `overload_tolerance_s` makes
+it fail permanently.
 """
 
 from __future__ import annotations
@@ -19,28 +21,28 @@
 
 
 class Condition(Enum):
-    """The fault of an endpoint. The values are those of plans and of the host's protocol."""
+    """The fault of an endpoint. The values are those of fault plans and of the protocol in `__main__`."""
 
     HEALTHY = "well"
     SLOW = "slow"  # `SLOW_FACTOR` times the usual service time
-    HANG = "hang"  # takes calls and answers none
-    RESET = "reset"  # breaks the connection once a call has come
+    HANG = "hang"  # accepts calls and answers none
+    RESET = "reset"  # processes a call and resets the connection
     ERROR = "error"  # answers 500
     FULL = "full"  # answers 429 or 503
     REFUSING = "shut"  # refuses connections
-    GARBLED = "spoilt"  # does the work and answers noise
-    TRUNCATED = "cut"  # does the work, answers a first line with 200, and breaks the connection
+    GARBLED = "spoilt"  # processes a call and answers with noise
+    TRUNCATED = "cut"  # processes a call, sends a status line with 200, closes the connection
 
 
 OUTAGES = {Condition.HANG, Condition.RESET, Condition.ERROR, Condition.FULL, Condition.REFUSING}
-"""After these an endpoint warms up."""
+"""Conditions after which an endpoint warms up."""
 SLOW_FACTOR = 10.0
 BATCH_ITEM_SHARE = 0.35
-"""Of the service time of a call with one message, for each one more."""
+"""The additional service time per further message, as a share of that of a call with one message."""
 MIN_DRAWN_SHARE = 0.2
-"""Of the usual service time: the least that is drawn."""
+"""The shortest service time that is drawn, as a share of the mean."""
 MAX_REFILL_S = 1.0
-"""For which a rate limit's bucket is filled at once."""
+"""The longest time, in seconds, for which tokens are added to a rate limit's bucket at once."""
 
 BEHAVIOUR_KEYS = {
     "work": "service_time_s",
@@ -55,12 +57,12 @@
     "fall_multiple": "overload_factor",
     "fall_after": "overload_tolerance_s",
 }
-"""The keys of a behaviour in the host's protocol (`python -m emberlatch.standins`) -> fields."""
+"""Key of a behaviour in the protocol of `python -m emberlatch.standins` -> field of `Behaviour`."""
 
 
 @dataclass(frozen=True, slots=True)
 class Behaviour:
-    """How an endpoint is while it has no fault."""
+    """The properties of an endpoint without a fault."""
 
     service_time_s: float = 0.06
     service_time_variation: float = 0.3
@@ -68,11 +70,11 @@
     workers: int = 8
     queue_capacity: int = 32
     rate_limit_per_s: float = 0.0
-    """Calls a second; 0 is no limit."""
+    """Calls per second; 0 for no limit."""
     retry_after_s: float = 0.5
-    """In the header of a rejection; 0 is a rejection without one."""
+    """The value of Retry-After in a rejection; 0 for a rejection (503) without that header."""
     idempotency_window_s: float = 25.0
-    """For which a key is remembered, and its repetition has no effect."""
+    """How long a key is remembered; a repetition within that time has no effect."""
     warm_up_s: float = 13.0
     warm_up_start_share: float = 0.27
     overload_factor: float = 1.5
@@ -80,9 +82,9 @@
 
     @classmethod
     def from_document(cls, document: Mapping[str, float]) -> Behaviour:
-        """The behaviour that a JSON object describes; what it leaves out is as usual.
+        """Create a behaviour from a JSON object; keys that are missing have the default value.
 
-        TypeError if it has a key that is not known.
+        Raises TypeError if the object has an unknown key.
         """
         if unknown := document.keys() - BEHAVIOUR_KEYS.keys():
             raise TypeError(f"no such keys of a behaviour: {', '.join(sorted(unknown))}")
@@ -91,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message of a call; an empty key is none."""
+    """One message of a call; an empty `key` means that it has no idempotency key."""
 
     id: str
     key: str = ""
@@ -99,31 +101,31 @@
 
 @dataclass(frozen=True, slots=True)
 class CallOutcome:
-    """What a call comes to: `at` some time an answer with a status.
+    """The outcome of a call: an answer with a status at the time `at`.
 
-    Status 0 is a reset of the connection, an infinite time is no answer at all.
+    Status 0 means a reset connection, an infinite `at` means no answer.
     """
 
     at: float
     status: int = 200
     retry_after: float = 0.0
-    """Seconds; 0 is no such header."""
+    """The value of the header Retry-After in seconds; 0 for no header."""
     report: tuple[float, float] | None = None
     """The load report: the share of the rate limit that is free (x0), and the limit (x1)."""
     complete: bool = True
-    """If not, the answer is noise, or ends after its first line."""
+    """False if the answer is noise (status -1), or is cut off within its head (status 200)."""
 
 
 class IdempotencyKeys:
-    """The effects at the endpoints of one partner in one wing, which share what they know of keys."""
+    """The idempotency keys and effects that the endpoints of one partner in one wing share."""
 
     def __init__(self, window_s: float) -> None:
         self._window_s, self._processed_at = window_s, dict[str, float]()
         self.effects: dict[str, int] = {}
-        """How often a message took effect, by its key, or by its id if it has none."""
+        """Key of a message, or its id if it has no key -> how often the message took effect."""
 
     def run(self, now: float, message: Message) -> None:
-        """Let a message take effect, unless its key has within the window."""
+        """Count an effect of a message, unless its key had an effect within the window."""
         if message.key and now - self._processed_at.get(message.key, -math.inf) < self._window_s:
             return
         name = message.key or message.id
@@ -132,39 +134,39 @@
 
 
 class EndpointModel:
-    """One endpoint; times are on the caller's clock."""
+    """One endpoint; times are in seconds of the caller's clock."""
 
     def __init__(self, behaviour: Behaviour, keys: IdempotencyKeys | None = None, seed: int = 0) -> None:
         self.behaviour, self.keys = behaviour, keys or IdempotencyKeys(behaviour.idempotency_window_s)
         self._random = random.Random(seed)
         self.condition = Condition.HEALTHY
         self.overloaded = False
-        """It has failed under load while it warmed up, and does not come back."""
+        """Whether the endpoint failed under load during a warm-up, which is permanent."""
         self.calls: list[float] = []
-        """When each call came."""
+        """The time of each call."""
         self._warms_up_since = -math.inf
-        self._workers_busy_until: list[float] = []  # a heap; queued calls are in it as well
+        self._workers_busy_until: list[float] = []  # a heap of the end times of running and queued calls
         self._rate_tokens, self._refilled_at = max(1.0, behaviour.rate_limit_per_s), -math.inf
-        self._warm_up_calls: deque[float] = deque()  # within the overload tolerance
+        self._warm_up_calls: deque[float] = deque()  # times of the calls within the overload tolerance
 
     def set_condition(self, now: float, condition: Condition) -> None:
-        """Have a fault, or none, from now on; after an outage it warms up."""
+        """Set or clear a fault; when an outage ends, start the warm-up."""
         if self.condition in OUTAGES and condition not in OUTAGES:
             self._warms_up_since, self._workers_busy_until = now, []
             self._warm_up_calls.clear()
         self.condition = condition
 
     def accepts(self) -> bool:
-        """Whether a connection comes up."""
+        """Return whether the endpoint accepts connections."""
         return self.condition is not Condition.REFUSING and not self.overloaded
 
     def warmth(self, now: float) -> float:
-        """The share of its capacity that it has."""
+        """Return the share of the full capacity that the endpoint has."""
         start_share, elapsed_s = self.behaviour.warm_up_start_share, now - self._warms_up_since
         return min(1.0, start_share + (1 - start_share) * elapsed_s / max(self.behaviour.warm_up_s, 1e-9))
 
     def call(self, now: float, messages: Sequence[Message]) -> CallOutcome:
-        """A call's last byte has come."""
+        """Handle a call that was received completely; returns its outcome."""
         self.calls.append(now)
         self._check_overload(now)
         if self.overloaded or self.condition is Condition.HANG:
@@ -187,7 +189,7 @@
         return CallOutcome(ends_at, 200, report=report, complete=self.condition is not Condition.TRUNCATED)
 
     def _schedule(self, now: float, messages: int) -> float | None:
-        """When a worker is done with a call; None if the queue is full."""
+        """Assign a call to a worker; returns when the call ends, None if the queue is full."""
         behaviour, busy = self.behaviour, self._workers_busy_until
         slow_factor = SLOW_FACTOR if self.condition is Condition.SLOW else 1.0
         variation = max(MIN_DRAWN_SHARE, self._random.gauss(1.0, behaviour.service_time_variation))
@@ -207,7 +209,7 @@
             self.keys.run(at, message)
 
     def _check_overload(self, now: float) -> None:
-        """Count the load while it warms up; too much for too long makes it fail."""
+        """Count calls during a warm-up, and set `overloaded` if there are too many within the tolerance."""
         behaviour, warmth = self.behaviour, self.warmth(now)
         if warmth >= 1.0 or self.condition in OUTAGES:
             return
--- a/emberlatch/standins/http_connection.py
+++ b/emberlatch/standins/http_connection.py
@@ -1,4 +1,4 @@
-"""The side of an HTTP connection that a stand-in serves: parses requests, and knows which are open."""
+"""The server side of HTTP connections for stand-ins: parses requests, and tracks open connections."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A complete request; names of headers are in lower case."""
+    """A complete request; header names are in lower case."""
 
     path: bytes
     headers: dict[str, str]
@@ -20,7 +20,7 @@
 
 
 class OpenConnections:
-    """The connections of a server that have not ended."""
+    """The open connections of a server."""
 
     def __init__(self) -> None:
         self._open: dict[HttpConnection, None] = {}
@@ -29,21 +29,24 @@
         return len(self._open)
 
     def add(self, connection: HttpConnection) -> None:
-        """A connection has come up."""
+        """Add a connection that was opened."""
         self._open[connection] = None
 
     def remove(self, connection: HttpConnection) -> None:
-        """A connection has ended."""
+        """Remove a connection that was closed."""
         self._open.pop(connection, None)
 
     def abort_all(self) -> None:
-        """Break all connections that are open."""
+        """Abort all open connections."""
         for connection in list(self._open):
             connection.transport.abort()
 
 
 class HttpConnection(asyncio.Protocol):
-    """Breaks where a request can't be parsed or its body is too large. `on_request` is for a subclass."""
+    """Parses requests, and aborts the connection if one is invalid or too large.
+
+    Subclasses implement `on_request`.
+    """
 
     transport: asyncio.Transport
 
@@ -53,12 +56,12 @@
         self._path, self._headers, self._body = b"", dict[str, str](), bytearray()
 
     def on_request(self, request: HttpRequest) -> None:
-        """A request's last byte has come."""
+        """Handle a complete request."""
         raise NotImplementedError
 
     @property
     def process(self) -> str:
-        """The process at the other end, where a simulated network tells it; else empty."""
+        """The name of the peer's process if a simulated network provides it; otherwise empty."""
         return str(self.transport.get_extra_info("peer_process", ""))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -79,23 +82,23 @@
             self.transport.abort()
 
     def on_message_begin(self) -> None:
-        """See `httptools.HttpRequestParser`, as for the following ones."""
+        """See `httptools.HttpRequestParser`, which also calls the methods below."""
         self._path, self._headers, self._body = b"", {}, bytearray()
 
     def on_url(self, url: bytes) -> None:
-        """A part of the request's target."""
+        """Append a part of the request's target."""
         self._path += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header."""
+        """Store a header."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body."""
+        """Append a part of the body."""
         self._body += body
         if len(self._body) > MAX_BODY_BYTES:
             raise httptools.HttpParserError("body too large")
 
     def on_message_complete(self) -> None:
-        """The end of the body."""
+        """Pass the complete request to `on_request`."""
         self.on_request(HttpRequest(self._path, self._headers, bytes(self._body)))
--- a/emberlatch/standins/http_post.py
+++ b/emberlatch/standins/http_post.py
@@ -1,4 +1,4 @@
-"""Posts over a connection of its own, as a partner does that knows nothing of the forwarder's code."""
+"""Sends HTTP POST requests, each over a new connection, without use of the forwarder's code."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PostResponse:
-    """An answer; names of headers are in lower case."""
+    """A response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -20,7 +20,7 @@
 
 
 class _ResponseReader(asyncio.Protocol):
-    """Reads one response; `response` fails with ConnectionResetError if the connection ends before it."""
+    """Reads one response; `response` fails with ConnectionResetError if the connection ends too early."""
 
     def __init__(self) -> None:
         self.response: asyncio.Future[PostResponse] = asyncio.get_running_loop().create_future()
@@ -52,7 +52,7 @@
 async def post(
     host: str, port: int, headers: list[tuple[str, str]], body: bytes, path: str = "/as2"
 ) -> PostResponse:
-    """Post a body; OSError if there is no answer within the time-out."""
+    """Post a body; raises OSError if there is no response within the time-out."""
     async with asyncio.timeout(POST_TIMEOUT_S):
         transport, reader = await asyncio.get_running_loop().create_connection(_ResponseReader, host, port)
         try:
--- a/emberlatch/standins/partner_server.py
+++ b/emberlatch/standins/partner_server.py
@@ -1,4 +1,4 @@
-"""A partner's endpoint on a loopback socket."""
+"""Serves the model of a partner's endpoint on a loopback socket."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class EndpointObserver(Protocol):
-    """Is notified of what passes on an endpoint's connections; each call has a number of its own."""
+    """Is notified of calls and answers on an endpoint's connections; each call has a unique number."""
 
     def on_call(self, number: int, process: str, messages: list[Message]) -> None:
-        """The last byte of a call has come from a process."""
+        """A complete call was received from a process."""
 
     def on_answer(self, number: int, outcome: CallOutcome) -> None:
-        """The answer to a call is written, as far as it goes."""
+        """The answer to a call is written, perhaps incompletely."""
 
     def on_disconnect(self, number: int) -> None:
-        """The connection of a call ended before any answer."""
+        """The connection of a call ended before an answer was written."""
 
 
 class PartnerServer:
@@ -36,7 +36,7 @@
         observer: EndpointObserver | None = None,
         reservation: socket.socket | None = None,
     ) -> None:
-        """`reservation` keeps its port while it does not listen (`reserved_ports`)."""
+        """`reservation` keeps the port reserved while the server does not listen (`reserved_ports`)."""
         self.endpoint, self.observer, self._reservation = endpoint, observer, reservation
         self.calls = 0
         self._connections = OpenConnections()
@@ -45,11 +45,11 @@
 
     @property
     def address(self) -> str:
-        """host:port, once it has listened; the same after an outage."""
+        """The address as host:port; valid after the first `start`, and unchanged by an outage."""
         return f"127.0.0.1:{self._port}"
 
     async def start(self) -> None:
-        """Listen on a port that the kernel chooses, or on the same again."""
+        """Listen on a port that the kernel chooses; after a stop, listen on the same port again."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _Connection(self, self._connections),
@@ -60,7 +60,7 @@
         self._port = self._server.sockets[0].getsockname()[1]
 
     async def set_condition(self, condition: Condition) -> None:
-        """Have a fault, or none, from now on; connections of an endpoint that refuses them end."""
+        """Set or clear a fault; stop listening if the endpoint refuses connections."""
         self.endpoint.set_condition(asyncio.get_running_loop().time(), condition)
         if not self.endpoint.accepts():
             await self.stop()
@@ -68,7 +68,7 @@
             await self.start()
 
     async def stop(self) -> None:
-        """Refuse connections, and end those that are there."""
+        """Refuse new connections, and break the open ones."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -76,12 +76,12 @@
 
 
 class _Connection(HttpConnection):
-    """One connection from a forwarder: one call at a time."""
+    """One connection from a forwarder; it has one call at a time."""
 
     def __init__(self, server: PartnerServer, connections: OpenConnections) -> None:
         super().__init__(connections)
         self._server = server
-        self._open_call = 0  # its number; 0 if there is none
+        self._open_call = 0  # number of the call without an answer; 0 if there is none
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
@@ -137,9 +137,11 @@
 
 
 def _parse_batch(body: bytes) -> list[Message]:
-    """The messages of a batch; none if it can't be parsed.
+    """Parse the messages of a batch; returns an empty list if the batch is invalid.
 
-    Each is a line `ID KEY SIZE`, where the key `-` is none, and so many bytes with a line end."""
+    Each message is a line `ID KEY SIZE`, then a body of SIZE bytes and a line end. KEY is `-` if the message
+    has no key.
+    """
     messages: list[Message] = []
     position = 0
     try:
--- a/emberlatch/standins/reserved_ports.py
+++ b/emberlatch/standins/reserved_ports.py
@@ -1,4 +1,4 @@
-"""Loopback ports that nobody else is given while their process is down."""
+"""Reserves loopback ports, so that the kernel gives them to no other process during an outage."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 
 def reserve_port(port: int = 0) -> socket.socket:
-    """A socket that is bound to a port, one that the kernel chooses by default, and does not listen.
+    """Return a socket that is bound to a port but does not listen; the kernel chooses the port if it is 0.
 
-    Connections are refused until somebody listens there beside it (`reuse_port`). A port that is free for a
-    moment may be given to another endpoint, which then gets the calls that are meant for this one.
+    Connections are refused until another socket listens on the port (with `reuse_port`). Without the
+    reservation the kernel may give a temporarily free port to another endpoint, which then receives the calls
+    for this one.
     """
     reservation = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
--- a/emberlatch/standins/service_queue.py
+++ b/emberlatch/standins/service_queue.py
@@ -1,8 +1,8 @@
-"""How an overloaded directory serves: pure, so that sockets, the simulation and a benchmark share it.
+"""A model of an overloaded directory. It does no I/O; socket servers, the simulation and a benchmark use it.
 
-One worker takes the calls of all forwarders in turn. A call costs a fixed time and some for each entry of its
-answer; one that would have to queue for longer than a time-out ends with an error after it, and costs nothing
-more. Answers may be lost on their way, at a fixed interval.
+One worker serves the calls of all forwarders one after another. A call takes a fixed time, and more for each
+entry of its answer. A call that would have to queue for longer than a time-out fails at the time-out, without
+taking the worker's time. Every n-th answer may be lost (`drop_every`).
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceCost:
-    """Seconds of work for a call and for an entry of its answer; seconds that a call queues at most."""
+    """Work for a call and for an entry of its answer, and the longest time in the queue; all in seconds."""
 
     call: float = 0.0
     entry: float = 0.0
@@ -21,24 +21,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceTurn:
-    """When a call is served, or has failed because it queued too long."""
+    """The time at which a call has been served, or has failed because its wait was too long."""
 
     at: float
     served: bool
 
 
 class ServiceQueue:
-    """The one worker. `cost` may change at any time; calls in the queue keep the turn that they have."""
+    """The worker and its queue. A change of `cost` does not affect calls that are in the queue."""
 
     def __init__(self, cost: ServiceCost = ServiceCost()) -> None:  # noqa: B008 (frozen)
         self.cost = cost
         self.drop_every = 0
-        """Of so many answers the last one is lost when it is written; 0: none is."""
+        """The last of each `drop_every` answers is lost; 0 if none is lost."""
         self._free_at = 0.0
         self._answers = 0
 
     def turn(self, now: float, entries: int) -> ServiceTurn:
-        """A call comes in whose answer has so many entries."""
+        """Queue a call whose answer has the given number of entries; returns its turn."""
         cost = self.cost
         starts_at = max(now, self._free_at)
         if starts_at - now > cost.queue_timeout:
@@ -47,6 +47,6 @@
         return ServiceTurn(self._free_at, served=True)
 
     def drops_answer(self) -> bool:
-        """Whether the answer that is written now is lost."""
+        """Count an answer, and return whether it is lost."""
         self._answers += 1
         return self.drop_every > 0 and self._answers % self.drop_every == 0
