--- a/emberlatch/__main__.py
+++ b/emberlatch/__main__.py
@@ -6,9 +6,9 @@
 
 
 def main() -> int:
-    """The platform's forwarder, with as little loaded as it needs."""
-    # Nothing here speaks TLS, and asyncio does without it where there is none. Two processes share the memory
-    # of one while they change over, and this is a seventh of what one holds at its start.
+    """Run the platform's forwarder, and import only the modules that it needs."""
+    # The forwarder uses no TLS, and asyncio works without `ssl`. That module takes a seventh of a process's
+    # memory at its start, and during a takeover two processes share the memory that one has otherwise.
     sys.modules["ssl"] = None  # type: ignore[assignment]
     from emberlatch.process import main
 
--- a/emberlatch/gateway_core.py
+++ b/emberlatch/gateway_core.py
@@ -1,4 +1,4 @@
-"""The parts that all gateways share: the engine on its journal, between HTTP ingress and HTTP carrier.
+"""The parts that all gateways share: the engine, its journal, an HTTP ingress and an HTTP carrier.
 
 `platform` and `standalone` add the membership, the notifier, and any other ingress or carrier.
 """
@@ -31,22 +31,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """How many HTTP connections one gateway may have, out of its descriptors (`net.descriptor_limits`)."""
+    """The maximum numbers of HTTP connections of one gateway, which `net.descriptor_limits` derives."""
 
     clients: int
-    """From clients."""
+    """Connections from clients."""
     calls: int
-    """To targets, in calls or idle."""
+    """Connections to targets, both with a call in flight and idle."""
 
 
 @dataclass(frozen=True, slots=True)
 class JournalSettings:
-    """Where one gateway keeps its messages, and what they must survive there."""
+    """Where one gateway stores its messages, and which failures they must survive."""
 
     files: Files
     """The journal's folder."""
     max_bytes: int
-    """Over all files of the journal."""
+    """The maximum total size of the journal's files, in bytes."""
     durable_classes: DurableClasses = NO_DURABLE_CLASSES
 
 
@@ -56,17 +56,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientInterface:
-    """What clients reach of one gateway over HTTP: where it listens, and what it knows by name."""
+    """The HTTP interface of one gateway to clients: its address, and look-ups by name and by id."""
 
     listen: Address
     find_destination: Callable[[str], int | None] = _find_no_destination
-    """The number of the destination with a name; None if there is none."""
+    """Returns the number of the destination with a name; None if there is none."""
     find_message: Callable[[str], bytes | None] | None = None
-    """The status of the message with an id, as JSON; None if it is not known. Without it none is served."""
+    """Returns the JSON status of the message with an id, None if unknown. If not set, no status is served."""
 
 
 class GatewayCore:
-    """The shared parts of one gateway; `connect` is called once, before the engine's start."""
+    """The shared parts of one gateway; call `connect` once, before the engine starts."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
         limits: ConnectionLimits,
         machine: Machine = REAL_MACHINE,
     ) -> None:
-        """Raises ValueError if the journal's limit is too low. `seed` is that of the decision module."""
+        """Raises ValueError if the journal's limit is too low. `seed` is for the decision module."""
         durable = journal.durable_classes
         self.tasks = tasks = Tasks()
         self.journal = Journal(journal.files, journal.max_bytes, durable=durable.exist)
@@ -97,7 +97,8 @@
     ) -> None:
         """Connect the engine's ports; see `Engine.connect`.
 
-        `ingresses` are added to the HTTP server; `carrier` replaces the HTTP carrier, to which it may route.
+        `ingresses` are used in addition to the HTTP server. `carrier` replaces the HTTP carrier, and may pass
+        calls on to it.
         """
         self.engine.connect(
             EnginePorts([self.server, *ingresses], carrier or self.carrier, membership, notifier)
--- a/emberlatch/process.py
+++ b/emberlatch/process.py
@@ -29,13 +29,13 @@
 log = logging.getLogger("emberlatch")
 
 FOLDER_RELEASE_TIMEOUT_S = 5.0
-"""In which a process that was killed has released its folder."""
+"""How long to wait for a killed process to release its folder."""
 EXIT_CONFIG_ERROR = 2
 LOG_FORMAT = "%(asctime)s %(levelname)s %(name)s: %(message)s"
 
 
 def _reload(forwarder: PlatformForwarder) -> None:
-    """Apply the configuration as it is now; one that is invalid in any part changes nothing."""
+    """Read and apply the current configuration; if any part of it is invalid, change nothing."""
     try:
         config = read_config(os.environ)
         forwarder.check(config)
@@ -47,7 +47,7 @@
 
 
 def _inherited_listener() -> socket.socket | None:
-    """The platform's listening socket, where it holds one for all processes."""
+    """Return the listening socket that the platform passes to its processes; None if there is none."""
     descriptor = os.environ.get("EDGE_FD")
     try:
         return inherited_listener(descriptor) if descriptor else None
@@ -65,7 +65,7 @@
 async def _unless_stopped(
     stop: asyncio.Event, work: Coroutine[object, object, ReceivedHandover | None]
 ) -> ReceivedHandover | None:
-    """The result of `work`, or None if `stop` was set first."""
+    """Return the result of `work`, or None if `stop` is set first."""
     task, stopped = asyncio.ensure_future(work), asyncio.ensure_future(stop.wait())
     await asyncio.wait({task, stopped}, return_when=asyncio.FIRST_COMPLETED)
     for each in (task, stopped):
@@ -76,7 +76,7 @@
 async def _acquire_folder(
     config: PlatformConfig, lock: FolderLock, succeeds: bool, stop: asyncio.Event
 ) -> ReceivedHandover | None:
-    """Wait until this process owns the folder; the state that a predecessor handed over, if any."""
+    """Wait until this process owns the folder; returns the state that a predecessor handed over, if any."""
     if succeeds:
         connect = partial(open_connection, handover_socket_path(config.name))
         return await _unless_stopped(stop, acquire_ownership(lock, connect))
@@ -94,7 +94,7 @@
     succeeds: bool,
     stop: asyncio.Event,
 ) -> bool:
-    """Whether the forwarder serves; it doesn't if it was stopped before it owned the folder."""
+    """Start the forwarder; returns False if it was stopped before it owned the folder."""
     forwarder.open()
     received = await _acquire_folder(config, lock, succeeds, stop)
     if not lock.acquired:
@@ -113,7 +113,7 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    # A SIGHUP from here on is remembered, and handled once the forwarder has started.
+    # A SIGHUP during the start is handled once the forwarder has started.
     loop.add_signal_handler(signal.SIGHUP, reload.set)
     config, listener = read_config(os.environ), _inherited_listener()
     try:
@@ -139,7 +139,7 @@
 
 
 def _on_hang_up(forwarder: PlatformForwarder, handover: HandoverServer, reload: asyncio.Event) -> None:
-    """SIGHUP: reload at once, or when it is known which process owns the folder."""
+    """Handle SIGHUP: reload at once, or when it is decided which process owns the folder."""
     if handover.state_machine.owns:
         _reload(forwarder)
     else:
@@ -174,8 +174,10 @@
 
 
 def main() -> int:
-    """Run until a signal, and return the exit code: 0, or 2 if a setting is invalid."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # the file has not been read yet
+    """Run until a signal; returns the exit code, 0, or 2 if a setting is invalid."""
+    signal.signal(
+        signal.SIGHUP, signal.SIG_IGN
+    )  # the configuration has not been read yet, so there is nothing to reload
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format=LOG_FORMAT)
     try:
         asyncio.run(_run())
