--- a/tests/cli/test_as2.py
+++ b/tests/cli/test_as2.py
@@ -1,4 +1,4 @@
-"""`emberlatch as2` as people meet it."""
+"""The output and the exit codes of `emberlatch as2`."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     assert call("as2", "partner", "check", path, "lake").exit_code == 2
 
 
-def test_a_certificate_that_ends_soon_is_named_and_exits_with_1(tmp_path: Path) -> None:
+def test_a_certificate_that_expires_soon_is_reported_with_exit_code_1(tmp_path: Path) -> None:
     path = configured(tmp_path)
     made = call("as2", "cert", "new", "river", "--out", tmp_path / "river", "--days", 5)
     assert made.exit_code == 0 and (tmp_path / "river.pem").stat().st_mode & 0o077 == 0
@@ -56,7 +56,7 @@
         ({"signn": '"sha-256"'}, "signn", "did you mean 'sign'?"),
     ],
 )
-def test_a_bad_profile_is_reported_by_line_and_exits_with_2(
+def test_an_invalid_profile_is_reported_by_line_with_exit_code_2(
     tmp_path: Path, change: dict[str, str], line: str, said: str
 ) -> None:
     path = configured(tmp_path, **change)
@@ -67,7 +67,7 @@
     assert not number or f"{path}:{number}: as2.partners.river.{line}" in done.stderr
 
 
-def test_an_endpoint_without_a_profile_is_named_by_line(tmp_path: Path) -> None:
+def test_an_endpoint_without_an_as2_profile_is_reported_by_line(tmp_path: Path) -> None:
     path = configured(tmp_path)
     rows = tmp_path / "inventory" / "a.csv"
     rows.write_text(rows.read_text() + "lake-1,127.0.0.1:8,lake,wallet-operator,east-wing,as2\n")
@@ -79,7 +79,7 @@
     assert "protocol: 'as2' is not known" in call("check", path).stderr
 
 
-def test_without_its_libraries_it_says_what_to_install(tmp_path: Path) -> None:
+def test_without_the_as2_libraries_commands_name_the_package_to_install(tmp_path: Path) -> None:
     path = configured(tmp_path)
     with patch("importlib.util.find_spec", lambda name: None):
         for arguments in (("check", path), ("serve", path), ("as2", "disputes", path)):
@@ -100,19 +100,19 @@
     assert call("as2", "verify", captured).exit_code == 2
 
 
-def test_a_message_is_sent_past_the_gateway_and_its_receipt_judged(tmp_path: Path) -> None:
+def test_a_message_is_sent_without_the_gateway_and_its_receipt_is_verified(tmp_path: Path) -> None:
     async def test() -> None:
-        fates = iter([ReceiptBehaviour.RECEIPT, ReceiptBehaviour.WRONG_MIC, ReceiptBehaviour.BUSY])
-        async with running(tmp_path, lambda: Script(next(fates))) as (_, bank, _, _):
+        behaviours = iter([ReceiptBehaviour.RECEIPT, ReceiptBehaviour.WRONG_MIC, ReceiptBehaviour.BUSY])
+        async with running(tmp_path, lambda: Script(next(behaviours))) as (_, bank, _, _):
             file = tmp_path / "file"
             file.write_bytes(b"a trial")
-            said = [
+            results = [
                 await asyncio.to_thread(call, "as2", "send", tmp_path / "gateway.toml", "river", file)
                 for _ in range(3)
             ]
-            assert [done.exit_code for done in said] == [0, 1, 1]
-            assert said[0].stdout.startswith("processed") and "MIC of another content" in said[1].stdout
-            assert said[2].stdout == "answered 429: refused\n"
+            assert [done.exit_code for done in results] == [0, 1, 1]
+            assert results[0].stdout.startswith("processed") and "MIC of another content" in results[1].stdout
+            assert results[2].stdout == "answered 429: refused\n"
             assert bank.received[0].opened is not None and bank.received[0].opened.content.body == b"a trial"
 
     run(test)
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The `emberlatch` command as a person or a script meets it."""
+"""The output and the exit codes of the `emberlatch` command."""
 
 from __future__ import annotations
 
@@ -43,13 +43,13 @@
     )
 
 
-def test_check_of_the_sample_is_good() -> None:
+def test_check_of_the_sample_succeeds() -> None:
     done = call("check", ROOT / "deploy" / "gateway.toml")
     assert (done.exit_code, done.stderr) == (0, "")
     assert "with 5 endpoints of 3 partners" in done.stdout
 
 
-def test_serve_with_a_bad_setting_ends_with_2_and_starts_nothing(tmp_path: Path) -> None:
+def test_serve_with_an_invalid_setting_exits_with_2_and_one_error_line(tmp_path: Path) -> None:
     path = prepared(tmp_path, ROW)
     for text, setting in (
         ("\n[rules]\nidle = 3\n", "rules.idle"),
@@ -67,14 +67,14 @@
         path.write_text(path.read_text().replace(text, ""))
 
 
-def test_serve_with_a_broken_inventory_names_each_row(tmp_path: Path) -> None:
+def test_serve_with_an_invalid_inventory_reports_each_row(tmp_path: Path) -> None:
     path = prepared(tmp_path, ROW.replace("east", "south"), ROW.replace("rural", "urban"))
     done = call("serve", path)
     assert done.exit_code == 2
     assert [line.split(".csv:")[1][0] for line in done.stderr.splitlines()] == ["2", "3", "3", "3"]
 
 
-def test_inventory_show_prints_what_is_in_effect() -> None:
+def test_inventory_show_prints_endpoints_with_inherited_values() -> None:
     sample = ROOT / "deploy" / "gateway.toml"
     rows = {row["id"]: row for row in json.loads(call("inventory", "show", sample, "--json").stdout)}
     assert (rows["hill-2"]["wing"], rows["hill-1"]["kind"], rows["hill-1"]["destination"]) == (
@@ -86,7 +86,7 @@
     assert all(name in table.stdout for name in rows)
 
 
-def test_inventory_diff_exits_with_1_where_something_changes_in_effect(tmp_path: Path) -> None:
+def test_inventory_diff_exits_with_1_if_an_endpoint_changes(tmp_path: Path) -> None:
     old, new = tmp_path / "old.csv", tmp_path / "new.csv"
     other = ROW.replace("m1", "m2").replace(".1:", ".2:")
     old.write_text("\n".join([HEADER, ROW, other]))
@@ -102,7 +102,7 @@
     assert call("inventory", "diff", old, new).exit_code == 2
 
 
-def test_inventory_convert_gives_the_same_set(tmp_path: Path) -> None:
+def test_inventory_convert_keeps_the_endpoints(tmp_path: Path) -> None:
     sample = ROOT / "deploy" / "inventory"
     for form in ("csv", "yaml"):
         made = tmp_path / f"all.{form}"
@@ -111,7 +111,7 @@
         assert call("inventory", "convert", sample, "--to", form).stdout == made.read_text()
 
 
-def test_the_vocabulary_of_a_configuration_binds_an_inventory(tmp_path: Path) -> None:
+def test_an_inventory_is_checked_against_the_wings_of_its_configuration(tmp_path: Path) -> None:
     path = prepared(tmp_path, ROW)
     path.write_text(path.read_text() + "[wings.north]\n")
     assert call("inventory", "show", tmp_path / "inventory", "--json").exit_code == 0
@@ -119,7 +119,7 @@
     assert done.exit_code == 2 and "wing: 'east-wing' is not known; one of north" in done.stderr
 
 
-def test_reload_and_status_ask_the_gateway_that_runs(tmp_path: Path) -> None:
+def test_reload_and_status_query_the_running_gateway(tmp_path: Path) -> None:
     async def test() -> None:
         async with Peer(never_respond) as peer, gateway(tmp_path, row("m1", peer)) as (_, port):
             path = tmp_path / "gateway.toml"
@@ -136,22 +136,24 @@
             assert done.exit_code == 1 and f"address: {peer.address} is a duplicate" in done.stderr
             save(tmp_path, row("m3", peer))
             done = await asyncio.to_thread(call, "reload", path)
-            assert done.exit_code == 0  # it is taken now, or was by a look of the gateway's own just before
+            assert (
+                done.exit_code == 0
+            )  # the files are read now, or were read by the gateway's own scan just before
             done = await asyncio.to_thread(call, "status", path, "--json")
             assert json.loads(done.stdout)["inventory"]["problems"] == []
 
     run(test)
 
 
-def test_without_a_gateway_reload_and_status_say_so(tmp_path: Path) -> None:
+def test_reload_and_status_without_a_gateway_exit_with_2(tmp_path: Path) -> None:
     path = prepared(tmp_path, ROW)
     for name in ("reload", "status"):
         done = call(name, path)
         assert done.exit_code == 2 and "no gateway answers in" in done.stderr
 
 
-def test_the_platform_path_loads_nothing_heavy(tmp_path: Path) -> None:
-    """The forwarder of the platform has 32 MB and one core: it must not pay for what it does not use."""
+def test_the_platform_forwarder_imports_no_unused_modules(tmp_path: Path) -> None:
+    """The platform's forwarder has 32 MB and one core, so it must not import modules that it does not use."""
     heavy = ["yaml", "pydantic", "click", "rich", "csv"]
     heavy += [f"emberlatch.{name}" for name in ("cli", "config", "inventory", "standalone", "standins")]
     heavy += ["ssl", "_ssl", "tempfile", "shutil", "cryptography", "asn1crypto", "emberlatch.as2"]
@@ -167,14 +169,14 @@
 @pytest.mark.parametrize(
     "arguments", [["--version"], ["--help"], ["inventory", "--help"], ["demo", "--help"]]
 )
-def test_help_is_there(arguments: list[str]) -> None:
+def test_version_and_help_are_printed(arguments: list[str]) -> None:
     environment = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
     command = [sys.executable, "-m", "emberlatch", *arguments]
     done = subprocess.run(command, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=30)
     assert done.returncode == 0 and "emberlatch" in done.stdout
 
 
-def test_the_demo_shows_a_broken_partner_contained() -> None:
+def test_the_demo_answers_each_message_once_and_shows_the_broken_partner_as_slow() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "emberlatch", "demo", "--seconds", "6", "--json"],
         cwd=ROOT,
--- a/tests/cli/test_tables.py
+++ b/tests/cli/test_tables.py
@@ -1,4 +1,4 @@
-"""Tables on a terminal of 80 columns: nothing is cut."""
+"""Tables fit on a terminal of 80 columns without truncated cells."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return made
 
 
-def test_the_summary_of_a_demonstration_fits_and_says_why(
+def test_the_summary_of_a_demonstration_fits_and_lists_rejection_reasons(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("COLUMNS", "80")
@@ -32,7 +32,7 @@
     assert "harbour-mobile: 500 refused, rejected at once: no capacity" in text
 
 
-def test_the_live_table_of_a_demonstration_fits() -> None:
+def test_the_live_table_of_a_demonstration_fits_80_columns() -> None:
     routes = [{"state": state} for state in ("serving", "serving", "held", "returning")]
     status = {"pools": [{"partner": "harbour-mobile", "leases": 12, "routes": routes}]}
     console = Console(width=80, record=True, file=open("/dev/null", "w"))  # noqa: SIM115
--- a/tests/inventory/generated.py
+++ b/tests/inventory/generated.py
@@ -1,4 +1,4 @@
-"""Generated inventories: many files of rows, and defects planted in them with the lines they are in."""
+"""Generates inventories of many files, and plants defects whose lines it records."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class Line:
-    """One endpoint as it is written; `extra` goes behind its cells."""
+    """The text of one endpoint; `extra` is appended to its cells."""
 
     cells: dict[str, str]
     extra: str = ""
@@ -22,7 +22,7 @@
 
 @dataclass
 class InventoryText:
-    """Files of lines: half of them CSV, half YAML with one host a line."""
+    """Files of lines; half of the files are CSV, half YAML with one host per line."""
 
     files: dict[str, list[Line]] = field(default_factory=dict)
 
@@ -39,7 +39,7 @@
         return "\n".join(rows) + "\n"
 
     def number(self, name: str, index: int) -> int:
-        """The line that a row is in."""
+        """Return the line number of a row."""
         return index + (2 if name.endswith(".csv") else 3)
 
     def copy(self) -> InventoryText:
@@ -52,7 +52,7 @@
 
 
 def generated_inventory(rows: int, files: int) -> InventoryText:
-    """A valid inventory: partners of four endpoints, two in each wing, spread over all files."""
+    """Generate a valid inventory; each partner has two endpoints per wing, distributed over all files."""
     made = InventoryText({f"f{n:02d}.{'csv' if n % 2 else 'yaml'}": [] for n in range(files)})
     names = list(made.files)
     for n in range(rows):
@@ -82,7 +82,7 @@
     lines: set[tuple[str, int]] = field(default_factory=set)
 
     def row(self, ending: str = "") -> tuple[str, int]:
-        """A row of a partner that has no defect yet."""
+        """Choose a row of a partner that has no defect yet."""
         while True:
             name = self.random.choice([n for n in self.text.files if n.endswith(ending)])
             index = self.random.randrange(len(self.text.files[name]))
@@ -97,7 +97,7 @@
         self.lines.add((name, self.text.number(name, index)))
 
     def twice(self, field_name: str) -> None:
-        """Give a row the value of another: the later of the two is reported."""
+        """Copy a value from one row to another; the later of the two rows must be reported."""
         (name, index), (other, at) = self.row(), self.row()
         value = self.text.files[other][at].cells[field_name]
         self.text.files[name][index].cells[field_name] = value
@@ -105,7 +105,7 @@
         self.lines.add(max(here, there))
 
     def plant(self) -> None:
-        """One defect, drawn at random."""
+        """Plant one random defect."""
         self.random.choice(DEFECTS)(self)
 
 
--- a/tests/inventory/test_assembly.py
+++ b/tests/inventory/test_assembly.py
@@ -1,4 +1,4 @@
-"""Thousands of rows with a few defects: the exact set, or a refusal that names exactly the planted lines."""
+"""Thousands of valid rows are loaded exactly; of planted defects, exactly the lines are reported."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @cache
-def sound() -> tuple[InventoryText, dict[str, str], dict[str, ParsedFile], Inventory]:
+def valid_inventory() -> tuple[InventoryText, dict[str, str], dict[str, ParsedFile], Inventory]:
     made = generated_inventory(ROWS, FILES)
     texts = made.texts()
     files = {name: parsed(text, name) for name, text in texts.items()}
@@ -27,7 +27,7 @@
 
 
 def test_five_thousand_rows_over_forty_files_load_in_any_order() -> None:
-    _, _, files, inventory = sound()
+    _, _, files, inventory = valid_inventory()
     assert len(inventory) == ROWS
     names = list(files)
     random.Random(1).shuffle(names)
@@ -38,8 +38,8 @@
 
 
 @pytest.mark.parametrize("chunk", range(CHUNKS))
-def test_broken_variants_name_exactly_the_planted_lines(chunk: int) -> None:
-    made, texts, files, inventory = sound()
+def test_an_inventory_with_defects_is_rejected_with_exactly_their_lines(chunk: int) -> None:
+    made, texts, files, inventory = valid_inventory()
     for variant in range(chunk, VARIANTS, CHUNKS):
         planting = Planting(made.copy(), random.Random(variant))
         for _ in range(1 + variant % 5):
@@ -66,8 +66,8 @@
         lambda text: text.replace("rural-bank", '"rural-bank"'),
     ],
 )
-def test_what_spreadsheets_do_to_a_file_changes_nothing(change: object) -> None:
-    _, texts, files, inventory = sound()
+def test_a_file_saved_by_a_spreadsheet_gives_an_equal_inventory(change: object) -> None:
+    _, texts, files, inventory = valid_inventory()
     assert callable(change)
     again = {name: parsed(change(texts[name]), name) for name in files if name.endswith(".csv")}
     assert assemble((files | again).values()) == inventory
--- a/tests/inventory/test_formats.py
+++ b/tests/inventory/test_formats.py
@@ -60,7 +60,7 @@
         tags=("north", "small"),
     )
     assert (found["a2"].wing, found["a2"].limit, found["a2"].destination) == ("west-wing", 4.0, number)
-    assert number >= 10**9  # made from the name, the same everywhere
+    assert number >= 10**9  # derived from the name, so equal in every process
     assert found["m1"] == Endpoint(
         "m1", ("fd00::1", 5000), "momo", 7, "wallet-operator", "east-wing", draining=True
     )
@@ -156,7 +156,7 @@
     )
 
 
-def test_aliases_that_explode_cost_nothing() -> None:
+def test_exponentially_nested_aliases_are_reported_without_expansion() -> None:
     lines = ["a0: &a0 {x: y}"] + [f"a{n}: &a{n} [{', '.join([f'*a{n - 1}'] * 9)}]" for n in range(1, 30)]
     reported = problems(("a.yaml", "\n".join(lines)))
     assert any("alias" in line for line in reported)
@@ -214,7 +214,7 @@
     ]
 
 
-def test_one_number_has_one_partner_and_one_partner_one_number() -> None:
+def test_a_number_with_two_partners_or_a_partner_with_two_numbers_is_reported() -> None:
     columns = "id,address,destination,partner,kind,wing"
     rows = [f"a{n},10.0.0.{n}:80,7,momo,rural-bank,east-wing" for n in (1, 2)]
     reported = problems(csv(*rows, "a3,10.0.0.3:80,8,momo,rural-bank,east-wing", columns=columns))
--- a/tests/inventory/test_roundtrip.py
+++ b/tests/inventory/test_roundtrip.py
@@ -1,4 +1,4 @@
-"""CSV to YAML to CSV gives the same set; a diff has the changes in effect and nothing else."""
+"""Conversions between CSV and YAML keep the inventory; a diff has exactly the changed endpoints."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(inventories())
-def test_csv_to_yaml_to_csv(inventory: Inventory) -> None:
+def test_conversion_from_csv_to_yaml_to_csv_keeps_the_inventory(inventory: Inventory) -> None:
     if not len(inventory):
         return
     first = read(to_csv(inventory), "a.csv")
@@ -71,7 +71,7 @@
     assert not diff(inventory, second)
 
 
-def test_reordered_rows_and_files_are_no_change() -> None:
+def test_reordered_rows_give_an_equal_inventory() -> None:
     old = generated_inventory(200, 4)
     new = generated_inventory(200, 4)
     for lines in new.files.values():
@@ -95,7 +95,7 @@
     return Endpoint(**(values | changes))  # type: ignore[arg-type]
 
 
-def test_each_change_in_effect_is_reported() -> None:
+def test_each_changed_endpoint_is_reported() -> None:
     old = Inventory([endpoint(), endpoint(id="a2"), endpoint(id="a3"), endpoint(id="a4"), endpoint(id="a5")])
     new = Inventory(
         [
--- a/tests/inventory/test_stability.py
+++ b/tests/inventory/test_stability.py
@@ -1,4 +1,4 @@
-"""Files that are being written: the old inventory or the new one is in force, never a third."""
+"""While a file is being written, the old inventory or the complete new one is in use, never a partial one."""
 
 from __future__ import annotations
 
@@ -41,7 +41,9 @@
 @pytest.mark.parametrize(
     ("signature", "why"), [(B, "changing"), (CREATED, "changing"), (EMPTY, "empty"), (None, "missing")]
 )
-def test_any_other_change_must_be_stable(signature: FileSignature | None, why: str) -> None:
+def test_a_change_other_than_a_rename_is_read_after_the_quiet_period(
+    signature: FileSignature | None, why: str
+) -> None:
     tracker = started()
     seen = {"a": signature} if signature is not None else {}
     assert tracker.scan(5.0, seen).waiting == {"a": why}
@@ -58,7 +60,7 @@
     assert tracker.scan(15.6, {"a": FileSignature(1, 1, 9, 9, 9)}).to_read == ["a"]
 
 
-def test_a_file_that_comes_back_was_never_deleted() -> None:
+def test_a_file_restored_within_the_quiet_period_is_not_reported_as_deleted() -> None:
     tracker = started()
     assert tracker.scan(0.0, {}).waiting == {"a": "missing"}
     result = tracker.scan(1.0, {"a": A})
@@ -66,13 +68,13 @@
     assert tracker.scan(2.5, {}).waiting == {"a": "missing"}
 
 
-def test_a_forced_scan_waits_less() -> None:
+def test_a_forced_scan_uses_the_shorter_quiet_period() -> None:
     tracker = started()
     assert tracker.scan(0.0, {"a": B}, forced=True).waiting
     assert tracker.scan(FORCED_QUIET_PERIOD_S, {"a": B}, forced=True).to_read == ["a"]
 
 
-def test_a_file_that_came_and_went_leaves_nothing() -> None:
+def test_a_file_deleted_before_it_was_read_is_no_longer_tracked() -> None:
     tracker = started()
     assert tracker.scan(0.0, {"a": A, "b": CREATED}).waiting == {"b": "changing"}
     assert tracker.scan(9.0, {"a": A}).waiting == {}
@@ -90,16 +92,16 @@
         self.inventory = self.files.assemble()
 
     def scan(self, after: float) -> Inventory:
-        """The inventory in force after a scan."""
+        """Scan after a time; returns the inventory in use."""
         self.now += after
         if self.files.update(self.now, forced=False):
-            with contextlib.suppress(RefusedError):  # the one before stays
+            with contextlib.suppress(RefusedError):  # the previous inventory stays in use
                 self.inventory = self.files.assemble()
         return self.inventory
 
 
 def texts() -> tuple[str, str]:
-    """Fifty rows, and the same after an edit of some."""
+    """Return a file with fifty rows, and its text after some were changed and the last five removed."""
     old = generated_inventory(50, 1)
     old.files = {"a.csv": old.files.pop("f00.yaml")}
     new = old.copy()
@@ -110,7 +112,7 @@
 
 
 @pytest.mark.parametrize("how", ["in place", "anew"])
-def test_a_save_cut_at_every_byte_gives_the_old_set_or_the_new(memory_path: Path, how: str) -> None:
+def test_a_save_cut_at_any_byte_keeps_the_complete_inventory(memory_path: Path, how: str) -> None:
     before, after = texts()
     data = after.encode()
     folder = Folder(memory_path, before)
@@ -148,7 +150,7 @@
     assert len(folder.scan(QUIET_PERIOD_S)) == 45
 
 
-def test_a_renamed_file_is_in_force_at_the_next_scan(tmp_path: Path) -> None:
+def test_a_renamed_file_is_in_use_after_the_next_scan(tmp_path: Path) -> None:
     before, after = texts()
     folder = Folder(tmp_path, before)
     new = tmp_path / ".a.csv.new"
@@ -158,7 +160,7 @@
     assert len(folder.scan(0.0)) == 45
 
 
-def test_a_folder_that_lost_a_file_keeps_the_inventory_until_a_second_scan(tmp_path: Path) -> None:
+def test_a_deleted_file_keeps_its_endpoints_until_the_quiet_period_ends(tmp_path: Path) -> None:
     before, _ = texts()
     folder = Folder(tmp_path, before)
     other = tmp_path / "b.csv"
@@ -170,7 +172,7 @@
     assert len(folder.scan(QUIET_PERIOD_S)) == 50
 
 
-def test_hidden_files_backups_and_others_are_ignored(tmp_path: Path) -> None:
+def test_hidden_files_backups_and_other_extensions_are_ignored(tmp_path: Path) -> None:
     for name in (".a.csv", "#a.csv#", "a.csv~", "a.txt", "a.csv.swp"):
         (tmp_path / name).write_text("x")
     (tmp_path / ".git").mkdir()
--- a/tests/simlink/test_adapter.py
+++ b/tests/simlink/test_adapter.py
@@ -53,14 +53,14 @@
     return frame(about, record, tail=text)
 
 
-def test_empty_frame_and_reply() -> None:
+def test_an_empty_frame_has_no_events_and_an_empty_reply_no_records() -> None:
     now, events = Decoder().decode(bytes.fromhex("1000000000000000" + CLOCK))
     assert events == []
     assert now == struct.unpack("<d", bytes.fromhex(CLOCK))[0]
     assert encode_reply([]) == bytes.fromhex("0000000008000000")
 
 
-def test_events_of_two_instances() -> None:
+def test_events_are_decoded_with_the_instance_of_their_about_record() -> None:
     data = frame(ABOUT_3, ARRIVAL, TIMER, ABOUT_5, CLIENT_GONE)
     assert data[:8] == bytes.fromhex("2801000005000000")
     _, events = Decoder().decode(data)
@@ -74,7 +74,7 @@
     assert gone == interface.ClientGone(int.from_bytes(bytes.fromhex("192b6f0e5ba80d00"), "little"))
 
 
-def test_outcome_example() -> None:
+def test_the_outcome_example_is_decoded() -> None:
     _, [(_, outcome)] = Decoder().decode(frame(ABOUT_3, OUTCOME))
     assert isinstance(outcome, interface.Outcome)
     assert outcome.result is interface.Result.OK
@@ -83,7 +83,7 @@
     assert outcome.report == pytest.approx((0.4, 1.25))
 
 
-def test_directory_example_and_reuse_of_a_list_within_a_frame() -> None:
+def test_a_list_registered_again_within_a_frame_replaces_the_first() -> None:
     first = bytes.fromhex("390000010000000000000000000 00a124a075b1b0000803f".replace(" ", ""))
     second = bytes.fromhex("3900000101006666666666661840 0a9011f2841b0000c03f".replace(" ", ""))
     register = (struct.pack("<HBII", 1100, 0, 0, 1) + bytes(45)).hex()
@@ -98,7 +98,7 @@
     assert two.entries[0].weight == 1.5
 
 
-def test_reply_example() -> None:
+def test_the_reply_example_is_encoded() -> None:
     clock = struct.unpack("<d", bytes.fromhex("508d976e12d32140"))[0]
     reply = encode_reply(
         [
@@ -130,7 +130,7 @@
     )
 
 
-def test_peer_message_example() -> None:
+def test_the_peer_message_example_is_encoded() -> None:
     reply = encode_reply([(3, [interface.SendToPeer(None, b"hi 7")])])
     assert reply[32:] == bytes.fromhex("2e04ffffffff0000000004000000" + "00" * 10) + b"hi 7"
 
@@ -165,7 +165,7 @@
     return sink.getvalue()
 
 
-def test_start_stop_and_restart_in_one_frame() -> None:
+def test_a_stop_discards_earlier_events_of_its_frame() -> None:
     assert len(serve(start(3, SETTINGS))) == 8
     stop = (struct.pack("<H", 1000) + bytes(54)).hex()
     assert serve(start(3, SETTINGS) + frame(ABOUT_3, TIMER, stop)) == bytes.fromhex("0000000008000000") * 2
@@ -206,7 +206,7 @@
     assert b"Traceback" not in done.stderr
 
 
-def test_an_exception_in_the_module_becomes_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_decision_module_becomes_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(self: object, now: float, events: object) -> None:
         raise RuntimeError("lost my way")
 
--- a/tests/standins/test_directory.py
+++ b/tests/standins/test_directory.py
@@ -1,4 +1,4 @@
-"""The stand-in directory as one overloaded service: with a queue, and with answers that are lost."""
+"""The stand-in directory with a queue of calls and with lost answers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Observer:
-    """Records what passes."""
+    """Records requests, lists and lost answers."""
 
     def __init__(self) -> None:
         self.events: list[tuple[Any, ...]] = []
@@ -36,7 +36,7 @@
 
 
 def served(test: Callable[[Directory, DirectoryServer, Observer], Awaitable[None]]) -> None:
-    """Run against a directory of three members on a virtual clock."""
+    """Run a test against a directory of three members on a virtual clock."""
     loop = VirtualLoop()
     Network(loop, 1, latency=0.0)
     observer = Observer()
@@ -53,7 +53,7 @@
 
 
 async def ask(server: DirectoryServer, query: str = "") -> tuple[int, float, Any]:
-    """Status, how long it took, and the document."""
+    """Request a list; returns the status, the duration in seconds, and the document."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     connection: Connection = await connect(parse_address(server.address), 1.0, 1 << 20)
@@ -62,22 +62,22 @@
     return answer.status, round(took, 3), json.loads(answer.body) if answer.body else None
 
 
-def test_calls_are_worked_through_in_turn_and_the_longer_the_list_the_slower() -> None:
+def test_calls_are_served_in_turn_and_longer_lists_take_longer() -> None:
     async def test(directory: Directory, server: DirectoryServer, observer: Observer) -> None:
         directory.service_queue.cost = ServiceCost(call=0.2, entry=0.1, queue_timeout=1.0)
         answers = await asyncio.gather(*(ask(server) for _ in range(4)))
         assert sorted((took, status) for status, took, _ in answers) == [
             (0.5, 200),
             (1.0, 200),
-            (1.0, 503),  # it would have had to wait for 1.5 s
+            (1.0, 503),  # its wait of 1.5 s would exceed the time-out
             (1.5, 200),
         ]
-        assert (await ask(server, "?since=3&timeout_ms=0"))[1] == 0.3  # one entry
+        assert (await ask(server, "?since=3&timeout_ms=0"))[1] == 0.3  # the answer has one entry
 
     served(test)
 
 
-def test_a_change_puts_every_watch_into_the_queue_once_more() -> None:
+def test_a_change_queues_every_watch_again() -> None:
     async def test(directory: Directory, server: DirectoryServer, observer: Observer) -> None:
         directory.service_queue.cost = ServiceCost(call=0.1)
         watches = [asyncio.ensure_future(ask(server, "?since=4&timeout_ms=9000")) for _ in range(3)]
@@ -94,7 +94,7 @@
     served(test)
 
 
-def test_a_service_that_goes_down_ends_its_watches() -> None:
+def test_an_unavailable_service_answers_its_watches_with_503() -> None:
     async def test(directory: Directory, server: DirectoryServer, observer: Observer) -> None:
         watch = asyncio.ensure_future(ask(server, "?since=4&timeout_ms=9000"))
         await asyncio.sleep(1.0)
@@ -105,7 +105,7 @@
     served(test)
 
 
-def test_every_second_answer_is_lost_and_the_observer_is_notified_which() -> None:
+def test_with_drop_every_2_the_second_answer_is_lost_and_the_observer_notified() -> None:
     async def test(directory: Directory, server: DirectoryServer, observer: Observer) -> None:
         directory.service_queue.drop_every = 2
         assert (await ask(server))[0] == 200
@@ -123,7 +123,7 @@
     served(test)
 
 
-def test_a_call_that_queues_too_long_gets_its_turn_at_no_cost() -> None:
+def test_a_call_that_queues_too_long_fails_without_using_the_worker() -> None:
     service_queue = ServiceQueue(ServiceCost(call=1.0, queue_timeout=1.5))
     assert [service_queue.turn(0.0, 0).at for _ in range(3)] == [1.0, 2.0, 1.5]
     assert [service_queue.turn(0.0, 0).served for _ in range(2)] == [False, False]
--- a/tests/standins/test_endpoint.py
+++ b/tests/standins/test_endpoint.py
@@ -1,4 +1,4 @@
-"""The stand-in partner: one description of its behaviour, by a clock or on sockets."""
+"""The stand-in partner, as a model on the test's clock and as a server on sockets."""
 
 from __future__ import annotations
 
@@ -60,16 +60,18 @@
         (Condition.FULL, 429, True),
     ],
 )
-def test_each_condition(condition: Condition, status: int, answered: bool) -> None:
+def test_each_condition_has_its_outcome_and_is_followed_by_a_warm_up(
+    condition: Condition, status: int, answered: bool
+) -> None:
     endpoint = EndpointModel(STEADY)
     endpoint.set_condition(0.0, condition)
     outcome = endpoint.call(1.0, ONE_MESSAGE)
     assert outcome.status == status and (outcome.at < math.inf) == answered
     endpoint.set_condition(2.0, Condition.HEALTHY)
-    assert endpoint.call(3.0, ONE_MESSAGE).at == pytest.approx(3 + 0.1 / (0.27 + 0.73 * 0.1))  # cold
+    assert endpoint.call(3.0, ONE_MESSAGE).at == pytest.approx(3 + 0.1 / (0.27 + 0.73 * 0.1))  # warm-up
 
 
-def test_an_endpoint_that_warms_up_fails_under_load_and_recovers_without() -> None:
+def test_an_endpoint_fails_during_its_warm_up_only_under_high_load() -> None:
     for rate, fails in ((3.0, False), (30.0, True)):
         endpoint = EndpointModel(STEADY)
         endpoint.set_condition(0.0, Condition.HANG)
@@ -100,7 +102,7 @@
     return await connect(parse_address(server.address), 5.0)
 
 
-def test_on_a_socket_it_answers_breaks_shuts_and_comes_back_at_its_address() -> None:
+def test_a_server_answers_resets_refuses_and_listens_again_at_its_address() -> None:
     async def test() -> None:
         server = PartnerServer(EndpointModel(Behaviour(service_time_s=0.01, rate_limit_per_s=50.0)))
         await server.start()
@@ -126,7 +128,7 @@
     run(test)
 
 
-def test_a_process_hosts_several_and_changes_them_on_demand() -> None:
+def test_a_process_hosts_several_endpoints_and_changes_their_conditions() -> None:
     async def test() -> None:
         pipe = asyncio.subprocess.PIPE
         process = await asyncio.create_subprocess_exec(
@@ -146,13 +148,13 @@
     run(test)
 
 
-def test_the_statistics_of_a_demonstration() -> None:
+def test_a_fault_is_contained_only_if_others_are_in_time_and_outcomes_are_unique() -> None:
     statistics = DemoStatistics(["a", "b"], "a", latency_target_s=1.0)
     for n in range(10):
         statistics.sent(f"a{n}", "a", DemoPhase.DURING, 0.0)
         statistics.sent(f"b{n}", "b", DemoPhase.BEFORE if n < 5 else DemoPhase.DURING, 0.0)
         statistics.ended(f"b{n}", "delivered", 0.5)
-    assert not statistics.summary().contained  # the broken one's have no answer
+    assert not statistics.summary().contained  # messages to the broken partner have no answer
     for n in range(10):
         statistics.ended(f"a{n}", ("delivered", "refused", "failed")[n % 3], 2.0, "no capacity")
     assert statistics.summary().contained
@@ -165,4 +167,4 @@
     for n in range(100):
         late.sent(f"b{n}", "b", DemoPhase.BEFORE if n < 50 else DemoPhase.DURING, 0.0)
         late.ended(f"b{n}", "delivered", 0.5 if n < 97 else 2.0)
-    assert not late.summary().contained  # 6% of the others' were late
+    assert not late.summary().contained  # 6% of the messages to other partners were late
