--- a/emberlatch/cli/as2.py
+++ b/emberlatch/cli/as2.py
@@ -48,7 +48,7 @@
 def _as2_configuration(path: Path) -> tuple[Gateway, As2]:
     config = load_configuration(path)
     if config.as2 is None:
-        fail([f"{path}: has no [as2]"])
+        fail([f"{path}: has no table [as2]"])
     return config, config.as2
 
 
--- a/emberlatch/cli/storm.py
+++ b/emberlatch/cli/storm.py
@@ -134,7 +134,7 @@
 ) -> None:
     """Play one storm: PLAN, or the one of a seed. Exit 1 if a rule is broken."""
     if (plan_path is None) == (seed is None):
-        fail(["name either a plan or a seed"])
+        fail(["give either a plan file or --seed"])
     try:
         plan = _plan_of(plan_path, seed, members, seconds)
     except (OSError, PlanError) as error:
--- a/emberlatch/config/decision_settings.py
+++ b/emberlatch/config/decision_settings.py
@@ -9,7 +9,7 @@
 from emberlatch.inventory.model import Vocabulary
 
 DECISION_ROUND_S = 0.005
-OVER_QUOTA_WORTH = 0.1  # factor on the value of messages in excess of their tenant's quota share
+OVER_QUOTA_VALUE_FACTOR = 0.1  # factor on the value of messages in excess of their tenant's quota share
 REPORT_FIELDS = ("x0", "x1")
 
 _EFFECTS = {"safe": api.Effect.SAFE, "keyed": api.Effect.KEYED, "unsafe": api.Effect.UNSAFE}
@@ -34,7 +34,7 @@
         max_attempts=config.limits.attempts,
         decision_interval=DECISION_ROUND_S,
         tenants=tuple(api.Tenant(name, item.rate) for name, item in config.tenants.items()),
-        over_quota_value_factor=OVER_QUOTA_WORTH if config.tenants else 1.0,
+        over_quota_value_factor=OVER_QUOTA_VALUE_FACTOR if config.tenants else 1.0,
         separate_routes=tuple(kind.routes == "separate" for kind in config.kinds.values()),
         per_call=tuple(kind.batch for kind in config.kinds.values()),
         zone_fees=tuple(wing.fee for wing in config.wings.values()),
--- a/emberlatch/demo/run.py
+++ b/emberlatch/demo/run.py
@@ -79,7 +79,7 @@
         self._show, self._partners = show, partners
         self._random = random.Random(seed)
         self._statistics = DemoStatistics(PARTNERS, BROKEN_PARTNER, LATENCY_TARGET_S)
-        self._nothing_open = asyncio.Event()
+        self._no_open_messages = asyncio.Event()
         self._idle_connections: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
         self._log_offset = 0  # number of bytes of the outcome log that have been read
         self._status: dict[str, Any] = {}
@@ -114,7 +114,7 @@
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FINAL_OUTCOMES_TIMEOUT_S):
-                await self._nothing_open.wait()
+                await self._no_open_messages.wait()
 
     async def _inject_fault(self) -> None:
         for phase, condition in ((DemoPhase.DURING, "hang"), (DemoPhase.AFTER, "well")):
@@ -142,18 +142,18 @@
             self._log_offset += len(complete)
             for line in complete.splitlines():
                 outcome = json.loads(line)
-                self._ended(outcome["id"], outcome["state"], outcome["at"], LATER_REJECTION_REASON)
+                self._record_outcome(outcome["id"], outcome["state"], outcome["at"], LATER_REJECTION_REASON)
 
-    def _ended(self, message: str, state: str, at: float, reason: str) -> None:
-        self._statistics.ended(message, state, at, reason)
+    def _record_outcome(self, message: str, state: str, at: float, reason: str) -> None:
+        self._statistics.record_outcome(message, state, at, reason)
         if not self._statistics.open:
-            self._nothing_open.set()
+            self._no_open_messages.set()
 
     async def _submit(self, message: str) -> None:
         names = list(PARTNERS)
         partner = self._random.choices(names, [PARTNERS[name].share for name in names])[0]
-        self._statistics.sent(message, partner, self._phase, time.time())
-        self._nothing_open.clear()
+        self._statistics.record_submission(message, partner, self._phase, time.time())
+        self._no_open_messages.clear()
         head = (
             f"POST /api HTTP/1.1\r\nHost: gateway\r\n"
             f"X-Request-ID: {message}\r\nIdempotency-Key: {message}\r\n"
@@ -163,7 +163,7 @@
         status = await self._exchange(head.encode())
         if status != ACCEPTED_STATUS:  # the response is the outcome
             state = REFUSED if status in REJECTION_REASONS else "failed"
-            self._ended(message, state, time.time(), REJECTION_REASONS.get(status, ""))
+            self._record_outcome(message, state, time.time(), REJECTION_REASONS.get(status, ""))
 
     async def _exchange(self, request: bytes) -> int:
         """Send a request on an idle or a new connection; returns the status, 0 if the connection failed."""
--- a/emberlatch/demo/statistics.py
+++ b/emberlatch/demo/statistics.py
@@ -124,12 +124,12 @@
         """Number of messages without an outcome."""
         return len(self._open)
 
-    def sent(self, message: str, partner: str, phase: DemoPhase, at: float) -> None:
+    def record_submission(self, message: str, partner: str, phase: DemoPhase, at: float) -> None:
         """Record that a message is submitted; `at` is in seconds of any one clock."""
         self._open[message] = _OpenMessage(partner, phase, at)
         self.partners[partner].setdefault(phase, PhaseStatistics()).sent += 1
 
-    def ended(self, message: str, state: str, at: float, reason: str = "") -> None:
+    def record_outcome(self, message: str, state: str, at: float, reason: str = "") -> None:
         """Record the outcome of a message; `reason` says why it was rejected."""
         if message not in self._open:
             self.answered_twice += message in self._ended
--- a/emberlatch/inventory/file_set.py
+++ b/emberlatch/inventory/file_set.py
@@ -8,7 +8,7 @@
 
 from emberlatch.inventory.assembly import assemble
 from emberlatch.inventory.model import Inventory, RefusedError, Vocabulary
-from emberlatch.inventory.parsed_file import PackedFile
+from emberlatch.inventory.parsed_file import PickledFile
 from emberlatch.inventory.reader import UnstableFileError, missing_paths, parse, read, scan
 from emberlatch.inventory.stability import FileSignature, StabilityTracker
 
@@ -23,15 +23,15 @@
     def __init__(self, paths: Sequence[Path], quiet_period_s: float, vocabulary: Vocabulary) -> None:
         self._paths, self._vocabulary, self._quiet_period_s = paths, vocabulary, quiet_period_s
         self._stability = StabilityTracker(quiet_period_s)
-        self._parsed: dict[str, PackedFile] = {}
+        self._parsed: dict[str, PickledFile] = {}
         self.waiting: dict[str, str] = {}
         """Path of each file that has not been read yet -> the reason."""
 
-    def read_first(self, now: float, wall: float, trusting: bool) -> None:
+    def read_first(self, now: float, wall: float, accept_recent: bool) -> None:
         """Read the files that exist at the start; raises RefusedError if a configured path does not exist.
 
         A file that was modified within the quiet period, and not renamed into place, may be half
-        written: a later scan reads it. With `trusting` it is read now, because there is no other inventory
+        written: a later scan reads it. With `accept_recent` it is read now, as there is no other inventory
         to use. `now` is monotonic time, `wall` Unix time, in seconds.
         """
         if missing := missing_paths(self._paths):
@@ -39,7 +39,7 @@
         found = scan(self._paths)
         for path, signature in found.items():
             age_s = wall - signature.modified_ns / NS_PER_S
-            if trusting or age_s >= self._quiet_period_s or signature.replaces(None):
+            if accept_recent or age_s >= self._quiet_period_s or signature.replaces(None):
                 self._read(path, signature)
         self.waiting = self._stability.scan(now, found).waiting
 
@@ -69,9 +69,9 @@
         if expected is not None and expected != signature:
             return False
         self._stability.mark_read(path, signature)
-        self._parsed[path] = PackedFile(parse(data, path, self._vocabulary))
+        self._parsed[path] = PickledFile(parse(data, path, self._vocabulary))
         return True
 
     def assemble(self) -> Inventory:
         """Combine the files that were read into one inventory; raises RefusedError."""
-        return assemble((packed.unpack() for packed in self._parsed.values()), self._vocabulary)
+        return assemble((pickled.unpickle() for pickled in self._parsed.values()), self._vocabulary)
--- a/emberlatch/inventory/membership.py
+++ b/emberlatch/inventory/membership.py
@@ -58,7 +58,7 @@
         if last is not None and not _fits(last.inventory, self._vocabulary):
             last = None
         try:
-            self._files.read_first(time.monotonic(), time.time(), trusting=last is None)
+            self._files.read_first(time.monotonic(), time.time(), accept_recent=last is None)
             if last is not None and self._files.waiting:
                 raise UnstableFileError(", ".join(self._files.waiting))
             inventory = self._files.assemble()
--- a/emberlatch/inventory/parsed_file.py
+++ b/emberlatch/inventory/parsed_file.py
@@ -75,7 +75,7 @@
 _ROWS_PER_CHUNK = 500  # unpickling a chunk blocks all other threads: it does not release the interpreter lock
 
 
-class PackedFile:
+class PickledFile:
     """A parsed file in pickled form, kept in memory until another file changes.
 
     If the rows of a large inventory were kept as objects, each full garbage collection would traverse
@@ -89,7 +89,7 @@
         self._rest = pickle.dumps(rest)
         self._row_chunks = [pickle.dumps(chunk) for chunk in chunks]
 
-    def unpack(self) -> ParsedFile:
+    def unpickle(self) -> ParsedFile:
         """Return a new copy of the parsed file."""
         parsed: ParsedFile = pickle.loads(self._rest)
         parsed.rows = [row for chunk in self._row_chunks for row in _unpickled(chunk)]
--- a/emberlatch/process.py
+++ b/emberlatch/process.py
@@ -40,7 +40,7 @@
         config = read_config(os.environ)
         forwarder.check(config)
     except (ConfigError, *LIST_DECODE_ERRORS) as error:
-        log.error("configuration not taken: %r", error)
+        log.error("configuration rejected, the current one stays in use: %r", error)
         forwarder.engine.counters.count("reload_failure")
         return
     forwarder.reload(config)
@@ -131,7 +131,9 @@
         try:
             handover.start(handover_socket_path(config.name))
         except OSError as error:
-            log.error("nobody can follow this process: %s", error)
+            log.error(
+                "the handover socket cannot be opened, so no process can take over from this one: %s", error
+            )
     loop.add_signal_handler(signal.SIGHUP, _on_hang_up, forwarder, handover, reload)
     if reload.is_set() or forwarder.is_outdated():
         _reload(forwarder)
--- a/emberlatch/simlink/adapter.py
+++ b/emberlatch/simlink/adapter.py
@@ -27,13 +27,13 @@
     if not head:
         return None
     if len(head) < _LENGTH.size:
-        raise WireError(f"input ended {len(head)} bytes into a frame's length")
+        raise WireError(f"input ended after {len(head)} of {_LENGTH.size} bytes of a frame's length")
     length = _LENGTH.unpack(head)[0]
     if length < HEADER.size:
-        raise WireError(f"frame length {length} is under that of its header")
+        raise WireError(f"frame length {length} is below its header size of {HEADER.size} bytes")
     body = stream.read(length - _LENGTH.size)
     if len(body) < length - _LENGTH.size:
-        raise WireError(f"input ended {len(body) + _LENGTH.size} bytes into a frame of {length}")
+        raise WireError(f"input ended after {len(body) + _LENGTH.size} of {length} bytes of a frame")
     return head + body
 
 
--- a/emberlatch/simlink/decoder.py
+++ b/emberlatch/simlink/decoder.py
@@ -62,13 +62,13 @@
             WireError: the frame does not follow the protocol.
         """
         if len(data) < HEADER.size:
-            raise WireError(f"frame of {len(data)} bytes is shorter than its header")
+            raise WireError(f"frame of {len(data)} bytes is shorter than its header of {HEADER.size} bytes")
         length, count, now = HEADER.unpack_from(data)
         if length != len(data):
-            raise WireError(f"frame says {length} bytes and has {len(data)}")
+            raise WireError(f"frame has {len(data)} bytes, but its header says {length}")
         tail_start = HEADER.size + count * RECORD_SIZE
         if tail_start > length:
-            raise WireError(f"frame of {length} bytes cannot hold {count} records")
+            raise WireError(f"frame of {length} bytes cannot hold {count} records of {RECORD_SIZE} bytes")
         instance: int | None = None
         events: list[tuple[int, WireEvent]] = []
         for start in range(HEADER.size, tail_start, RECORD_SIZE):
@@ -131,7 +131,7 @@
 def _tail(data: bytes, tail_start: int, offset: int, size: int, record: str) -> bytes:
     start = tail_start + offset
     if start + size > len(data):
-        raise WireError(f"{record}: its tail data reach past the end of the frame")
+        raise WireError(f"{record}: tail data end at byte {start + size} of a frame of {len(data)} bytes")
     return data[start : start + size]
 
 
--- a/emberlatch/simlink/settings.py
+++ b/emberlatch/simlink/settings.py
@@ -85,7 +85,7 @@
     except ValueError as error:
         raise SettingsError(f"not valid JSON: {error}") from error
     if not isinstance(document, dict):
-        raise SettingsError("must be a JSON object")
+        raise SettingsError(f"must be a JSON object, not {type(document).__name__}")
     try:
         return _decode(document)
     except WireError:
@@ -156,7 +156,7 @@
     """Return a finite number over 0; texts and booleans, which Python could convert, are rejected."""
     value = _required(section, key, path)
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < math.inf:
-        raise SettingsError(f"{path}{key}: must be a number over 0")
+        raise SettingsError(f"{path}{key}: must be a number over 0, not {value!r}")
     return float(value)
 
 
--- a/emberlatch/standins/endpoint_model.py
+++ b/emberlatch/standins/endpoint_model.py
@@ -38,7 +38,7 @@
 """Conditions after which an endpoint warms up."""
 SLOW_FACTOR = 10.0
 BATCH_ITEM_SHARE = 0.35
-"""The additional service time per further message, as a share of that of a call with one message."""
+"""The service time of each message after the first, as a share of that of a call with one message."""
 MIN_DRAWN_SHARE = 0.2
 """The shortest service time that is drawn, as a share of the mean."""
 MAX_REFILL_S = 1.0
@@ -87,7 +87,7 @@
         Raises TypeError if the object has an unknown key.
         """
         if unknown := document.keys() - BEHAVIOUR_KEYS.keys():
-            raise TypeError(f"no such keys of a behaviour: {', '.join(sorted(unknown))}")
+            raise TypeError(f"unknown keys of a behaviour: {', '.join(sorted(unknown))}")
         return cls(**{BEHAVIOUR_KEYS[key]: value for key, value in document.items()})  # type: ignore[arg-type]  # JSON has one type of number
 
 
--- a/tests/cli/test_tables.py
+++ b/tests/cli/test_tables.py
@@ -15,9 +15,11 @@
     made = DemoStatistics(["harbour-mobile", "savanna-bank"], "harbour-mobile", latency_target_s=1.0)
     for n in range(3000):
         phase = list(DemoPhase)[n // 1000]
-        made.sent(f"{n}", "harbour-mobile", phase, 0.0)
+        made.record_submission(f"{n}", "harbour-mobile", phase, 0.0)
         state = "delivered" if n % 3 else "refused"
-        made.ended(f"{n}", state, 12.345, "rejected at once: no capacity" if n % 2 else "its deadline passed")
+        made.record_outcome(
+            f"{n}", state, 12.345, "rejected at once: no capacity" if n % 2 else "its deadline passed"
+        )
     return made
 
 
--- a/tests/inventory/test_stability.py
+++ b/tests/inventory/test_stability.py
@@ -88,7 +88,7 @@
         self.path, self.now = path / "a.csv", 1000.0
         self.path.write_text(text)
         self.files = InventoryFiles([path], QUIET_PERIOD_S, vocabulary)
-        self.files.read_first(self.now, 0.0, trusting=True)
+        self.files.read_first(self.now, 0.0, accept_recent=True)
         self.inventory = self.files.assemble()
 
     def scan(self, after: float) -> Inventory:
--- a/tests/simlink/test_adapter.py
+++ b/tests/simlink/test_adapter.py
@@ -172,8 +172,8 @@
 
 
 INVALID_INPUT = {
-    "truncated length": (b"\x10\x00", "into a frame's length"),
-    "short length": (struct.pack("<I", 4), "under that of its header"),
+    "truncated length": (b"\x10\x00", "input ended after 2 of 4 bytes of a frame's length"),
+    "short length": (struct.pack("<I", 4), "frame length 4 is below its header size of 16 bytes"),
     "truncated frame": (frame(ABOUT_3, TIMER)[:-3], "input ended"),
     "too many records": (struct.pack("<II", 16, 9) + bytes(8), "cannot hold 9 records"),
     "unknown code": (frame(ABOUT_3, "ffff" + "00" * 54), "unknown record code 65535"),
--- a/tests/standins/test_endpoint.py
+++ b/tests/standins/test_endpoint.py
@@ -151,20 +151,20 @@
 def test_a_fault_is_contained_only_if_others_are_in_time_and_outcomes_are_unique() -> None:
     statistics = DemoStatistics(["a", "b"], "a", latency_target_s=1.0)
     for n in range(10):
-        statistics.sent(f"a{n}", "a", DemoPhase.DURING, 0.0)
-        statistics.sent(f"b{n}", "b", DemoPhase.BEFORE if n < 5 else DemoPhase.DURING, 0.0)
-        statistics.ended(f"b{n}", "delivered", 0.5)
+        statistics.record_submission(f"a{n}", "a", DemoPhase.DURING, 0.0)
+        statistics.record_submission(f"b{n}", "b", DemoPhase.BEFORE if n < 5 else DemoPhase.DURING, 0.0)
+        statistics.record_outcome(f"b{n}", "delivered", 0.5)
     assert not statistics.summary().contained  # messages to the broken partner have no answer
     for n in range(10):
-        statistics.ended(f"a{n}", ("delivered", "refused", "failed")[n % 3], 2.0, "no capacity")
+        statistics.record_outcome(f"a{n}", ("delivered", "refused", "failed")[n % 3], 2.0, "no capacity")
     assert statistics.summary().contained
     assert statistics.summary().partners["a"]["during"] == {
         "sent": 10, "service": 0.0, "median": 2.0, "late": 4, "refused": {"no capacity": 3}, "failed": 3,
     }  # fmt: skip
-    statistics.ended("a1", "delivered", 3.0)
+    statistics.record_outcome("a1", "delivered", 3.0)
     assert statistics.summary().answered_twice == 1 and not statistics.summary().contained
     late = DemoStatistics(["a", "b"], "a", latency_target_s=1.0)
     for n in range(100):
-        late.sent(f"b{n}", "b", DemoPhase.BEFORE if n < 50 else DemoPhase.DURING, 0.0)
-        late.ended(f"b{n}", "delivered", 0.5 if n < 97 else 2.0)
+        late.record_submission(f"b{n}", "b", DemoPhase.BEFORE if n < 50 else DemoPhase.DURING, 0.0)
+        late.record_outcome(f"b{n}", "delivered", 0.5 if n < 97 else 2.0)
     assert not late.summary().contained  # 6% of the messages to other partners were late
