--- a/emberlatch/inventory/yaml_nodes.py
+++ b/emberlatch/inventory/yaml_nodes.py
@@ -120,9 +120,8 @@
                 items.append(self._node(inner, depth + 1))
             return Sequence(line, items)
         assert isinstance(event, yaml.ScalarEvent)
-        return Scalar(
-            event.value, not event.style, line
-        )  # the C parser gives "" as the style of a plain scalar
+        # The C parser gives "" as the style of a plain scalar.
+        return Scalar(event.value, not event.style, line)
 
     def _mapping(self, line: int, depth: int) -> Mapping:
         mapping = Mapping(line)
--- a/emberlatch/process.py
+++ b/emberlatch/process.py
@@ -177,9 +177,8 @@
 
 def main() -> int:
     """Run until a signal; returns the exit code, 0, or 2 if a setting is invalid."""
-    signal.signal(
-        signal.SIGHUP, signal.SIG_IGN
-    )  # the configuration has not been read yet, so there is nothing to reload
+    # The configuration has not been read yet, so there is nothing to reload.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format=LOG_FORMAT)
     try:
         asyncio.run(_run())
--- a/emberlatch/simlink/adapter.py
+++ b/emberlatch/simlink/adapter.py
@@ -61,7 +61,7 @@
                 if isinstance(event, Start):
                     try:
                         self._instances[instance] = Forwarder(event.settings, event.seed)
-                    except Exception as error:  # the simulator ends the run
+                    except Exception as error:  # the simulator ends the run at a fault
                         replies[instance] = [_fault(error)]
                     pending[instance] = []
             elif instance not in self._instances:
@@ -78,7 +78,7 @@
 def _decide(forwarder: Forwarder, now: float, events: list[Event]) -> list[WireAction]:
     try:
         actions: list[Action] = forwarder.handle(now, events)
-    except Exception as error:  # the simulator ends the run
+    except Exception as error:  # the simulator ends the run at a fault
         return [_fault(error)]
     return [*actions]
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -136,9 +136,8 @@
             assert done.exit_code == 1 and f"address: {peer.address} is a duplicate" in done.stderr
             save(tmp_path, row("m3", peer))
             done = await asyncio.to_thread(call, "reload", path)
-            assert (
-                done.exit_code == 0
-            )  # the files are read now, or were read by the gateway's own scan just before
+            # The files are read now, or were read by the gateway's own scan just before.
+            assert done.exit_code == 0
             done = await asyncio.to_thread(call, "status", path, "--json")
             assert json.loads(done.stdout)["inventory"]["problems"] == []
 
