--- a/emberlatch/inventory/file_set.py
+++ b/emberlatch/inventory/file_set.py
@@ -8,7 +8,7 @@
 
 from emberlatch.inventory.assembly import assemble
 from emberlatch.inventory.model import Inventory, RefusedError, Vocabulary
-from emberlatch.inventory.parsed_file import PackedFile
+from emberlatch.inventory.parsed_file import PickledFile
 from emberlatch.inventory.reader import UnstableFileError, missing_paths, parse, read, scan
 from emberlatch.inventory.stability import FileSignature, StabilityTracker
 
@@ -18,32 +18,33 @@
 
 
 class InventoryFiles:
-    """Reads files as they become stable. All methods block on I/O and parsing: they are for a thread."""
+    """Reads files as they become stable. All methods block on I/O or parsing: call them in a thread."""
 
     def __init__(self, paths: Sequence[Path], quiet_period_s: float, vocabulary: Vocabulary) -> None:
         self._paths, self._vocabulary, self._quiet_period_s = paths, vocabulary, quiet_period_s
         self._stability = StabilityTracker(quiet_period_s)
-        self._parsed: dict[str, PackedFile] = {}
+        self._parsed: dict[str, PickledFile] = {}
         self.waiting: dict[str, str] = {}
-        """Files that are not read yet, and why."""
+        """Path of each file that has not been read yet -> the reason."""
 
-    def read_first(self, now: float, wall: float, trusting: bool) -> None:
-        """Read what is there at the start; raises RefusedError if a path does not exist.
+    def read_first(self, now: float, wall: float, accept_recent: bool) -> None:
+        """Read the files that exist at the start; raises RefusedError if a configured path does not exist.
 
-        Files so young that they may be half written are left for later scans, unless `trusting`: there
-        is no inventory to fall back to then. `now` is monotonic time, `wall` Unix time, in seconds.
+        A file that was modified within the quiet period, and not renamed into place, may be half
+        written: a later scan reads it. With `accept_recent` it is read now, as there is no other inventory
+        to use. `now` is monotonic time, `wall` Unix time, in seconds.
         """
         if missing := missing_paths(self._paths):
             raise RefusedError(missing)
         found = scan(self._paths)
         for path, signature in found.items():
             age_s = wall - signature.modified_ns / NS_PER_S
-            if trusting or age_s >= self._quiet_period_s or signature.replaces(None):
+            if accept_recent or age_s >= self._quiet_period_s or signature.replaces(None):
                 self._read(path, signature)
         self.waiting = self._stability.scan(now, found).waiting
 
     def update(self, now: float, forced: bool) -> bool:
-        """Read the files that are stable now; whether any was read or deleted. Raises RefusedError."""
+        """Read the files that are stable; returns whether any was read or deleted. Raises RefusedError."""
         result = self._stability.scan(now, scan(self._paths), forced)
         self.waiting = result.waiting
         were_read = [self._read(path, None) for path in result.to_read]
@@ -54,20 +55,23 @@
         return any(were_read) or bool(result.deleted)
 
     def _read(self, path: str, expected: FileSignature | None) -> bool:
-        """Read and parse a file, if its signature is the expected one (None: any)."""
+        """Read and parse a file; returns False if it can't be read or its signature is not `expected`.
+
+        If `expected` is None, every signature is accepted.
+        """
         try:
             signature, data = read(path)
         except UnstableFileError:
-            return False  # the next scan finds another signature
+            return False  # the next scan finds a new signature
         except OSError as error:
             log.warning("inventory file %s cannot be read: %s", path, error.strerror)
             return False
         if expected is not None and expected != signature:
             return False
         self._stability.mark_read(path, signature)
-        self._parsed[path] = PackedFile(parse(data, path, self._vocabulary))
+        self._parsed[path] = PickledFile(parse(data, path, self._vocabulary))
         return True
 
     def assemble(self) -> Inventory:
-        """The inventory that the files make; raises RefusedError."""
-        return assemble((packed.unpack() for packed in self._parsed.values()), self._vocabulary)
+        """Combine the files that were read into one inventory; raises RefusedError."""
+        return assemble((pickled.unpickle() for pickled in self._parsed.values()), self._vocabulary)
--- a/emberlatch/simlink/adapter.py
+++ b/emberlatch/simlink/adapter.py
@@ -27,18 +27,18 @@
     if not head:
         return None
     if len(head) < _LENGTH.size:
-        raise WireError(f"input ended {len(head)} bytes into a frame's length")
+        raise WireError(f"input ended after {len(head)} of {_LENGTH.size} bytes of a frame's length")
     length = _LENGTH.unpack(head)[0]
     if length < HEADER.size:
-        raise WireError(f"frame length {length} is under that of its header")
+        raise WireError(f"frame length {length} is below its header size of {HEADER.size} bytes")
     body = stream.read(length - _LENGTH.size)
     if len(body) < length - _LENGTH.size:
-        raise WireError(f"input ended {len(body) + _LENGTH.size} bytes into a frame of {length}")
+        raise WireError(f"input ended after {len(body) + _LENGTH.size} of {length} bytes of a frame")
     return head + body
 
 
 class Host:
-    """The instances in this process; they share nothing but the registered lists of targets."""
+    """The instances in this process; they share only the registered lists of targets."""
 
     def __init__(self) -> None:
         self._decoder = Decoder()
@@ -61,7 +61,7 @@
                 if isinstance(event, Start):
                     try:
                         self._instances[instance] = Forwarder(event.settings, event.seed)
-                    except Exception as error:  # the simulator ends the run
+                    except Exception as error:  # the simulator ends the run at a fault
                         replies[instance] = [_fault(error)]
                     pending[instance] = []
             elif instance not in self._instances:
@@ -78,7 +78,7 @@
 def _decide(forwarder: Forwarder, now: float, events: list[Event]) -> list[WireAction]:
     try:
         actions: list[Action] = forwarder.handle(now, events)
-    except Exception as error:  # the simulator ends the run
+    except Exception as error:  # the simulator ends the run at a fault
         return [_fault(error)]
     return [*actions]
 
--- a/emberlatch/simlink/decoder.py
+++ b/emberlatch/simlink/decoder.py
@@ -24,12 +24,12 @@
     CLIENT_GONE = 1020
     START = 1030
     TIMER = 1040
-    ABOUT = 1050  # the instance that the records after it are for
+    ABOUT = 1050  # gives the instance of the records that follow
     DIRECTORY_UPDATE = 1060
     OUTCOME = 1070
     PEER_MESSAGE = 1080
     ARRIVAL = 1090
-    REGISTER = 1100  # a numbered list of targets, for later directory updates of any instance
+    REGISTER = 1100  # defines a numbered list of targets for later directory updates of any instance
     RESPONSE_STARTED = 1110
 
 
@@ -50,25 +50,25 @@
 
 
 class Decoder:
-    """Decodes frames; it keeps the registered lists of targets, which all instances share."""
+    """Decodes frames, and stores the registered lists of targets, which all instances share."""
 
     def __init__(self) -> None:
         self._lists: dict[int, tuple[api.Entry, ...]] = {}
 
     def decode(self, data: bytes) -> tuple[float, list[tuple[int, WireEvent]]]:
-        """Decode one complete frame: the clock, and each event with its instance, in order.
+        """Decode one complete frame; returns the clock, and each event with its instance, in order.
 
         Raises:
             WireError: the frame does not follow the protocol.
         """
         if len(data) < HEADER.size:
-            raise WireError(f"frame of {len(data)} bytes is shorter than its header")
+            raise WireError(f"frame of {len(data)} bytes is shorter than its header of {HEADER.size} bytes")
         length, count, now = HEADER.unpack_from(data)
         if length != len(data):
-            raise WireError(f"frame says {length} bytes and has {len(data)}")
+            raise WireError(f"frame has {len(data)} bytes, but its header says {length}")
         tail_start = HEADER.size + count * RECORD_SIZE
         if tail_start > length:
-            raise WireError(f"frame of {length} bytes cannot hold {count} records")
+            raise WireError(f"frame of {length} bytes cannot hold {count} records of {RECORD_SIZE} bytes")
         instance: int | None = None
         events: list[tuple[int, WireEvent]] = []
         for start in range(HEADER.size, tail_start, RECORD_SIZE):
@@ -131,7 +131,7 @@
 def _tail(data: bytes, tail_start: int, offset: int, size: int, record: str) -> bytes:
     start = tail_start + offset
     if start + size > len(data):
-        raise WireError(f"{record}: its tail data reach past the end of the frame")
+        raise WireError(f"{record}: tail data end at byte {start + size} of a frame of {len(data)} bytes")
     return data[start : start + size]
 
 
@@ -193,4 +193,4 @@
     EventCode.ARRIVAL: _decode_arrival,
     EventCode.RESPONSE_STARTED: _decode_response_started,
 }
-"""Of the frequent events, by code; each gets the frame, and where in it the record starts."""
+"""Event code -> decoder of a frequent event, which gets the frame and the offset of the record."""
--- a/tests/cli/test_tables.py
+++ b/tests/cli/test_tables.py
@@ -1,4 +1,4 @@
-"""Tables on a terminal of 80 columns: nothing is cut."""
+"""Tables fit on a terminal of 80 columns without truncated cells."""
 
 from __future__ import annotations
 
@@ -15,13 +15,15 @@
     made = DemoStatistics(["harbour-mobile", "savanna-bank"], "harbour-mobile", latency_target_s=1.0)
     for n in range(3000):
         phase = list(DemoPhase)[n // 1000]
-        made.sent(f"{n}", "harbour-mobile", phase, 0.0)
+        made.record_submission(f"{n}", "harbour-mobile", phase, 0.0)
         state = "delivered" if n % 3 else "refused"
-        made.ended(f"{n}", state, 12.345, "rejected at once: no capacity" if n % 2 else "its deadline passed")
+        made.record_outcome(
+            f"{n}", state, 12.345, "rejected at once: no capacity" if n % 2 else "its deadline passed"
+        )
     return made
 
 
-def test_the_summary_of_a_demonstration_fits_and_says_why(
+def test_the_summary_of_a_demonstration_fits_and_lists_rejection_reasons(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("COLUMNS", "80")
@@ -32,7 +34,7 @@
     assert "harbour-mobile: 500 refused, rejected at once: no capacity" in text
 
 
-def test_the_live_table_of_a_demonstration_fits() -> None:
+def test_the_live_table_of_a_demonstration_fits_80_columns() -> None:
     routes = [{"state": state} for state in ("serving", "serving", "held", "returning")]
     status = {"pools": [{"partner": "harbour-mobile", "leases": 12, "routes": routes}]}
     console = Console(width=80, record=True, file=open("/dev/null", "w"))  # noqa: SIM115
