--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: commands that report ratios beside a baseline of the same run. None is a test."""
+"""Measurement commands, most of which compare with a baseline of the same run. They are not tests."""
--- a/benchmarks/as2gateway.py
+++ b/benchmarks/as2gateway.py
@@ -1,4 +1,7 @@
-"""A standalone gateway in a process of its own, with HTTP clients and AS2 orders from here."""
+"""Measure a standalone gateway in a process of its own under HTTP messages and AS2 orders.
+
+The HTTP clients run in the calling process, the AS2 partner in a third process.
+"""
 
 from __future__ import annotations
 
@@ -22,13 +25,13 @@
 from emberlatch.standins.http_post import post
 from emberlatch.standins.partner_server import PartnerServer
 
-HTTP_MESSAGES_PER_S = 40.0  # messages a second
-AS2_WORKERS = 4  # senders, each with one order out at a time
+HTTP_MESSAGES_PER_S = 40.0
+AS2_WORKERS = 4  # senders, each with one order in flight at a time
 
 
 @dataclass(slots=True)
 class Measured:
-    """Latencies in ms, and rates a second."""
+    """Latencies of HTTP messages in milliseconds, and message rates per second."""
 
     acceptance_ms: list[float] = field(default_factory=list)
     delivery_ms: list[float] = field(default_factory=list)
@@ -36,11 +39,11 @@
     as2_per_s: float = 0.0
 
     def acceptance_percentile(self, share: float) -> float:
-        """The time until a message is accepted, of which a share is no longer; in ms."""
+        """Return a percentile, given as a share, of the milliseconds until a message is accepted."""
         return sorted(self.acceptance_ms)[int(share * (len(self.acceptance_ms) - 1))]
 
     def delivery_percentile(self, share: float) -> float:
-        """The time until a message is delivered, likewise."""
+        """Return a percentile, given as a share, of the milliseconds until a message is delivered."""
         return sorted(self.delivery_ms)[int(share * (len(self.delivery_ms) - 1))]
 
 
@@ -57,7 +60,7 @@
 
 
 class _DeliveryObserver:
-    """Hears when an HTTP message is delivered."""
+    """Records the time from the submission of an HTTP message until the partner receives it."""
 
     def __init__(self, measured: Measured, sent_at: dict[str, float]) -> None:
         self._measured, self._sent_at = measured, sent_at
@@ -75,7 +78,7 @@
 
 
 async def _partner_side(folder: Path, as2_port: int, seconds: float, workers: int, ready: Connection) -> None:
-    """The AS2 partner and its orders, in a process of their own: they must not slow down who measures."""
+    """Run the AS2 partner and send its orders; in a separate process, to not slow down the measurement."""
     identity = read_identity([folder / "bank.pem"])
     gateway_trust = Trust(tuple(read_certificates(folder / "us.crt")))
     partner = As2Partner(
@@ -103,7 +106,7 @@
 
 
 async def measure(folder: Path, seconds: float, with_as2: bool) -> Measured:
-    """HTTP messages at a steady rate, beside AS2 orders as fast as they go if `with_as2`."""
+    """Send HTTP messages at a steady rate, and if `with_as2` also AS2 orders as fast as possible."""
     for name in ("us", "bank"):
         _write_identity(folder, name)
     measured, sent_at = Measured(), dict[str, float]()
@@ -176,7 +179,7 @@
 async def _send_orders(
     port: int, identity: Identity, gateway_trust: Trust, ends_at: float, worker: int
 ) -> int:
-    """One order after another; each goes out again over AS2."""
+    """Send one order after another, which the gateway forwards over AS2; return the number answered 200."""
     content = mime.compose((("Content-Type", "application/octet-stream"),), b"order" * 200)
     sealed = seal(content, Format("sha256", "aes256_cbc"), identity, gateway_trust, time.time())
     count = 0
--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -1,10 +1,11 @@
-"""What it costs that a class outlasts the machine: one gateway, closed-loop clients, in one run.
+"""Measures the cost of durable message classes: one gateway with closed-loop clients.
 
     python -m benchmarks.durable [--seconds 5] [--clients 1,16,128] [--folder .]
 
-`process` writes and never syncs; `machine` waits for a sync that all share; `each` waits for a sync of its
-own for each thing that must be safe. The partner answers at once, so what is measured is the gateway and its
-disk."""
+Mode `process` writes and never syncs, so that messages survive only a crash of the process. `machine` waits
+for a sync that is shared by all waiting messages, so that they survive a crash of the machine. `each` syncs
+separately for each waiting record. The partner answers at once: the time is that of the gateway and its disk.
+"""
 
 from __future__ import annotations
 
@@ -36,11 +37,12 @@
 SETTINGS = api.Settings(
     (ORDER,), 2000, 5000, max_attempts=4, cancel=True, retry_after=True, max_retry_after=1.0
 )
-TARGETS = tuple(f"t{n}".encode() for n in range(200))  # a new destination begins with one lease
+# Many targets, because a new destination starts with a single lease.
+TARGETS = tuple(f"t{n}".encode() for n in range(200))
 
 
-class _Surroundings:
-    """The ports of the engine: a partner that answers at once, and a notifier of completions."""
+class _EnginePortStubs:
+    """Stubs for the ports of the engine: a partner that answers at once, and a notifier of completions."""
 
     notifies_deliveries, pending, in_flight = True, False, 0
 
@@ -54,7 +56,7 @@
         self.engine.listed(listed, dict.fromkeys(TARGETS, ("h", 1)))
 
     def update(self, entries: Sequence[api.Entry], addresses: Addresses, is_complete: bool) -> None:
-        """They are known."""
+        """Ignore the update: the entries are fixed."""
 
     def entry(self, target: api.Target) -> api.Entry | None:
         return self.entries.get(target)
@@ -75,7 +77,7 @@
 
 
 class _Responder:
-    """The place of one answer."""
+    """Stores whether one message was accepted."""
 
     gone = False
 
@@ -100,7 +102,7 @@
 
 
 class EachSync(GroupSync):
-    """One sync for each thing that waits, one after the other."""
+    """Syncs once for each waiting callback, one after the other."""
 
     async def _run(self) -> None:
         while self._waiting:
@@ -113,33 +115,33 @@
 
 
 async def measure(mode: str, clients: int, seconds: float, folder: Path) -> str:
-    """One row."""
-    surroundings = _Surroundings()
+    """Run clients against one engine in a mode, and return the figures as a table row."""
+    stubs = _EnginePortStubs()
     classes = NO_DURABLE_CLASSES if mode == "process" else DurableClasses(frozenset({"order"}))
     store = Journal(Folder(folder), 64 << 20, durable=classes.exist)
-    engine = surroundings.engine = Engine(SETTINGS, 1, store, Tasks(), REAL_MACHINE, classes)
+    engine = stubs.engine = Engine(SETTINGS, 1, store, Tasks(), REAL_MACHINE, classes)
     if mode == "each":
         engine.durability.sync = EachSync(store, REAL_MACHINE.offload, _ignore)
-    engine.connect(EnginePorts([], surroundings, surroundings, surroundings))
+    engine.connect(EnginePorts([], stubs, stubs, stubs))
     await engine.start()
     loop = asyncio.get_running_loop()
     started_at, cpu_started_s, latencies_s, number = loop.time(), time.process_time(), list[float](), 0
 
-    async def client(number_of_client: int) -> None:
+    async def client(client_number: int) -> None:
         nonlocal number
         while loop.time() < started_at + seconds:
             number += 1
             name, responder = f"m{number}", _Responder()
-            surroundings.completions[name] = loop.create_future()
+            stubs.completions[name] = loop.create_future()
             submitted_at = loop.time()
-            message = Submission(name, "", "order", "", 1 + number_of_client % len(TARGETS), 24.0, b"x" * 500)
+            message = Submission(name, "", "order", "", 1 + client_number % len(TARGETS), 24.0, b"x" * 500)
             engine.submit(message, responder)
             if await responder.accepted_future:
-                await surroundings.completions[name]
+                await stubs.completions[name]
                 latencies_s.append(loop.time() - submitted_at)
-            del surroundings.completions[name]
+            del stubs.completions[name]
 
-    await asyncio.gather(*(client(number_of_client) for number_of_client in range(clients)))
+    await asyncio.gather(*(client(client_number) for client_number in range(clients)))
     took_s, cpu_used_s = loop.time() - started_at, time.process_time() - cpu_started_s
     latencies_s.sort()
     sync = engine.durability.sync
@@ -152,7 +154,7 @@
 
 
 def median_sync_ms(folder: Path) -> float:
-    """Milliseconds of one sync of a small write here."""
+    """Return the median time of a sync of a small write in this folder, in milliseconds."""
     files = Folder(folder)
     handle, latencies_s = files.append_to("probe"), list[float]()
     for _ in range(50):
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,11 +1,11 @@
-"""Failure detection by the membership machine beside all-to-all heartbeats, in one run, on a simulated clock.
+"""Compares failure detection by the membership machine with all-to-all heartbeats, on a simulated clock.
 
     python -m benchmarks.members [--sizes 3,10,40] [--losses 0,0.05,0.2] [--deaths 20] [--calm 60]
 
-Frames are lost with the probability that is named (without retransmission, so worse than a link over TCP) and
-take 1 to 20 ms. The slow member handles everything up to 0.6 s late, as a process that is short of processor
-time. For each fleet: one member is killed again and again, and all others are to know; then it restarts.
-False deaths count each member that holds a living one for unreachable.
+Frames are lost with the given probability (without retransmission, which is worse than a link over TCP) and
+take 1 to 20 ms. The slow member handles every event up to 0.6 s late, like a process short of processor time.
+In each fleet, one member at a time is killed, and restarts once all others have detected the failure.
+False deaths count each time that a member considers a running one unreachable.
 """
 
 from __future__ import annotations
@@ -21,19 +21,20 @@
 from emberlatch.fleet.frames import AnyFrame, Handshake, MemberState, encode
 from emberlatch.fleet.membership import MembershipMachine, ProcessIdentity, SendFrame
 
-MAX_LATENESS_S = 0.6  # of the slow member
-WARM_UP_S = 5.0  # until all members of a fleet see each other
+MAX_LATENESS_S = 0.6  # maximum delay of an event at the slow member
+WARM_UP_S = 5.0  # time for all members of a fleet to discover each other
 LATENCY_S = (0.001, 0.02)
 MIN_TIMER_S = 1e-4
 DETECTION_LIMIT_S = 60.0
-RESTART_S = 4.0  # for a member that comes back
-MAX_RESET_LINKS_SIZE = 40  # in larger fleets the links of a process that died stay open
+RESTART_S = 4.0  # time for a restarted member to rejoin
+# In larger fleets, killing a process does not reset its links.
+MAX_RESET_LINKS_SIZE = 40
 HEARTBEAT_BYTES = 24
 
 
 @dataclass(frozen=True, slots=True)
 class SentFrame:
-    """A frame with the incarnation of its sender; None is a heartbeat."""
+    """A frame with the incarnation of its sender; `frame` is None for a heartbeat."""
 
     recipient: str
     incarnation: int
@@ -46,29 +47,29 @@
 
     @property
     def due(self) -> float:
-        """When `tick` is due."""
+        """Return the time at which `tick` is due."""
 
     def tick(self, now: float) -> None:
-        """Do what is due by time alone."""
+        """Take the actions that are due at this time."""
 
     def receive(self, now: float, sender: str, sent: SentFrame) -> None:
-        """Take a frame."""
+        """Process a received frame."""
 
     def take_frames(self) -> list[SentFrame]:
-        """Return what is to be sent."""
+        """Return the frames to send, and clear them."""
 
     def handshake_to(self, name: str) -> SentFrame:
         """Return the first frame to a member."""
 
     def on_link_down(self, now: float, name: str) -> None:
-        """Take that the link with a member was reset."""
+        """Handle the reset of the link with a member."""
 
     def holds_failed(self, name: str) -> bool:
-        """Whether a member is thought to be gone."""
+        """Return whether this member considers another one failed."""
 
 
 class SwimDetector:
-    """The membership machine."""
+    """Failure detection by the membership machine."""
 
     def __init__(self, name: str, names: list[str], generation: int, now: float, seed: int) -> None:
         process = ProcessIdentity(name, generation, run_id=f"{name}-{generation}")
@@ -76,22 +77,22 @@
 
     @property
     def due(self) -> float:
-        """When `tick` is due."""
+        """Return the time at which `tick` is due."""
         return self._machine.due
 
     def tick(self, now: float) -> None:
-        """Do what is due by time alone."""
+        """Take the actions that are due at this time."""
         self._machine.tick(now)
 
     def receive(self, now: float, sender: str, sent: SentFrame) -> None:
-        """Take a frame."""
+        """Process a received frame."""
         if isinstance(sent.frame, Handshake):
             self._machine.on_handshake(now, sent.frame)
         elif sent.frame is not None:
             self._machine.on_frame(now, sender, sent.incarnation, sent.frame)
 
     def take_frames(self) -> list[SentFrame]:
-        """Return what is to be sent."""
+        """Return the frames to send, and clear them."""
         actions = self._machine.take_actions()
         return [self._sent(a.recipient, a.frame) for a in actions if isinstance(a, SendFrame)]
 
@@ -103,16 +104,16 @@
         return SentFrame(recipient, self._machine.identity.incarnation, frame, len(encode(frame)))
 
     def on_link_down(self, now: float, name: str) -> None:
-        """Take that the link with a member was reset."""
+        """Handle the reset of the link with a member."""
         self._machine.on_link_down(now, name)
 
     def holds_failed(self, name: str) -> bool:
-        """Whether a member is thought to be gone."""
+        """Return whether this member considers another one failed."""
         return self._machine.peers[name].state in (MemberState.UNREACHABLE, MemberState.LEFT)
 
 
 class HeartbeatDetector:
-    """Sends a heartbeat to all at an interval, and holds for gone who sent none within a time-out."""
+    """Sends heartbeats to all members; considers a member failed that sent none within the time-out."""
 
     interval_s, timeout_s = 0.4, 2.4
 
@@ -123,16 +124,16 @@
         self._unsent: list[SentFrame] = []
 
     def tick(self, now: float) -> None:
-        """Send a heartbeat to all."""
+        """Send a heartbeat to all other members."""
         self._now, self.due = now, now + self.interval_s
         self._unsent += [self.handshake_to(other) for other in self._others]
 
     def receive(self, now: float, sender: str, sent: SentFrame) -> None:
-        """Take a heartbeat."""
+        """Record the time of a received heartbeat."""
         self._now, self._last_heartbeat_at[sender] = now, now
 
     def take_frames(self) -> list[SentFrame]:
-        """Return what is to be sent."""
+        """Return the frames to send, and clear them."""
         unsent, self._unsent = self._unsent, []
         return unsent
 
@@ -141,20 +142,20 @@
         return SentFrame(name, 0, None, HEARTBEAT_BYTES)
 
     def on_link_down(self, now: float, name: str) -> None:
-        """Heartbeats need no links."""
+        """Do nothing: heartbeats don't depend on links."""
 
     def holds_failed(self, name: str) -> bool:
-        """Whether a member is thought to be gone."""
+        """Return whether this member considers another one failed."""
         return self._now - self._last_heartbeat_at[name] > self.timeout_s
 
 
 @dataclass
 class SimulatedFleet:
-    """All members, and the frames that are in flight."""
+    """All members of a fleet, and the frames in flight between them."""
 
     make: Callable[[str, list[str], int, float, int], Detector]
     size: int
-    loss: float  # probability
+    loss: float  # probability that a frame is lost
     has_slow_member: bool
     seed: int
     now: float = 0.0
@@ -178,7 +179,7 @@
         heapq.heappush(self._queue, (when, next(self._order), callback))
 
     def start(self, name: str) -> None:
-        """Start a process of a member."""
+        """Start a new process of a member."""
         self.dead.discard(name)
         self._generations[name] += 1
         generation = self._generations[name]
@@ -239,7 +240,7 @@
         return arrive
 
     def run(self, until: float, is_over: Callable[[], bool] = lambda: False) -> None:
-        """Let the time pass until a moment, or until a condition holds."""
+        """Advance the simulated clock until the given time, or until a condition holds."""
         while self._queue and self._queue[0][0] <= until and not is_over():
             self.now, _, callback = heapq.heappop(self._queue)
             callback()
@@ -255,7 +256,7 @@
                     self.members[other].on_link_down(self.now, name)
 
     def is_known_dead(self, name: str) -> bool:
-        """Whether all others hold a member for gone."""
+        """Return whether all other running members consider a member failed."""
         others = [other for other in self.members if other != name and other not in self.dead]
         return all(self.members[other].holds_failed(name) for other in others)
 
@@ -268,7 +269,7 @@
     deaths: int,
     calm_s: float,
 ) -> str:
-    """One row: detection over some deaths, false deaths and cost over a span without faults."""
+    """Return a table row: detection times over `deaths` kills; false deaths and cost without faults."""
     fleet = SimulatedFleet(make, size, loss, has_slow_member, seed=size * 7 + 1)
     fleet.run(WARM_UP_S)
     fleet.sent_frames = fleet.sent_bytes = fleet.false_deaths = 0
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,8 +1,9 @@
-"""How long the platform's forwarder takes to start, and its memory then, beside another checkout.
+"""Compares start time and memory of the platform's forwarder with those of another checkout.
 
     python -m benchmarks.start /path/to/baseline/checkout [rounds]
 
-The two take turns, each in a process of its own on the same configuration. Prints medians and their ratio.
+The forwarders of the two checkouts start alternately, each in a process of its own, with the same
+configuration. Prints the medians and their ratio.
 """
 
 from __future__ import annotations
@@ -30,14 +31,14 @@
 
 
 def free_port() -> int:
-    """A port that was free just now."""
+    """Return a port that is currently free."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         port: int = server.getsockname()[1]
         return port
 
 
 def is_ready(port: int) -> bool:
-    """Whether the forwarder answers that it is ready."""
+    """Return whether the health endpoint of the forwarder answers with 200."""
     try:
         with socket.create_connection(("127.0.0.1", port)) as connection:
             connection.sendall(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -47,7 +48,7 @@
 
 
 def measure_start(checkout: Path) -> tuple[float, float]:
-    """Milliseconds until it is ready, and the MB that are resident then."""
+    """Return the milliseconds until the forwarder is ready, and its resident memory at that time in MiB."""
     with tempfile.TemporaryDirectory() as name:
         folder, port = Path(name), free_port()
         config = {
@@ -77,7 +78,7 @@
 
 
 def main(baseline: Path, rounds: int) -> None:
-    """Take turns and tell."""
+    """Measure both checkouts alternately, and print the medians."""
     results_by_checkout: dict[Path, list[tuple[float, float]]] = {baseline: [], CHECKOUT: []}
     for _ in range(rounds):
         for checkout, results in results_by_checkout.items():
