--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -182,10 +182,10 @@
     log = StateLog(Folder(folder), STATE_LOG_BYTES)
     log.load()
     for order in as2_orders():
-        log.put(orders.key(order.partner, order.message_id), order.document())
+        log.put(orders.make_storage_key(order.partner, order.message_id), order.document())
     gone = Order("o4@them.example", "partner-b", "as2-4", "", "", SENT_AT)
-    log.put(orders.key(gone.partner, gone.message_id), gone.document())
-    log.remove(orders.key(gone.partner, gone.message_id))
+    log.put(orders.make_storage_key(gone.partner, gone.message_id), gone.document())
+    log.remove(orders.make_storage_key(gone.partner, gone.message_id))
     log.close()
 
 
@@ -194,7 +194,9 @@
     log.load()
     found = {key: orders.read(state) for key, state in log.states.items()}
     log.close()
-    assert found == {orders.key(order.partner, order.message_id): order for order in as2_orders()}
+    assert found == {
+        orders.make_storage_key(order.partner, order.message_id): order for order in as2_orders()
+    }
 
 
 def test_orders_are_written_as_before(tmp_path: Path) -> None:
