--- a/benchmarks/as2gateway.py
+++ b/benchmarks/as2gateway.py
@@ -179,7 +179,7 @@
 async def _send_orders(
     port: int, identity: Identity, gateway_trust: Trust, ends_at: float, worker: int
 ) -> int:
-    """Send one order after another, which the gateway forwards over AS2; return the number answered 200."""
+    """Send orders in sequence, which the gateway forwards over AS2; return how many got status 200."""
     content = mime.compose((("Content-Type", "application/octet-stream"),), b"order" * 200)
     sealed = seal(content, Format("sha256", "aes256_cbc"), identity, gateway_trust, time.time())
     count = 0
--- a/benchmarks/cut_limits.py
+++ b/benchmarks/cut_limits.py
@@ -1,10 +1,11 @@
-"""A partner's rate limit through a network partition: calls a second by side, rejections, and the recovery.
+"""Measures the use of a partner's rate limit before, during and after a network partition.
 
     python -m benchmarks.cut_limits [--sizes 3,5]
 
-Real processes, each offered more than its quota share of a partner that takes 2 x 24 calls a second. `parts`
-are the shares of a fleet; `alone` is the same program without a fleet, in which each process takes the full
-limit for its own."""
+Runs real processes, each of which is offered more messages than its share of the limit allows. The partner
+accepts 2 x 24 calls per second. In mode `parts`, the fleet divides the limit among its members. In mode
+`alone`, the same program runs without a fleet, and each process uses the full limit.
+"""
 
 from __future__ import annotations
 
@@ -17,22 +18,22 @@
 from emberlatch.storm.partners import P1_CALLS_PER_S
 
 DURATION_S = 24.0
-PARTITION_S, HEALED_S = 8.0, 16.0  # since the start
-FIRST_CALLS_S = 4.0  # before that the shares are still growing
-DETECTION_S = 4.0  # until both sides know of the partition
-RECOVERED_SHARE = 0.95  # of the calls a second before the partition
-STEP_S = 0.1  # of the search for the recovery
-PARTNER_LIMIT_PER_S = 2 * P1_CALLS_PER_S  # of both endpoints
-OFFERED_PER_S = 60.0  # to each process
+PARTITION_S, HEALED_S = 8.0, 16.0  # begin and end of the partition, in seconds since the start
+FIRST_CALLS_S = 4.0  # start of the measurement; the quota shares are still growing until then
+DETECTION_S = 4.0  # time for both sides to detect the partition
+RECOVERED_SHARE = 0.95  # share of the call rate before the partition that counts as recovered
+STEP_S = 0.1  # step of the search for the time of recovery
+PARTNER_LIMIT_PER_S = 2 * P1_CALLS_PER_S  # limit of both endpoints together
+OFFERED_PER_S = 60.0  # messages per second submitted to each process
 
 
 def member_names(size: int) -> list[str]:
-    """The names that a storm gives its members."""
+    """Return the names of the members of a storm run."""
     return [f"f{number}" for number in range(size)]
 
 
 def partition(size: int) -> tuple[Fault, ...]:
-    """Separate the smaller half of the members: two of five, one of three."""
+    """Return a partition that separates the smaller half of the members: two of five, or one of three."""
     names = member_names(size)
     smaller, larger = tuple(names[: size // 2]), tuple(names[size // 2 :])
     fault = Fault(
@@ -42,7 +43,7 @@
 
 
 class PartnerCalls:
-    """The calls that one partner received, in order."""
+    """The calls that partner p1 received, in order of time."""
 
     def __init__(self, history: History) -> None:
         calls = [event for event in history.of_kind(EventKind.CALL_STARTED) if event.source.startswith("p1")]
@@ -65,21 +66,21 @@
         return maximum
 
     def used(self, since: float, until: float, members: set[str] | None = None) -> float:
-        """Return the share of the limit that some members used in a span, or all."""
+        """Return the share of the limit that the given members (default: all) used in a time span."""
         count = sum(since <= at < until and (members is None or name in members) for at, name in self._calls)
         return count / (until - since) / PARTNER_LIMIT_PER_S
 
     def recovery_s(self) -> float:
-        """Return the time from the end of the partition until the limit is used as before; NaN if never."""
-        wanted = RECOVERED_SHARE * self.used(FIRST_CALLS_S, PARTITION_S)
+        """Return the seconds from the end of the partition until the rate recovers, or NaN if it doesn't."""
+        recovered_use = RECOVERED_SHARE * self.used(FIRST_CALLS_S, PARTITION_S)
         for step in range(round(HEALED_S / STEP_S), round(DURATION_S / STEP_S)):
-            if self.used(step / 10, step / 10 + 1.0) >= wanted:
+            if self.used(step / 10, step / 10 + 1.0) >= recovered_use:
                 return step / 10 - HEALED_S
         return float("nan")
 
 
 def report(history: History, size: int) -> list[str]:
-    """Return the lines on one storm."""
+    """Return the report lines of one storm run."""
     calls = PartnerCalls(history)
     smaller = set(member_names(size)[: size // 2])
     during = PARTITION_S + DETECTION_S, HEALED_S
@@ -94,16 +95,16 @@
 
 
 def main() -> None:
-    """Print a block for each size and way."""
+    """Print the report of each fleet size and mode."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--sizes", default="3,5")
     for size in map(int, parser.parse_args().sizes.split(",")):
-        for way in ("parts", "alone"):
+        for mode in ("parts", "alone"):
             rate = OFFERED_PER_S * size
-            plan = Plan(1, size, DURATION_S, rate, partition(size), fleet_enabled=way == "parts")
+            plan = Plan(1, size, DURATION_S, rate, partition(size), fleet_enabled=mode == "parts")
             with tempfile.TemporaryDirectory() as folder:
                 history = asyncio.run(play_plan(plan, Path(folder) / "fleet"))
-            print(f"{size} members, {way}", *report(history, size), sep="\n  ", flush=True)
+            print(f"{size} members, {mode}", *report(history, size), sep="\n  ", flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -1,7 +1,10 @@
-"""How fast runs are played, and where the time goes: `python -m benchmarks.faults [seeds]`.
+"""Measures the speed of fault simulation runs, and the parts that use the time.
 
-Seeds a second of one core, without a profiler; then the shares of the time by part, of the functions own
-time under cProfile (which makes calls dearer than they are: code of many small calls looks larger).
+    python -m benchmarks.faults [seeds]
+
+Prints the seeds per second on one core, measured without a profiler, then the share of each part in the
+functions' own time under cProfile. The profiler adds a cost to every call, which overstates the share of code
+that makes many small calls.
 """
 
 from __future__ import annotations
@@ -37,19 +40,24 @@
 
 
 def part(file: str, name: str) -> str:
-    """To which part a function counts."""
-    text = file if file != "~" else name.replace("_", "")
+    """Return the part to which a function belongs."""
+    location = file if file != "~" else name.replace("_", "")
     return next(
-        (what for piece, what in PARTS if piece.replace("_", "") in text.replace("_", "")), "built-ins"
+        (
+            part_name
+            for fragment, part_name in PARTS
+            if fragment.replace("_", "") in location.replace("_", "")
+        ),
+        "built-ins",
     )
 
 
 def main(seeds: int) -> None:
     """Measure, and print the figures."""
-    began = time.process_time()
+    started_at = time.process_time()
     messages = sum(play(draw_mixed(seed)).messages for seed in range(seeds))
-    took = time.process_time() - began
-    print(f"{seeds / took:.1f} seeds a second of one core, {messages / seeds:.0f} messages each")
+    elapsed_s = time.process_time() - started_at
+    print(f"{seeds / elapsed_s:.1f} seeds a second of one core, {messages / seeds:.0f} messages each")
     profile = cProfile.Profile()
     profile.enable()
     for seed in range(seeds // 4):
@@ -60,8 +68,8 @@
         shares[part(file, name)] += own
     total = sum(shares.values())
     print("| part | share |\n| --- | --- |")
-    for what, own in shares.most_common():
-        print(f"| {what} | {own / total:.0%} |")
+    for part_name, own in shares.most_common():
+        print(f"| {part_name} | {own / total:.0%} |")
 
 
 if __name__ == "__main__":
--- a/benchmarks/fidelity.py
+++ b/benchmarks/fidelity.py
@@ -1,9 +1,9 @@
-"""Whether the simulation is faithful: plans over real loopback sockets beside the same ones virtually.
+"""Compares the simulation with real loopback sockets: plays each plan on both and compares the outcomes.
 
     python -m benchmarks.fidelity [plans] [jobs]
 
-Every request of a client is delivered within its latency target, or not. The two runs of a plan should agree;
-a message whose time is close to a limit may fall on either side of it.
+The outcome of a client's request is whether it was delivered within its latency target. Both runs of a plan
+should give the same outcomes, except for requests whose latency is close to a limit.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def outcomes(environment: SimulatedEnvironment) -> list[str]:
-    """How each request ended, in their order."""
+    """Return the outcome of each request, in order."""
     served_in_time = (
         clients.served_in_time(0.0, 1e9, environment.checks.messages) for clients in environment.clients
     )
@@ -28,7 +28,7 @@
 
 
 def compare(seed: int) -> tuple[int, int, int, int]:
-    """The requests of a plan, how many ended alike, and the breaches of the real and the virtual run."""
+    """Return the number of requests of a plan, how many had equal outcomes, and the breaches of both runs."""
     logging.disable(logging.CRITICAL)
     plan = loopback_plan(draw_mixed(seed))
     real = asyncio.run(play_on_loopback(plan))
@@ -46,7 +46,7 @@
 
 
 def main(plans: int, jobs: int) -> None:
-    """A line for each plan that differs, and the sum."""
+    """Print a line for each plan whose runs differ or broke a rule, and the totals."""
     total = alike = broken = 0
     with ProcessPoolExecutor(jobs) as pool:
         for seed, (requests, alike_count, real, virtual) in enumerate(pool.map(compare, range(plans))):
--- a/benchmarks/fleet_logs.py
+++ b/benchmarks/fleet_logs.py
@@ -1,9 +1,9 @@
-"""Adds up the logs of a played day over all forwarders, second by second.
+"""Adds up the counters in the logs of all forwarders of a simulated day, per second.
 
     python -m benchmarks.fleet_logs FOLDER [--targets] [--notes]
 
-FOLDER holds one log a forwarder, each line led by its second of the day. A line of sums counts for the
-second in which it was written; a forwarder that has nothing to do writes none.
+FOLDER holds one log per forwarder, in which each line begins with the second of the day. The counters of a
+line are attributed to the second in which it was written. A forwarder without work writes no counters.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
     "late",
     "dispatches",
 )
-ASKS = ("asks", "lists", "ask failed")
+DIRECTORY_REQUESTS = ("asks", "lists", "ask failed")
 RESULTS = ("calls", "ok", "full", "error", "timeout", "connect_failed", "reset", "not_executed", "connects")
 
 
 def read(folder: Path) -> Iterator[tuple[float, str]]:
-    """Second of the day and text of every line of every log."""
+    """Yield the second of the day and the text of every line of every log."""
     for path in sorted(folder.glob("*.log")):
         for line in path.read_text(errors="replace").splitlines():
             if (found := LINE.match(line)) is not None:
@@ -42,7 +42,7 @@
 
 
 class Sums:
-    """What the logs of a fleet come to."""
+    """The counters of all forwarders, added up per second."""
 
     def __init__(self) -> None:
         self.totals: dict[int, Counter[str]] = defaultdict(Counter)
@@ -50,7 +50,7 @@
         self.notes: dict[int, Counter[str]] = defaultdict(Counter)
 
     def add(self, at: float, text: str) -> None:
-        """One line of one log."""
+        """Add a line of a log."""
         second = int(at)
         if text.startswith("sums "):
             document = json.loads(text.removeprefix("sums "))
@@ -61,8 +61,8 @@
             self.notes[second][note["what"]] += 1
 
     def table(self) -> Iterator[str]:
-        """A row a second: messages, the directory, then calls over all targets."""
-        names = (*COLUMNS, *ASKS, *RESULTS)
+        """Yield a row per second: messages, requests to the directory, then calls to all targets."""
+        names = (*COLUMNS, *DIRECTORY_REQUESTS, *RESULTS)
         yield " ".join(["second", *(name.replace(" ", "-").rjust(7) for name in names)])
         calls: dict[int, Counter[str]] = defaultdict(Counter)
         for seconds in self.targets.values():
@@ -73,7 +73,7 @@
             yield " ".join([f"{second:6}", *(f"{row[n]:{max(7, len(n))}}" for n in names)])
 
     def by_target(self) -> Iterator[str]:
-        """For each target a row a second in which it was called."""
+        """Yield the totals of each target, followed by a row per second in which it was called."""
         for target, seconds in sorted(self.targets.items()):
             total = sum(seconds.values(), Counter[str]())
             yield f"{target}: {dict(total)}"
@@ -84,7 +84,7 @@
 
 
 def main() -> None:
-    """See the module."""
+    """Read the logs and print the tables that the options select."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("folder", type=Path)
     parser.add_argument("--targets", action="store_true", help="each target's calls by second")
--- a/benchmarks/planted.py
+++ b/benchmarks/planted.py
@@ -1,4 +1,7 @@
-"""How many seeds catch each planted bug: `python -m benchmarks.planted [most seeds] [jobs] [draw]`."""
+"""Finds the first seed that detects each planted bug.
+
+python -m benchmarks.planted [max seeds] [jobs] [draw]
+"""
 
 from __future__ import annotations
 
@@ -9,8 +12,8 @@
 from tests.faults.planted_bugs import PLANTED_BUGS
 
 
-def first_catch(name: str, max_seeds: int, draw: str) -> tuple[str, int, str]:
-    """The first seed that catches a bug (-1: none of so many), and the rule that it broke."""
+def first_detecting_seed(name: str, max_seeds: int, draw: str) -> tuple[str, int, str]:
+    """Return the bug, the first seed that detects it (-1 if none does), and the rule that was violated."""
     with PLANTED_BUGS[name]():
         for seed in range(max_seeds):
             if breaches := play(DRAWS[draw](seed)).breaches:
@@ -19,11 +22,11 @@
 
 
 def main(max_seeds: int, jobs: int, draw: str = "mixed") -> None:
-    """A line for each."""
+    """Print a table row for each planted bug."""
     print("| planted bug | first seed | rule |\n| --- | --- | --- |")
     with ProcessPoolExecutor(jobs) as pool:
         for name, seed, rule in pool.map(
-            first_catch, PLANTED_BUGS, [max_seeds] * len(PLANTED_BUGS), [draw] * len(PLANTED_BUGS)
+            first_detecting_seed, PLANTED_BUGS, [max_seeds] * len(PLANTED_BUGS), [draw] * len(PLANTED_BUGS)
         ):
             print(f"| {name.replace('_', ' ')} | {seed} | {rule} |", flush=True)
 
