--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -1,8 +1,12 @@
-"""Honest clients beside silent ones, with idle connections kept as before and closed as now, in one run.
+"""Measures requests lost to clients that connect and send nothing, with two policies for idle connections.
 
-`python -m benchmarks.admission [--seconds 4]`: a server with 256 descriptors in a process of its own. Honest
-clients send one request and keep their connection, a third of the descriptors at most, or send one after the
-other; silent clients connect and send nothing, at multiples of the honest rate.
+    python -m benchmarks.admission [--seconds 4]
+
+The server has 256 descriptors and runs in a process of its own. Half of the honest requests come from clients
+that reuse a connection. The other half each open a connection and keep it, at most a third of the
+descriptors. Silent clients connect and send nothing, at multiples of the honest rate. In rows `before`,
+connections that have sent a request may occupy all slots of the server while idle; in rows `now`, half of
+them.
 """
 
 from __future__ import annotations
@@ -22,9 +26,9 @@
 from emberlatch.net.server import Reply, Request, Server
 
 DESCRIPTORS = 256
-HONEST_REQUESTS_PER_S = 80.0  # honest requests a second
-REUSING_CLIENTS = 8  # clients among them that keep a connection and use it
-RESPONSE_TIMEOUT_S = 0.4  # seconds for an answer
+HONEST_REQUESTS_PER_S = 80.0
+REUSING_CLIENTS = 8  # clients that reuse a connection; together they send half of the honest requests
+RESPONSE_TIMEOUT_S = 0.4  # limit for connecting and the response together
 SILENT_RATE_FACTORS = (0, 1, 5, 20)
 REQUEST = b"POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: a\r\nContent-Length: 5\r\n\r\nhello"
 
@@ -33,18 +37,18 @@
     reply.send(202)
 
 
-async def _serve(kept: float, ready: Connection) -> None:
+async def _serve(proven_share: float, ready: Connection) -> None:
     clients, _ = split_descriptors(DESCRIPTORS)
     server = Server(("127.0.0.1", 0), _accept, clients, Tasks())
-    server.limiter = ConnectionLimiter(clients, kept)
+    server.limiter = ConnectionLimiter(clients, proven_share)
     server.start()
     assert server._acceptor is not None and server._acceptor._listener is not None
     ready.send(server._acceptor._listener.getsockname()[1])  # type: ignore[attr-defined]
     await asyncio.to_thread(ready.recv)
 
 
-def _server(kept: float, ready: Connection) -> None:
-    asyncio.run(_serve(kept, ready))
+def _server(proven_share: float, ready: Connection) -> None:
+    asyncio.run(_serve(proven_share, ready))
     ready.send(
         resource.getrusage(resource.RUSAGE_SELF).ru_utime + resource.getrusage(resource.RUSAGE_SELF).ru_stime
     )
@@ -62,12 +66,12 @@
 
 async def _request(streams: Streams) -> bool:
     streams[1].write(REQUEST)
-    line = await streams[0].readuntil(b"\r\n\r\n")
-    return line.startswith(b"HTTP/1.1 202")
+    head = await streams[0].readuntil(b"\r\n\r\n")
+    return head.startswith(b"HTTP/1.1 202")
 
 
 async def _reusing_client(port: int, ends_at: float, figures: _Figures) -> None:
-    """Comes again and again, on a new connection where the old one was closed."""
+    """Send requests on one connection, and reconnect if the server closed it."""
     streams: Streams | None = None
     while time.perf_counter() < ends_at:
         started_at = time.perf_counter()
@@ -85,10 +89,10 @@
 
 
 async def _keeping_clients(port: int, ends_at: float, figures: _Figures) -> None:
-    """Ask once and keep their connections, as many as they may; a request that can open none is lost."""
+    """Send each request on a new connection and keep it open; a request that gets no connection is lost."""
     kept: deque[Streams] = deque()
 
-    async def one() -> None:
+    async def request_once() -> None:
         started_at = time.perf_counter()
         try:
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
@@ -107,13 +111,13 @@
 
     tasks = set()
     while time.perf_counter() < ends_at:
-        tasks.add(asyncio.create_task(one()))
+        tasks.add(asyncio.create_task(request_once()))
         await asyncio.sleep(2 / HONEST_REQUESTS_PER_S)
     await asyncio.gather(*tasks)
 
 
 async def _silent_clients(port: int, ends_at: float, rate: float, figures: _Figures) -> None:
-    """Connects and says nothing."""
+    """Open connections at a rate, and send nothing on them."""
     silent: deque[Streams] = deque(maxlen=1000)
     started_at, count = time.perf_counter(), 0
     while rate and time.perf_counter() < ends_at:
@@ -130,17 +134,17 @@
         await asyncio.sleep(0.01)
 
 
-async def _measure(kept: float, factor: float, seconds: float) -> tuple[_Figures, float]:
+async def _measure(proven_share: float, factor: float, seconds: float) -> tuple[_Figures, float]:
     parent_end, child_end = Pipe()
-    process = get_context("spawn").Process(target=_server, args=(kept, child_end))
+    process = get_context("spawn").Process(target=_server, args=(proven_share, child_end))
     process.start()
     port, figures = await asyncio.to_thread(parent_end.recv), _Figures()
     ends_at = time.perf_counter() + seconds
-    regulars = [_reusing_client(port, ends_at, figures) for _ in range(REUSING_CLIENTS)]
+    reusing_clients = [_reusing_client(port, ends_at, figures) for _ in range(REUSING_CLIENTS)]
     await asyncio.gather(
         _keeping_clients(port, ends_at, figures),
         _silent_clients(port, ends_at, HONEST_REQUESTS_PER_S * factor, figures),
-        *regulars,
+        *reusing_clients,
     )
     parent_end.send("stop")
     cpu_s = await asyncio.to_thread(parent_end.recv)
@@ -150,10 +154,10 @@
 
 async def _run(seconds: float) -> None:
     print("silent  idle      asked   lost    p99 ms   CPU s   silent connections")
-    idle_cpu_s: dict[float, float] = {}
+    base_cpu_s: dict[float, float] = {}
     for factor in SILENT_RATE_FACTORS:
-        for name, kept in (("before", 1.0), ("now", 0.5)):
-            figures, cpu_s = await _measure(kept, factor, seconds)
+        for name, proven_share in (("before", 1.0), ("now", 0.5)):
+            figures, cpu_s = await _measure(proven_share, factor, seconds)
             requests = len(figures.latencies_s) + figures.lost
             p99 = (
                 sorted(figures.latencies_s)[int(0.99 * (len(figures.latencies_s) - 1))] * 1e3
@@ -162,16 +166,18 @@
             )
             cost = ""
             if not factor:
-                idle_cpu_s[kept] = cpu_s
+                base_cpu_s[proven_share] = cpu_s
             elif figures.silent_connections:
-                cost = f", {(cpu_s - idle_cpu_s[kept]) / figures.silent_connections * 1e6:.0f} us each"
+                cost = (
+                    f", {(cpu_s - base_cpu_s[proven_share]) / figures.silent_connections * 1e6:.0f} us each"
+                )
             share = figures.lost / max(1, requests)
             line = f"{factor:>4}x   {name:7} {requests:>7} {share:>6.1%} {p99:>9.1f} {cpu_s:>7.2f}   "
             print(f"{line}{figures.silent_connections}{cost}")
 
 
 def main() -> None:
-    """The command."""
+    """Parse the command line, measure, and print the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=4.0, help="for each figure")
     asyncio.run(_run(parser.parse_args().seconds))
--- a/benchmarks/as2.py
+++ b/benchmarks/as2.py
@@ -1,8 +1,11 @@
-"""What AS2 costs and withstands: `python -m benchmarks.as2 rate | beside | seeds | fuzz`.
-
-`rate`: messages a second through the layers on one core, out and in, and the share of `cryptography` in that.
-`beside`: the longest stalls of an event loop at 64 KiB, and the p99 of HTTP messages beside AS2 ones.
-`seeds`: universes of `faults.as2`. `fuzz`: hostile inputs to every parser, the slowest, and memory.
+"""Measures the cost and the robustness of AS2: `python -m benchmarks.as2 rate | beside | seeds | fuzz`.
+
+`rate`: messages per second that one core seals and unseals in each format, and the share of `cryptography` in
+the time.
+`beside`: the longest stalls of an event loop with messages of 64 KiB, and the latency of HTTP messages
+through a gateway that handles AS2 messages at the same time.
+`seeds`: simulated AS2 runs with faults (`emberlatch.faults.as2`), one per seed, and the rules they broke.
+`fuzz`: hostile inputs to every parser; prints the slowest input and the memory.
 """
 
 from __future__ import annotations
@@ -61,7 +64,7 @@
 
 
 def _crypto_share(work: Callable[[], Any]) -> float:
-    """The share of the time that is spent inside `cryptography`'s compiled part."""
+    """Return the share of the time that is spent in the compiled part of `cryptography`."""
     profile = cProfile.Profile()
     profile.enable()
     for _ in range(50):
@@ -90,7 +93,7 @@
 
 
 def rate(options: argparse.Namespace) -> None:
-    """Messages a second."""
+    """Print the messages per second of each format and content size."""
     us, us_trust = _party("us")
     bank, bank_trust = _party("bank")
     now = time.time()
@@ -129,7 +132,7 @@
 
 
 async def _tick_delays(seconds: float, busy_work: Callable[[], Awaitable[Any]]) -> list[float]:
-    """How late a tick of 1 ms comes while some work is done again and again; the longest first."""
+    """Return the delays of a 1 ms timer while the loop repeats some work; the longest first."""
     loop, delays = asyncio.get_running_loop(), list[float]()
     ends_at = loop.time() + seconds
 
@@ -153,7 +156,9 @@
         own, both = lab.to_pem(*lab.new_certificate(name, 30))
         (folder / f"{name}.crt").write_bytes(own)
         (folder / f"{name}.pem").write_bytes(both)
-    profile = As2Partner(name="bank", certificates=["us.crt"], compress=True)  # who reads what it writes
+    profile = As2Partner(
+        name="bank", certificates=["us.crt"], compress=True
+    )  # the certificate of `us`, so that the side can unseal its own messages
     config = As2(name="us", certificates=["us.pem"], partners={"bank": profile})
     profiles = parties(config, lambda name: folder / name)
     worker, content, now = CryptoWorker(config, folder, asyncio.create_task), _content(64 * 1024), time.time()
@@ -180,7 +185,7 @@
 
 
 async def _compare_payouts(options: argparse.Namespace) -> None:
-    """HTTP messages through a gateway, idle and beside AS2 ones as fast as they go."""
+    """Measure HTTP messages through a gateway, without AS2 messages and with as many as possible."""
     from benchmarks.as2gateway import measure
 
     with tempfile.TemporaryDirectory() as folder:
@@ -204,7 +209,7 @@
 
 
 def beside(options: argparse.Namespace) -> None:
-    """Stalls, and HTTP beside AS2."""
+    """Measure the stalls of the event loop, and the latency of HTTP messages with and without AS2 load."""
     asyncio.run(_measure_beside(options))
 
 
@@ -233,7 +238,7 @@
 
 
 def seeds(options: argparse.Namespace) -> None:
-    """Universes."""
+    """Play simulated AS2 runs, print the outcomes and the breaches, and exit with 1 if there is a breach."""
     started_at, total, breach_lines = time.monotonic(), Counter[str](), list[str]()
     last = options.first + options.count
     seed_ranges = [range(at, min(at + 20, last)) for at in range(options.first, last, 20)]
@@ -263,13 +268,13 @@
 
 
 def fuzz(options: argparse.Namespace) -> None:
-    """Hostile inputs."""
+    """Pass hostile inputs to the parsers; print the verdicts, the slowest input and the memory."""
     started_at = time.monotonic()
     inputs_per_process = options.count // 40
     with ProcessPoolExecutor(os.cpu_count()) as pool:
         results = list(pool.map(_fuzz, range(options.first, options.first + 40), [inputs_per_process] * 40))
     verdicts = sum((counts for counts, _, _ in results), Counter[str]())
-    slowest = max(results, key=lambda each: each[1])
+    slowest = max(results, key=lambda result: result[1])
     print(f"{verdicts.total()} inputs in {time.monotonic() - started_at:.0f} s: {dict(verdicts)}")
     print(f"slowest {slowest[1] * 1e3:.1f} ms for {len(slowest[2])} bytes")
     tracemalloc.start()
@@ -286,7 +291,7 @@
 
 
 def main() -> None:
-    """The command."""
+    """Parse the command line and run the chosen measurement."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -1,9 +1,9 @@
-"""How a directory is asked while it is overloaded: `python -m benchmarks.directory [seeds] [jobs]`.
+"""Compares two clients of an overloaded directory service: `python -m benchmarks.directory [seeds] [jobs]`.
 
-Plays releases (`emberlatch faults run --plans release`) with the product's client and with the plain one
-that it replaced, in one run, and prints for 1, 3 and 10 forwarders: runs in which a drain was broken, calls
-to the service a second from each forwarder, and how long it took until a change was reported, beside the
-least possible: the work of one call at a service that is up.
+Plays release plans (`emberlatch faults run --plans release`) with the product's client and with the plain
+client that it replaced. Prints for 1, 3 and 10 forwarders: the runs that broke the rule on drains, the calls
+per second from each forwarder to the service, and the time until a change was reported. The table also shows
+the minimum of that time, which is the duration of one call to a running service.
 """
 
 from __future__ import annotations
@@ -25,88 +25,93 @@
 
 
 class PlainClient:
-    """Watches of 5 s, a call given up 1.8 s later, pauses of 0.5 s doubled up to 4 s by each failure."""
+    """A client with watches of 5 s that time out 1.8 s later, and a back-off that doubles from 0.5 to 4 s."""
 
     def __init__(self, seed: int, callers: int = 1) -> None:
         self.revision: int | None = None
-        self._wanted, self._pause, self._ask_at = False, 0.5, -math.inf
-        self._number, self._quiet = 0, math.inf
-        self._out: int | None = None
-        self._dropped: list[Ask | Drop] = []
+        self._wanted, self._backoff_s, self._ask_at = False, 0.5, -math.inf
+        self._number, self._timeout_at = 0, math.inf
+        self._in_flight: int | None = None
+        self._drops: list[Ask | Drop] = []
 
     def known(self, now: float, revision: int) -> None:
-        """Start from that list."""
+        """Start from the list of this revision."""
         self.revision = revision
 
     def watch(self, active: bool) -> None:
-        """Go on, or stop."""
+        """Start or stop the watch."""
         self._wanted = active
 
     def look_up(self) -> None:
-        """Not played here."""
+        """Do nothing: look-ups are not part of this benchmark."""
 
     def move(self, now: float) -> None:
-        """The service is elsewhere."""
-        if self._out is not None:
-            self._dropped.append(Drop(self._out))
-        self.revision, self._out, self._ask_at, self._pause = None, None, now, 0.5
+        """Handle a move of the service to another address: drop the call, and ask for the whole list."""
+        if self._in_flight is not None:
+            self._drops.append(Drop(self._in_flight))
+        self.revision, self._in_flight, self._ask_at, self._backoff_s = None, None, now, 0.5
 
     def answered(self, now: float, call: int, revision: int, is_complete: bool) -> bool:
-        """Every answer is believed."""
-        if call != self._out:
+        """Accept any response to the current call."""
+        if call != self._in_flight:
             return False
-        self.revision, self._out, self._ask_at, self._pause = revision, None, now + 0.05, 0.5
+        self.revision, self._in_flight, self._ask_at, self._backoff_s = revision, None, now + 0.05, 0.5
         return True
 
     def failed(self, now: float, call: int, failure: Failure, retry_after: float = 0.0) -> bool:
-        """Rest, the longer the more often."""
-        if call != self._out:
+        """Handle a failed call: schedule the next one, and double the back-off."""
+        if call != self._in_flight:
             return False
-        self._out, self._ask_at, self._pause = None, now + self._pause, min(4.0, 2 * self._pause)
+        self._in_flight, self._ask_at, self._backoff_s = (
+            None,
+            now + self._backoff_s,
+            min(4.0, 2 * self._backoff_s),
+        )
         return True
 
     def act(self, now: float) -> list[Ask | Drop]:
-        """What is to be done."""
-        done, self._dropped = self._dropped, []
-        if self._out is not None and now >= self._quiet:
-            done.append(Drop(self._out))
-            self.failed(now, self._out, Failure.ENDED)
-        if self._wanted and self._out is None and now >= self._ask_at:
+        """Return the calls to make and to drop at this time."""
+        done, self._drops = self._drops, []
+        if self._in_flight is not None and now >= self._timeout_at:
+            done.append(Drop(self._in_flight))
+            self.failed(now, self._in_flight, Failure.ENDED)
+        if self._wanted and self._in_flight is None and now >= self._ask_at:
             self._number += 1
             wait = 0.0 if self.revision is None else 5.0
-            self._out, self._quiet = self._number, now + wait + 1.8
+            self._in_flight, self._timeout_at = self._number, now + wait + 1.8
             done.append(Ask(self._number, Question(self.revision, wait), False))
         return done
 
     @property
     def due(self) -> float:
-        """When `act` has something to do."""
-        if self._dropped:
+        """Return the time at which `act` has something to do."""
+        if self._drops:
             return -math.inf
-        return self._quiet if self._out is not None else self._ask_at if self._wanted else math.inf
+        return self._timeout_at if self._in_flight is not None else self._ask_at if self._wanted else math.inf
 
     def overdue(self, now: float) -> bool:
-        """It keeps no account."""
+        """Return False: this client doesn't track overdue calls."""
         return False
 
 
 @dataclass
 class Figures:
-    """What is counted over many universes."""
+    """Figures added up over many runs."""
 
     played: int = 0
     broken_drains: int = 0
-    calls_per_s: float = 0.0  # a second, of each forwarder
-    delays_over_least: list[float] = field(
-        default_factory=list
-    )  # seconds from a change until it was reported, over the least
+    calls_per_s: float = 0.0  # calls of each forwarder, added up over the runs
+    # Seconds from a change until it was reported, beyond the minimum.
+    delays_over_least: list[float] = field(default_factory=list)
     delays: list[float] = field(default_factory=list)
     least_delays: list[float] = field(default_factory=list)
 
 
 def delays(report: Report) -> Iterator[tuple[float, float]]:
-    """For each change of the list and each forwarder that was not stopped: seconds until it was reported, and
-    the least."""
+    """Yield delay and minimum delay of the report of each list change by each forwarder that was not stopped.
+
+    Both are in seconds since the change.
+    """
     names = [f"f{n}" for n in range(report.plan.forwarder_count)]
     stopped = {entry.details[0] for entry in report.trace if entry.event is TraceEvent.DOWN}
     first_up = max((entry.at for entry in report.trace if entry.event is TraceEvent.READY), default=0.0)
@@ -133,12 +138,13 @@
                 ),
                 math.inf,
             )
-            if reported_at < min(later_changes, default=math.inf):  # else another change has taken its place
+            # A change that was not reported before the next one of the same endpoint has been superseded.
+            if reported_at < min(later_changes, default=math.inf):
                 yield reported_at - at, _least_delay(report, at)
 
 
 def _least_delay(report: Report, at: float) -> float:
-    """Seconds until a service that has nothing else to do could tell what changed at that time."""
+    """Return the seconds until an otherwise idle service could report a change at that time."""
     ready, work = at, 0.0
     for fault in report.plan.faults:
         if fault.until is None or not fault.since <= at < fault.until:
@@ -153,7 +159,7 @@
 
 
 def measure(seed: int, plain: bool) -> tuple[int, bool, float, list[tuple[float, float]]]:
-    """Play one release: forwarders, whether a drain was broken, calls a second of each, delays."""
+    """Play one release plan; return forwarders, whether it broke a drain, calls/s of each, and delays."""
     with patch("emberlatch.net.directory_membership.Client", PlainClient) if plain else nullcontext():
         report = play(draw_release(seed))
     broken_drains = any(breach.rule == "drains" for breach in report.breaches)
@@ -167,7 +173,7 @@
 
 
 def main(seeds: int, jobs: int) -> None:
-    """A row for each size and client."""
+    """Print a table row for each number of forwarders and each client."""
     column_names = (
         "forwarders",
         "client",
--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -1,12 +1,12 @@
-"""What an inventory costs: loading, holding and comparing it by its size, and what one changed row does to
-the event loop.
+"""Measures the time and memory to load and compare inventories, and the event loop stalls of a change.
 
-    python -m benchmarks.inventory            # all of it, a few minutes
+    python -m benchmarks.inventory            # all measurements, a few minutes
     python -m benchmarks.inventory load 10000 csv
     python -m benchmarks.inventory change 50000
 
-Each measurement runs in a process of its own, so that the memory is its own. Ratios are to the smallest
-size of the same run; the loop's stalls stand beside those of the same loop with nothing to do.
+Each measurement runs in a process of its own, so that its memory is measured separately. Ratios are relative
+to the smallest size of the same run. The stalls of the loop during a change are printed with those of the
+same loop while idle.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 VOCABULARY = Vocabulary(("east-wing", "west-wing"), ("wallet-operator", "rural-bank"))
 SIZES = (1_000, 10_000, 100_000)
 FILES = 40
-TICK_S = 0.001  # seconds between the ticks by which stalls of the loop are seen
+TICK_S = 0.001  # duration of the short sleeps by which stalls of the loop are detected
 
 
 def rows(count: int) -> list[dict[str, str]]:
-    """A sound inventory: two endpoints a partner, one in each wing."""
+    """Return the rows of a valid inventory with two endpoints per partner, one in each wing."""
     return [
         {
             "id": f"ep-{n}",
@@ -52,7 +52,7 @@
 
 
 def write(folder: Path, count: int, file_format: str) -> None:
-    """Spread the rows over files of one form."""
+    """Write the rows, distributed over several files of one format."""
     all_rows = rows(count)
     for part in range(FILES):
         file_rows = all_rows[part::FILES]
@@ -67,14 +67,15 @@
 
 
 def timed(work: Callable[[], Any]) -> tuple[float, Any]:
-    """Seconds that a call took, and what it gave."""
+    """Call a function; return the seconds that it took, and its result."""
     started_at = time.perf_counter()
     result = work()
     return time.perf_counter() - started_at, result
 
 
 def measure_load(count: int, file_format: str) -> dict[str, float]:
-    """Seconds to load and to compare with a set in which one row differs; MB that it added to the process."""
+    """Return the seconds to load an inventory, those to compare it with one that differs in one row, and the
+    memory that the load added to the process, in MiB."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         write(folder, count, file_format)
@@ -90,7 +91,7 @@
 
 
 async def stalls(until: asyncio.Event) -> list[float]:
-    """How much longer than asked each of many short sleeps took."""
+    """Sleep repeatedly for `TICK_S`; return by how many seconds each sleep took longer."""
     loop = asyncio.get_running_loop()
     stalls_s = []
     while not until.is_set():
@@ -131,7 +132,7 @@
     while membership.inventory.digest == digest:
         await asyncio.sleep(0.05)
     taken_s = time.perf_counter() - started_at
-    await asyncio.sleep(1.0)  # the last good set is being kept
+    await asyncio.sleep(1.0)  # wait for the last good inventory to be saved
     finished.set()
     stalls_s = sorted(await busy_stalls)
     tasks.cancel()
@@ -145,13 +146,13 @@
 
 
 def measure_change(count: int) -> dict[str, float]:
-    """The longest stall of the loop while one row of many changes."""
+    """Measure the stalls of the loop while one row of an inventory changes."""
     with tempfile.TemporaryDirectory() as name:
         return asyncio.run(_change(count, Path(name)))
 
 
 def measure_in_process(*arguments: str) -> dict[str, float]:
-    """A measurement in a process of its own."""
+    """Run a measurement in a process of its own, and return its figures."""
     command = [sys.executable, "-m", "benchmarks.inventory", *arguments]
     finished = subprocess.run(command, check=True, capture_output=True, text=True)
     result: dict[str, float] = json.loads(finished.stdout)
--- a/benchmarks/isolation.py
+++ b/benchmarks/isolation.py
@@ -1,13 +1,18 @@
-"""The experiment of the design's paper on the real program: a hundred clients, two tasks of 10 ms, one of
-which comes to hang for 10 s on nine calls of ten, and recovers.
+"""Repeats the experiment of the paper behind the design on the real program: failure of one of two tasks.
 
-    python -m benchmarks.isolation [seconds a phase] [file for the plot]
+    python -m benchmarks.isolation [seconds per phase] [file for the plot]
 
-Each client does one request after the other, to A or B by chance. Three ways run one after the other in one
-process, with the same partners on loopback sockets: nothing in between, a plain semaphore of 60 for each
-task (a caller that finds none free waits 7 ms: a burst of 40 over the limit, times 10 ms, by 60), and the
-forwarder (engine, HTTP front, HTTP carrier) with 60 slots, an aim of 50 ms and a second for each message.
-CPU is that of the process, clients and partners included.
+A hundred clients each send one request after the other, to task A or B at random. A call of a task takes 10
+ms. In the failure phase, nine of ten calls to A hang for 10 s; in the recovery phase, A works again. Three
+variants run in sequence in one process, with the same partners on loopback sockets:
+
+- `nothing`: clients call the partners directly.
+- `semaphore`: a semaphore of 60 for each task. A caller waits at most 7 ms for it, the time in which 60 slots
+  of 10 ms clear a burst of 40 callers above the limit (40 * 10 ms / 60).
+- `emberlatch`: the forwarder (engine, HTTP front end, HTTP carrier) with 60 slots, a latency target of 50 ms
+  and a deadline of 1 s for each message.
+
+The CPU share is that of the process, which includes clients and partners.
 """
 
 from __future__ import annotations
@@ -35,7 +40,7 @@
 
 CLIENTS, SLOTS, SEMAPHORE_TIMEOUT_S = 100, 60, 0.007
 HANG_S, HANG_SHARE = 10.0, 0.9
-DEADLINE_S = 1.0  # seconds, of a message: a hundred times what it takes
+DEADLINE_S = 1.0  # deadline of a message, a hundred times the normal duration of a call
 PHASES = ("normal", "failure", "recovery")
 NAMES = ("A", "B")
 
@@ -43,47 +48,47 @@
 
 
 class Task(EndpointModel):
-    """Takes 10 ms, or 10 s on most calls while it fails."""
+    """A partner whose calls take 10 ms; while `fails` is set, most calls take 10 s."""
 
     def __init__(self) -> None:
         super().__init__(Behaviour(service_time_s=0.01, service_time_variation=0.0, workers=10_000))
         self.fails = False
-        self._chance = random.Random(1)
+        self._hang_rng = random.Random(1)
 
     def call(self, now: float, messages: list[Message]) -> CallOutcome:  # type: ignore[override]
         """See `EndpointModel.call`."""
-        hangs = self.fails and self._chance.random() < HANG_SHARE
+        hangs = self.fails and self._hang_rng.random() < HANG_SHARE
         return CallOutcome(now + (HANG_S if hangs else 0.01))
 
 
 @dataclass
 class Tally:
-    """What one task got in one phase."""
+    """The requests of one task in one phase."""
 
     done: int = 0
     succeeded: int = 0
-    latency: float = 0.0
+    latency_s: float = 0.0  # sum of all requests
 
 
 @dataclass
 class Result:
-    """What one way showed."""
+    """The measurements of one variant."""
 
     name: str
     tallies: dict[tuple[str, str], Tally] = field(default_factory=dict)
     cpu_share: dict[str, float] = field(default_factory=dict)
-    rate: list[int] = field(default_factory=list)  # requests done in each half second
+    rate: list[int] = field(default_factory=list)  # requests completed in each half second
 
 
 class Calls:
-    """Plain HTTP calls on connections that are kept."""
+    """Plain HTTP calls on persistent connections."""
 
     def __init__(self, addresses: list[str]) -> None:
         self._addresses = [parse_address(address) for address in addresses]
         self._idle: list[list[Connection]] = [[] for _ in addresses]
 
     async def call(self, task: int, name: str) -> bool:
-        """One call; whether it was answered with 200."""
+        """Make one call; return whether its response was 200."""
         try:
             idle = self._idle[task]
             connection = idle.pop() if idle else await connect(self._addresses[task], 5.0)
@@ -96,7 +101,7 @@
 
 
 class CompletionObserver:
-    """An End that lets the client know."""
+    """A completion port of the engine that notifies the waiting client."""
 
     notifies_deliveries = True
     pending = False
@@ -106,7 +111,7 @@
         self.waiting: dict[str, asyncio.Future[bool]] = {}
 
     def add(self, ref: int, notice: CompletionNotice) -> None:
-        """Complete what the client waits for."""
+        """Complete the future for which the client waits."""
         future = self.waiting.pop(notice["ref"], None)
         if future is not None and not future.done():
             future.set_result(notice["result"] == "delivered")
@@ -114,13 +119,13 @@
 
 
 class FixedMembership:
-    """A Membership of two endpoints that never change."""
+    """A membership of two endpoints that never changes."""
 
     def __init__(self, addresses: list[str], on_list: Callable[..., None]) -> None:
         self._addresses, self._on_list = addresses, on_list
 
     def start(self) -> None:
-        """List both."""
+        """Report both endpoints to the engine."""
         entries = tuple(api.Entry(name.encode(), n) for n, name in enumerate(NAMES))
         addresses_by_target = {
             name.encode(): parse_address(a) for name, a in zip(NAMES, self._addresses, strict=True)
@@ -128,14 +133,14 @@
         self._on_list(api.DirectoryUpdate(api.ListKind.CACHED, 1, entries), addresses_by_target)
 
     def watch(self, active: bool) -> None:
-        """Nothing changes."""
+        """Do nothing: the membership never changes."""
 
     def look_up(self) -> None:
-        """Nothing changes."""
+        """Do nothing: the membership never changes."""
 
 
 class Forwarder:
-    """The real program in between."""
+    """The forwarder between clients and partners."""
 
     def __init__(self, addresses: list[str]) -> None:
         note = api.Category("note", api.Effect.SAFE, latency_target=0.05, deadline=DEADLINE_S)
@@ -151,7 +156,7 @@
         )
         tasks = Tasks()
         self._engine = Engine(settings, 1, Journal(Disk(), 20_000_000), tasks)
-        self._end = CompletionObserver(self._engine.confirmed)
+        self._completions = CompletionObserver(self._engine.confirmed)
         listener = socket.create_server(("127.0.0.1", 0), backlog=512)
         listener.setblocking(False)
         self._address = listener.getsockname()
@@ -159,16 +164,16 @@
         self._server = Server(self._address, MessageApi(self._engine.submit), 1000, tasks, machine=machine)
         targets = HttpCarrier(settings, 1000, self._engine.outcome, tasks)
         membership = FixedMembership(addresses, self._engine.listed)
-        self._engine.connect(EnginePorts([self._server], targets, membership, self._end))
+        self._engine.connect(EnginePorts([self._server], targets, membership, self._completions))
         self._idle: list[Connection] = []
 
     async def start(self) -> None:
-        """Listen."""
+        """Start the engine, which then accepts messages."""
         await self._engine.start()
 
     async def call(self, task: int, name: str) -> bool:
-        """One message; whether it was delivered."""
-        completion = self._end.waiting[name] = asyncio.get_running_loop().create_future()
+        """Submit one message; return whether it was delivered."""
+        completion = self._completions.waiting[name] = asyncio.get_running_loop().create_future()
         head = (
             f"POST /api HTTP/1.1\r\nX-Request-ID: {name}\r\nX-Priority-Class: note\r\n"
             f"X-Timeout-Ms: {DEADLINE_S * 1000:.0f}\r\nEnvelope: dest={task}\r\nContent-Length: 1\r\n\r\nx"
@@ -181,26 +186,26 @@
         if connection.usable:
             self._idle.append(connection)
         if answer.status != 202:
-            self._end.waiting.pop(name, None)
+            self._completions.waiting.pop(name, None)
             return False
         return bool(await completion)
 
 
 async def measure(name: str, call_task: CallTask, task: Task, seconds: float) -> Result:
-    """Three phases with a hundred clients."""
+    """Run all phases of one variant with `CLIENTS` clients."""
     result, phase, finished = Result(name), PHASES[0], False
     loop, number = asyncio.get_running_loop(), 0
 
-    async def client(chance: random.Random) -> None:
+    async def client(rng: random.Random) -> None:
         nonlocal number
         while not finished:
-            which, started_at, phase_at_start = chance.randrange(2), loop.time(), phase
+            task_index, started_at, phase_at_start = rng.randrange(2), loop.time(), phase
             number += 1
-            succeeded = await call_task(which, f"{name}-{number}")
-            tally = result.tallies.setdefault((phase_at_start, NAMES[which]), Tally())
+            succeeded = await call_task(task_index, f"{name}-{number}")
+            tally = result.tallies.setdefault((phase_at_start, NAMES[task_index]), Tally())
             tally.done, tally.succeeded = tally.done + 1, tally.succeeded + succeeded
-            tally.latency += loop.time() - started_at
-            if not succeeded:  # a client that is rejected does something else for a moment
+            tally.latency_s += loop.time() - started_at
+            if not succeeded:  # pause after a rejection, so that the clients don't retry in a busy loop
                 await asyncio.sleep(0.01)
 
     clients = [asyncio.create_task(client(random.Random(n))) for n in range(CLIENTS)]
@@ -220,7 +225,7 @@
 
 
 def limited(call_task: CallTask) -> CallTask:
-    """A semaphore for each task round plain calls."""
+    """Return a call function that limits the concurrent calls of each task by a semaphore."""
     semaphores = [asyncio.Semaphore(SLOTS) for _ in NAMES]
 
     async def call(task: int, name: str) -> bool:
@@ -238,7 +243,7 @@
 
 
 async def run(seconds: float) -> list[Result]:
-    """All three ways, one after the other."""
+    """Measure all three variants in sequence."""
     results = []
     for name in ("nothing", "semaphore", "emberlatch"):
         tasks = [Task(), Task()]
@@ -261,7 +266,7 @@
 
 
 def table(results: list[Result], seconds: float) -> str:
-    """A row for each way and phase."""
+    """Return a table with a row for each variant and phase."""
     lines = ["| way | phase | requests/s | CPU | A good | A ms | B/s | B good | B ms |"]
     lines.append("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
     for result in results:
@@ -271,13 +276,13 @@
             for tally in (a, b):
                 cells += [f"{tally.done / seconds:.0f}"] if tally is b else []
                 succeeded = f"{tally.succeeded / tally.done:.1%}" if tally.done else "-"
-                cells += [succeeded, f"{1000 * tally.latency / max(tally.done, 1):.0f}"]
+                cells += [succeeded, f"{1000 * tally.latency_s / max(tally.done, 1):.0f}"]
             lines.append(f"| {result.name} | {phase} | {' | '.join(cells)} |")
     return "\n".join(lines)
 
 
 def plot(results: list[Result]) -> str:
-    """Requests a second over time, on a logarithmic scale, as SVG."""
+    """Return an SVG plot of the requests per second over time, on a logarithmic scale."""
     width, height, colours = 720, 300, ("#888", "#c90", "#2a7")
     parts = [
         f'<svg xmlns="http://www.w3.org/2000/svg" width="{width}" height="{height}" '
@@ -286,7 +291,7 @@
     parts.append(f'<rect width="{width}" height="{height}" fill="white"/>')
     points = len(results[0].rate)
 
-    def place(n: int, rate: float) -> str:
+    def point(n: int, rate: float) -> str:
         return f"{50 + n * (width - 70) / points:.1f},{height - 30 - math.log10(max(rate, 1)) * 60:.1f}"
 
     for power in range(5):
@@ -298,7 +303,7 @@
     for n, phase in enumerate(PHASES):
         parts.append(f'<text x="{60 + n * (width - 70) / 3:.0f}" y="{height - 8}">{phase}</text>')
     for n, (result, colour) in enumerate(zip(results, colours, strict=True)):
-        line = " ".join(place(at, 2 * rate) for at, rate in enumerate(result.rate))
+        line = " ".join(point(at, 2 * rate) for at, rate in enumerate(result.rate))
         parts.append(f'<polyline points="{line}" fill="none" stroke="{colour}" stroke-width="2"/>')
         parts.append(f'<text x="{width - 110}" y="{20 + 14 * n}" fill="{colour}">{result.name}</text>')
     return "\n".join([*parts, "</svg>\n"])
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,9 +1,10 @@
-"""How fast service recovers: `python -m benchmarks.recovery [seeds] [jobs]`.
+"""Measures how fast service recovers from an outage: `python -m benchmarks.recovery [seeds] [jobs]`.
 
-First one destination that answers `full` to everything for nine seconds and is cold for eight more, under
-1, 3 and 10 forwarders that share its demand: the module alone, on a clock of its own. Then drawn
-universes of the fault runs: what was served in time over what could have been, from the last fault on,
-and from ten seconds later. Each beside the same module with the pace left where the refusals brought it.
+The first table is for one destination that answers `full` to every call for nine seconds and is then cold
+for eight seconds. The demand comes from 1, 3 or 10 forwarders, of which only the decision module runs, on a
+simulated clock. The second table is for random fault plans: the ratio of the messages served in time to those
+that could have been, counted from the last fault and from ten seconds later. Rows `before` show the same
+module without reinstatement: after the outage, the send rate stays as low as the rejections have made it.
 """
 
 from __future__ import annotations
@@ -26,23 +27,23 @@
 from emberlatch.core.records import Route
 from emberlatch.faults import DRAWS, play
 
-SHUT_AT_S, OPEN_AT_S, END_S = 20.0, 29.0, 60.0  # seconds
-LATENCY_S, RETRY_AFTER_S, LATENCY_TARGET_S = 0.08, 0.4, 3.0  # seconds
+OUTAGE_START_S, OUTAGE_END_S, END_S = 20.0, 29.0, 60.0
+LATENCY_S, RETRY_AFTER_S, LATENCY_TARGET_S = 0.08, 0.4, 3.0
 RULES = api.Rules(slow_start=8.0, slow_start_share=0.27, overload_window=3.0, overload_factor=1.5)
 RUNS = 16
 CASES = ((1, 0.85, 0.0), (1, 4.0, 0.0), (1, 4.0, 5.0), (3, 8.0, 9.0), (10, 8.0, 9.0))
-"""Forwarders, messages a second of all of them, and the destination's limit in calls a second (0: none)."""
+"""Forwarders, messages per second of all of them, and the destination's limit in calls/s (0: none)."""
 
 
 @contextmanager
 def with_reinstatement(reinstates: bool) -> Iterator[None]:
-    """The module as it is, or with the pace left at what the refusals of an outage brought it to."""
+    """Run the module with reinstatement of the send rate after an outage, or without it."""
     real = RouteHealth.reinstate
 
     def reinstate(self: RouteHealth, route: Route) -> None:
-        pace = route.send_rate
+        previous_rate = route.send_rate
         real(self, route)
-        route.send_rate = route.send_rate if reinstates else pace
+        route.send_rate = route.send_rate if reinstates else previous_rate
 
     with patch.object(RouteHealth, "reinstate", reinstate):
         yield
@@ -50,24 +51,26 @@
 
 @dataclass
 class Destination:
-    """Serves at its limit, but for the time in which it is shut."""
+    """A destination that serves at its limit, except during the outage."""
 
     limit: float
     tokens: float = 1.0
     refilled_at: float = 0.0
-    served: list[tuple[float, bool]] = field(default_factory=list)  # when, and whether in time
-    rejected: int = 0  # once it was open again
+    served: list[tuple[float, bool]] = field(
+        default_factory=list
+    )  # time, and whether within the latency target
+    rejected: int = 0  # calls rejected after the outage
 
     def call(self, now: float, arrived_at: float) -> tuple[api.Result, float, tuple[float, ...]]:
-        """Result, wait and report of a call."""
+        """Return the result of a call, the wait before a retry, and the reported load."""
         max_tokens = max(1.0, self.limit)
         self.tokens, self.refilled_at = (
             min(max_tokens, self.tokens + self.limit * (now - self.refilled_at)),
             now,
         )
         report = (self.tokens / max_tokens, self.limit) if self.limit else ()
-        if SHUT_AT_S <= now < OPEN_AT_S or (self.limit and self.tokens < 1):
-            self.rejected += now >= OPEN_AT_S
+        if OUTAGE_START_S <= now < OUTAGE_END_S or (self.limit and self.tokens < 1):
+            self.rejected += now >= OUTAGE_END_S
             return api.Result.FULL, RETRY_AFTER_S, report
         self.tokens -= 1
         self.served.append((now, now + LATENCY_S <= arrived_at + LATENCY_TARGET_S))
@@ -75,7 +78,7 @@
 
 
 def play_outage(forwarders: int, rate: float, limit: float, seed: int) -> tuple[list[float], Destination]:
-    """When messages came, and the destination as they left it."""
+    """Play an outage; return the arrival times of the messages, and the destination afterwards."""
     note = api.Category("note", api.Effect.SAFE, latency_target=LATENCY_TARGET_S, deadline=12.0)
     settings = api.Settings(
         categories=(note,), rules=RULES, slots=20, open_cap=200, forwarders=forwarders,
@@ -102,14 +105,18 @@
                 attempt = modules[number].open_messages[action.ref].attempts - 1
                 result, wait, report = destination.call(now, arrived_at[action.ref])
                 closed = result is api.Result.OK
-                back = api.Outcome(action.ref, attempt, b"t", result, LATENCY_S, closed, wait, 0, report)
-                heapq.heappush(events, (now + LATENCY_S, next(order), number, back))
+                outcome = api.Outcome(action.ref, attempt, b"t", result, LATENCY_S, closed, wait, 0, report)
+                heapq.heappush(events, (now + LATENCY_S, next(order), number, outcome))
     return list(arrived_at.values()), destination
 
 
 def recovery_figures(forwarders: int, rate: float, limit: float) -> tuple[float, float, float]:
-    """Seconds from its opening until 90% of the demand of two seconds is served in time; refusals a run from
-    then on; the variation of the rate by seconds (as a share of its mean) in the last ten."""
+    """Return recovery time in seconds, rejections per run after the outage, and variation of the rate.
+
+    The recovery time is that from the end of the outage until 90% of the demand of two seconds is served in
+    time. The variation is the standard deviation of the calls per second over the last ten seconds, as a
+    share of their mean.
+    """
     served: list[tuple[float, bool]] = []
     rejected, arrivals, rate_variation = 0, 0, []
     for seed in range(RUNS):
@@ -119,10 +126,12 @@
         seconds = range(int(END_S) - 10, int(END_S))
         per_second = [sum(at <= x < at + 1 for x, _ in destination.served) for at in seconds]
         rate_variation.append(statistics.pstdev(per_second) / max(statistics.mean(per_second), 0.01))
-    wanted = 0.9 * arrivals / END_S * 2.0
-    times = [OPEN_AT_S + n / 4 for n in range(int((END_S - OPEN_AT_S - 2) * 4))]
-    back = next((at for at in times if sum(at <= x < at + 2 and ok for x, ok in served) >= wanted), END_S)
-    return back - OPEN_AT_S, rejected / RUNS, statistics.mean(rate_variation)
+    recovered_count = 0.9 * arrivals / END_S * 2.0
+    times = [OUTAGE_END_S + n / 4 for n in range(int((END_S - OUTAGE_END_S - 2) * 4))]
+    recovered_at = next(
+        (at for at in times if sum(at <= x < at + 2 and ok for x, ok in served) >= recovered_count), END_S
+    )
+    return recovered_at - OUTAGE_END_S, rejected / RUNS, statistics.mean(rate_variation)
 
 
 def _recovery_shares(job: tuple[int, bool]) -> tuple[tuple[int, int], tuple[int, int], int]:
@@ -133,25 +142,28 @@
 
 
 def print_seeds(seeds: int, jobs: int) -> None:
-    """Served over permitted, of the universes in which enough was permitted to tell."""
+    """Print ratios of served to permitted messages, for the runs with at least 16 permitted messages."""
     with ProcessPoolExecutor(jobs, mp_context=get_context("spawn")) as pool:
         for name, reinstates in (("before", False), ("now", True)):
             results = list(
                 pool.map(_recovery_shares, [(seed, reinstates) for seed in range(seeds)], chunksize=10)
             )
-            broken = sum(breaches > 0 for *_, breaches in results)
-            since_last_fault, after_recovery = [end[0] for end in results], [end[1] for end in results]
+            broken_runs = sum(breaches > 0 for *_, breaches in results)
+            since_last_fault, after_recovery = (
+                [result[0] for result in results],
+                [result[1] for result in results],
+            )
             for since, pairs in (("the last fault", since_last_fault), ("ten seconds later", after_recovery)):
                 shares = sorted(served / permitted for served, permitted in pairs if permitted >= 16)
                 parts = (
                     f"{shares[len(shares) // 20]:.2f} | {shares[len(shares) // 100]:.2f} | {shares[0]:.2f}"
                 )
                 median = f"{statistics.median(shares):.2f}"
-                print(f"| {name} | {since} | {len(shares)} | {median} | {parts} | {broken} |")
+                print(f"| {name} | {since} | {len(shares)} | {median} | {parts} | {broken_runs} |")
 
 
 def main(seeds: int, jobs: int) -> None:
-    """Measure and tell."""
+    """Measure, and print both tables."""
     print("| forwarders | demand | limit | | 90% in time after | refused after, a run | variation |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for forwarders, rate, limit in CASES:
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -1,11 +1,12 @@
-"""Replacing the forwarder's process under load, by takeover and by a restart beside it.
+"""Compares two ways to replace the forwarder's process under load: takeover and restart.
 
     python -m benchmarks.takeover [times]
 
-One run: clients that keep their connections submit messages in closed loops, a prober opens a new
-connection every 10 ms and asks for the health, and the process is replaced again and again, each way in turn.
-Printed are the time without an answer to a new connection, requests that failed without an answer, messages
-that were sent twice, memory and descriptors of all processes together, and how fast operators are answered.
+During the run, clients with persistent connections submit messages in closed loops, and a prober opens a new
+connection every 10 ms and requests the health. Meanwhile the process is replaced `times` times in each way,
+alternately. Prints the longest wait of a new connection for its answer, requests that failed without an
+answer, messages that were sent twice, memory and descriptors of all processes together, and the latency of
+operators' requests.
 """
 
 from __future__ import annotations
@@ -34,11 +35,11 @@
 )
 
 ROOT = Path(__file__).parents[1]
-CLIENTS, MEAN_PAUSE_S = 40, 0.05  # closed loops, and the mean pause of each between two messages, in seconds
-PROBE_INTERVAL_S = 0.01  # between new connections
-SAMPLE_INTERVAL_S = 0.02  # between looks at memory
+CLIENTS, MEAN_PAUSE_S = 40, 0.05  # clients, and the mean pause of each between two messages
+PROBE_INTERVAL_S = 0.01  # time between two new connections of the prober
+SAMPLE_INTERVAL_S = 0.02  # time between two samples of memory and descriptors
 PARTNERS = 4
-OPERATOR_CALLS = 300  # of the operators' address, with load and without
+OPERATOR_CALLS = 300  # requests to the operators' address, each with load and without
 SETTINGS: dict[str, Any] = {
     "allowed": {
         "max-attempts": 6,
@@ -63,18 +64,18 @@
 
 @dataclass
 class Figures:
-    """What was seen in one way of replacing."""
+    """The measurements for one way to replace the process."""
 
     replaced: int = 0
-    gaps_s: list[float] = field(default_factory=list)  # longest time of a new connection to its answer, s
+    gaps_s: list[float] = field(default_factory=list)  # longest wait of a new connection, per replacement
     ready_s: list[float] = field(default_factory=list)
     failed_requests: int = 0
-    memory: float = 0.0  # most of all processes together, MB
+    memory: float = 0.0  # maximum of all processes together, in MiB
     descriptors: int = 0
 
 
 class UnsafeMessageObserver:
-    """Counts what the partners see of unsafe messages: none may come twice."""
+    """Counts how often the partners receive each unsafe message; the count should never exceed 1."""
 
     def __init__(self) -> None:
         self.received: Counter[str] = Counter()
@@ -84,14 +85,14 @@
         self.received.update(message.id for message in messages if message.id.startswith("order"))
 
     def on_answer(self, number: int, outcome: CallOutcome) -> None:
-        """Of no interest."""
+        """Do nothing: only calls are counted."""
 
     def on_disconnect(self, number: int) -> None:
-        """Of no interest."""
+        """Do nothing: only calls are counted."""
 
 
 class Bench:
-    """The platform's side."""
+    """The platform's role: starts and replaces forwarder processes, and generates the load."""
 
     def __init__(self, folder: Path, discovery: str, members: list[dict[str, Any]]) -> None:
         self.folder = folder
@@ -115,7 +116,7 @@
         (folder / "config.json").write_text(json.dumps(document))
 
     async def start(self) -> None:
-        """Start a process and wait until it says yes."""
+        """Start a process and wait until it reports that it is ready."""
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.operators_port = int(free.getsockname()[1])
         environment = os.environ | {
@@ -141,7 +142,7 @@
         self.figures.ready_s.append(asyncio.get_running_loop().time() - started_at)
 
     async def ask(self, path: str) -> int:
-        """One call of the operators' address; 0 if nobody is there."""
+        """Send a request to the operators' address; return the status, or 0 if there was no response."""
         try:
             connection = await connect(("127.0.0.1", self.operators_port), 5.0)
             answer = await connection.exchange(f"GET {path} HTTP/1.1\r\n\r\n".encode())
@@ -151,7 +152,7 @@
         return answer.status
 
     async def replace(self, takeover: bool) -> None:
-        """One change of process."""
+        """Replace the running process, by takeover or by restart, and record the longest probe."""
         (old,) = self.processes
         self.longest_probe_s = 0.0
         if not takeover:
@@ -162,12 +163,12 @@
             old.terminate()
             await old.wait()
         self.processes.remove(old)
-        await asyncio.sleep(0.3)  # until what came late is seen too
+        await asyncio.sleep(0.3)  # wait for probes that are still in flight
         self.figures.replaced += 1
         self.figures.gaps_s.append(self.longest_probe_s)
 
     async def probe(self) -> None:
-        """How long a new connection waits for its answer."""
+        """Open a new connection at each interval, and measure the time until its answer."""
         async with asyncio.TaskGroup() as group:
             while True:
                 group.create_task(self._probe())
@@ -186,7 +187,7 @@
             self.figures.failed_requests += 1
 
     async def sample(self) -> None:
-        """Memory and descriptors of all processes together."""
+        """Record the maximum of the memory and of the descriptors of all processes together."""
         while True:
             memory, descriptors = 0.0, 0
             for process in self.processes:
@@ -201,7 +202,7 @@
             await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     async def client(self, number: int) -> None:
-        """Hand in messages in a closed loop, on one connection for as long as it lasts."""
+        """Submit messages in a closed loop, on one connection until it closes."""
         kept_connection: Connection | None = None
         for message in range(1_000_000):
             kind = "order" if message % 2 else "note"
@@ -222,7 +223,7 @@
 
 
 def table_row(name: str, figures: Figures) -> str:
-    """A row of the table."""
+    """Return the table row of one way to replace the process."""
     gaps_s = sorted(figures.gaps_s)
     return (
         f"{name:9} {figures.replaced:4} {1000 * statistics.median(gaps_s):9.0f} {1000 * gaps_s[-1]:9.0f}"
@@ -232,7 +233,7 @@
 
 
 async def operator_latencies(bench: Bench) -> list[float]:
-    """How long the operators' address takes, in ms, sorted."""
+    """Return the latencies of requests to the operators' address, in milliseconds, sorted."""
     loop, times = asyncio.get_running_loop(), []
     for _ in range(OPERATOR_CALLS):
         started_at = loop.time()
@@ -242,7 +243,7 @@
 
 
 async def run(times: int) -> None:
-    """See the module."""
+    """Run the benchmark that the module describes, and print its results."""
     observer, directory = UnsafeMessageObserver(), Directory()
     partners = [
         PartnerServer(EndpointModel(Behaviour(service_time_s=0.05, workers=40, queue_capacity=200)), observer)
