--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -153,7 +153,7 @@
 
 
 async def _run(seconds: float) -> None:
-    print("silent  idle      asked   lost    p99 ms   CPU s   silent connections")
+    print("silent  idle       sent   lost    p99 ms   CPU s   silent connections")
     base_cpu_s: dict[float, float] = {}
     for factor in SILENT_RATE_FACTORS:
         for name, proven_share in (("before", 1.0), ("now", 0.5)):
--- a/benchmarks/as2.py
+++ b/benchmarks/as2.py
@@ -178,7 +178,7 @@
     worker.close()
 
 
-async def _measure_beside(options: argparse.Namespace) -> None:
+async def _measure_stalls_and_latency(options: argparse.Namespace) -> None:
     with tempfile.TemporaryDirectory() as folder:
         await _measure_stalls(options, Path(folder))
     await _compare_payouts(options)
@@ -192,25 +192,25 @@
         idle = await measure(Path(folder), options.seconds * 2, with_as2=False)
     with tempfile.TemporaryDirectory() as folder:
         full = await measure(Path(folder), options.seconds * 2, with_as2=True)
-    print("HTTP messages until they are taken on and until they are delivered, ms:")
+    print("milliseconds until HTTP messages are accepted, and until they are delivered:")
     for name, result in (("AS2 idle", idle), ("AS2 full", full)):
         print(
-            f"  {name}: taken p50 {result.acceptance_percentile(0.5):.1f}, "
+            f"  {name}: accepted p50 {result.acceptance_percentile(0.5):.1f}, "
             f"p99 {result.acceptance_percentile(0.99):.1f}; "
             f"delivered p50 {result.delivery_percentile(0.5):.1f}, "
             f"p99 {result.delivery_percentile(0.99):.1f}; "
-            f"{result.http_per_s:.0f} HTTP and {result.as2_per_s:.0f} AS2 messages a second"
+            f"{result.http_per_s:.0f} HTTP and {result.as2_per_s:.0f} AS2 messages per second"
         )
     ratio = (
         full.acceptance_percentile(0.99) / idle.acceptance_percentile(0.99),
         full.delivery_percentile(0.99) / idle.delivery_percentile(0.99),
     )
-    print(f"  p99 full over idle: taken {ratio[0]:.2f}, delivered {ratio[1]:.2f}")
+    print(f"  ratio of p99, full to idle: accepted {ratio[0]:.2f}, delivered {ratio[1]:.2f}")
 
 
 def beside(options: argparse.Namespace) -> None:
     """Measure the stalls of the event loop, and the latency of HTTP messages with and without AS2 load."""
-    asyncio.run(_measure_beside(options))
+    asyncio.run(_measure_stalls_and_latency(options))
 
 
 _IDENTITIES: dict[str, Own] = {}
@@ -247,7 +247,7 @@
             total += outcome_counts
             breach_lines += lines
     took_s = time.monotonic() - started_at
-    print(f"{options.count} universes in {took_s:.0f} s: {dict(total)}; breaches: {len(breach_lines)}")
+    print(f"{options.count} runs in {took_s:.0f} s: {dict(total)}; breaches: {len(breach_lines)}")
     for line in breach_lines[:20]:
         print(line)
     sys.exit(bool(breach_lines))
--- a/benchmarks/cut_limits.py
+++ b/benchmarks/cut_limits.py
@@ -85,12 +85,14 @@
     smaller = set(member_names(size)[: size // 2])
     during = PARTITION_S + DETECTION_S, HEALED_S
     return [
-        f"calls {len(calls)}, refused {calls.rejected}, most in any second {calls.max_in_any_second()}"
+        f"calls {len(calls)}, rejected {calls.rejected}, maximum in any second {calls.max_in_any_second()}"
         f" of {PARTNER_LIMIT_PER_S:.0f}",
-        f"used of the limit: before {calls.used(FIRST_CALLS_S, PARTITION_S):.2f};"
-        f" cut {calls.used(*during):.2f}, of it the smaller side {calls.used(*during, smaller):.2f};"
+        f"share of the limit used: before {calls.used(FIRST_CALLS_S, PARTITION_S):.2f};"
+        f" during the partition {calls.used(*during):.2f},"
+        f" of which the smaller side {calls.used(*during, smaller):.2f};"
         f" after {calls.used(20, DURATION_S):.2f}",
-        f"95% of before again after {calls.recovery_s():.1f} s; breaches {len(check_history(history))}",
+        f"recovered to 95% of the initial rate after {calls.recovery_s():.1f} s;"
+        f" breaches {len(check_history(history))}",
     ]
 
 
--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -46,7 +46,7 @@
         """Do nothing: look-ups are not part of this benchmark."""
 
     def move(self, now: float) -> None:
-        """Handle a move of the service to another address: drop the call, and ask for the whole list."""
+        """Handle a move of the service to another address: drop the call, and ask for the full list."""
         if self._in_flight is not None:
             self._drops.append(Drop(self._in_flight))
         self.revision, self._in_flight, self._ask_at, self._backoff_s = None, None, now, 0.5
@@ -177,12 +177,12 @@
     column_names = (
         "forwarders",
         "client",
-        "universes",
+        "runs",
         "drains broken",
         "calls/s each",
-        "known after",
+        "reported after",
         "p99",
-        "least",
+        "minimum",
     )
     print("| " + " | ".join(column_names) + " |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -202,7 +202,7 @@
                 row.delays += [delay for delay, _ in found]
                 row.least_delays += [least for _, least in found]
     for (size, plain), row in rows.items():
-        name = "plain, as before" if plain else "the machine"
+        name = "plain client" if plain else "product's client"
         print(
             f"| {size} | {name} | {row.played} | {row.broken_drains} | "
             f"{row.calls_per_s / max(row.played, 1):.2f} | "
--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -175,7 +175,7 @@
     options = parser.parse_args()
     with tempfile.TemporaryDirectory(dir=options.folder) as name:
         print_row(f"one sync of 600 bytes: {median_sync_ms(Path(name)):.2f} ms (median of 50)")
-    print_row("way      clients messages/s   p50 ms   p99 ms  syncs/s   batch  largest  CPU us/m")
+    print_row("mode     clients messages/s   p50 ms   p99 ms  syncs/s   batch  largest  CPU us/m")
     for clients in map(int, options.clients.split(",")):
         for mode in ("process", "machine", "each"):
             with tempfile.TemporaryDirectory(dir=options.folder) as name:
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -57,7 +57,7 @@
     started_at = time.process_time()
     messages = sum(play(draw_mixed(seed)).messages for seed in range(seeds))
     elapsed_s = time.process_time() - started_at
-    print(f"{seeds / elapsed_s:.1f} seeds a second of one core, {messages / seeds:.0f} messages each")
+    print(f"{seeds / elapsed_s:.1f} seeds per second on one core, {messages / seeds:.0f} messages per seed")
     profile = cProfile.Profile()
     profile.enable()
     for seed in range(seeds // 4):
--- a/benchmarks/fidelity.py
+++ b/benchmarks/fidelity.py
@@ -53,9 +53,10 @@
             total, alike, broken = total + requests, alike + alike_count, broken + real + virtual
             if alike_count < requests or real or virtual:
                 print(
-                    f"seed {seed}: {alike_count} of {requests} alike; breaches {real} real, {virtual} virtual"
+                    f"seed {seed}: {alike_count} of {requests} outcomes equal;"
+                    f" breaches {real} real, {virtual} virtual"
                 )
-    print(f"{plans} plans, {total} requests, {alike / total:.2%} ended alike, {broken} breaches")
+    print(f"{plans} plans, {total} requests, {alike / total:.2%} outcomes equal, {broken} breaches")
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_logs.py
+++ b/benchmarks/fleet_logs.py
@@ -88,7 +88,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("folder", type=Path)
     parser.add_argument("--targets", action="store_true", help="each target's calls by second")
-    parser.add_argument("--notes", action="store_true", help="holds and returns by second")
+    parser.add_argument("--notes", action="store_true", help="log notes about destinations by second")
     options = parser.parse_args()
     sums = Sums()
     for at, text in read(options.folder):
--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -167,7 +167,9 @@
         case ["change", size]:
             print(json.dumps(measure_change(int(size))))
         case _:
-            print("| form | rows | load s | us a row | to the smallest | diff ms | MB | bytes a row |")
+            print(
+                "| format | rows | load s | us per row | ratio to smallest | diff ms | MiB | bytes per row |"
+            )
             print("| --- | --- | --- | --- | --- | --- | --- | --- |")
             for file_format in ("csv", "yaml"):
                 smallest_us_per_row = 0.0
--- a/benchmarks/isolation.py
+++ b/benchmarks/isolation.py
@@ -267,7 +267,7 @@
 
 def table(results: list[Result], seconds: float) -> str:
     """Return a table with a row for each variant and phase."""
-    lines = ["| way | phase | requests/s | CPU | A good | A ms | B/s | B good | B ms |"]
+    lines = ["| variant | phase | requests/s | CPU | A good | A ms | B/s | B good | B ms |"]
     lines.append("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
     for result in results:
         for phase in PHASES:
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -64,7 +64,7 @@
     def on_link_down(self, now: float, name: str) -> None:
         """Handle the reset of the link with a member."""
 
-    def holds_failed(self, name: str) -> bool:
+    def considers_failed(self, name: str) -> bool:
         """Return whether this member considers another one failed."""
 
 
@@ -107,7 +107,7 @@
         """Handle the reset of the link with a member."""
         self._machine.on_link_down(now, name)
 
-    def holds_failed(self, name: str) -> bool:
+    def considers_failed(self, name: str) -> bool:
         """Return whether this member considers another one failed."""
         return self._machine.peers[name].state in (MemberState.UNREACHABLE, MemberState.LEFT)
 
@@ -144,7 +144,7 @@
     def on_link_down(self, now: float, name: str) -> None:
         """Do nothing: heartbeats don't depend on links."""
 
-    def holds_failed(self, name: str) -> bool:
+    def considers_failed(self, name: str) -> bool:
         """Return whether this member considers another one failed."""
         return self._now - self._last_heartbeat_at[name] > self.timeout_s
 
@@ -171,7 +171,7 @@
         self.names = [f"m{number}" for number in range(self.size)]
         self._generations = dict.fromkeys(self.names, 0)
         self.dead: set[str] = set()
-        self._held_failed: dict[str, set[str]] = {name: set() for name in self.names}
+        self._considered_failed: dict[str, set[str]] = {name: set() for name in self.names}
         for name in self.names:
             self.start(name)
 
@@ -211,9 +211,9 @@
         member = self.members[name]
         self._send(name, member.take_frames())
         alive = [other for other in self.names if other != name and other not in self.dead]
-        held_failed = {other for other in alive if member.holds_failed(other)}
-        self.false_deaths += len(held_failed - self._held_failed[name])
-        self._held_failed[name] = held_failed
+        considered_failed = {other for other in alive if member.considers_failed(other)}
+        self.false_deaths += len(considered_failed - self._considered_failed[name])
+        self._considered_failed[name] = considered_failed
 
     def _send(self, sender: str, frames: Iterable[SentFrame], is_certain: bool = False) -> None:
         for sent in frames:
@@ -258,7 +258,7 @@
     def is_known_dead(self, name: str) -> bool:
         """Return whether all other running members consider a member failed."""
         others = [other for other in self.members if other != name and other not in self.dead]
-        return all(self.members[other].holds_failed(name) for other in others)
+        return all(self.members[other].considers_failed(name) for other in others)
 
 
 def measure(
@@ -300,13 +300,16 @@
     parser.add_argument("--deaths", type=int, default=20)
     parser.add_argument("--calm", type=float, default=60.0)
     options = parser.parse_args()
-    print("members loss slow  way        all know s: p50   p99  false/m-hour  frames/s   bytes/s")
+    print("members loss slow  detector   all know s: p50   p99  false/m-hour  frames/s   bytes/s")
     for size in map(int, options.sizes.split(",")):
         for loss in map(float, options.losses.split(",")):
             for slow in (False, True):
-                for way, make in (("members", SwimDetector), ("heartbeats", HeartbeatDetector)):
+                for detector_name, make in (("members", SwimDetector), ("heartbeats", HeartbeatDetector)):
                     row = measure(make, size, loss, slow, options.deaths, options.calm)
-                    print(f"{size:7} {loss:4.2f} {'yes' if slow else 'no':4}  {way:10} {row:>20}", flush=True)
+                    print(
+                        f"{size:7} {loss:4.2f} {'yes' if slow else 'no':4}  {detector_name:10} {row:>20}",
+                        flush=True,
+                    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -164,7 +164,7 @@
 
 def main(seeds: int, jobs: int) -> None:
     """Measure, and print both tables."""
-    print("| forwarders | demand | limit | | 90% in time after | refused after, a run | variation |")
+    print("| forwarders | demand | limit | | 90% in time after | rejected after, per run | variation |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for forwarders, rate, limit in CASES:
         for name, reinstates in (("before", False), ("now", True)):
@@ -172,7 +172,7 @@
                 after, rejected, rate_variation = recovery_figures(forwarders, rate, limit)
             case = f"{forwarders} | {rate:g} | {limit:g} | {name}"
             print(f"| {case} | {after:.1f} s | {rejected:.1f} | {rate_variation:.2f} |")
-    print(f"\n| {seeds} seeds | from | that tell | median | 5th percentile | 1st | least | broken |")
+    print(f"\n| {seeds} seeds | from | runs counted | median | 5th percentile | 1st | minimum | breached |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
     print_seeds(seeds, jobs)
 
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -281,16 +281,16 @@
         for process in bench.processes:
             process.kill()
             await process.wait()
-        print("way      times  gap p50   gap max  ready p50  failed   MB both  descr.")
+        print("mode     times  gap p50   gap max  ready p50  failed   MiB all  descr.")
         print("                     ms        ms         ms")
         for mode, figures in results.items():
             print(table_row(mode, figures))
         by_takeover, by_restart = results["takeover"], results["restart"]
         ratio = statistics.median(by_takeover.gaps_s) / statistics.median(by_restart.gaps_s)
-        print(f"gap of a takeover over that of a restart: {ratio:.3f}")
+        print(f"ratio of the median gaps, takeover to restart: {ratio:.3f}")
         print(f"answers to clients: {dict(bench.statuses)}")
         duplicates = sum(number > 1 for number in observer.received.values())
-        print(f"unsafe messages that came to a partner twice: {duplicates} of {len(observer.received)}")
+        print(f"unsafe messages that a partner received twice: {duplicates} of {len(observer.received)}")
         for load_name, latencies in (("without load", idle_latencies), ("with load", busy_latencies)):
             p50, p99 = latencies[len(latencies) // 2], latencies[len(latencies) * 99 // 100]
             print(
