--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What tests of several rooms share."""
+"""Fixtures that tests of several packages share."""
 
 from __future__ import annotations
 
@@ -9,15 +9,18 @@
 
 import pytest
 
-MEMORY = Path("/dev/shm")
+MEMORY_FOLDER = Path("/dev/shm")
 
 
 @pytest.fixture
 def memory_path(tmp_path: Path) -> Iterator[Path]:
-    """A folder in memory, where there is such a place: a file that is cut short hundreds of times is flushed
-    to the disk each time by some file systems, which took minutes."""
-    if not (MEMORY.is_dir() and os.access(MEMORY, os.W_OK)):
+    """Return a temporary folder in memory if the system has /dev/shm, else one on disk.
+
+    Some file systems flush a file to the disk each time that it is truncated. On them, tests that truncate a
+    file hundreds of times took minutes.
+    """
+    if not (MEMORY_FOLDER.is_dir() and os.access(MEMORY_FOLDER, os.W_OK)):
         yield tmp_path
         return
-    with tempfile.TemporaryDirectory(prefix="emberlatch-", dir=MEMORY) as name:
+    with tempfile.TemporaryDirectory(prefix="emberlatch-", dir=MEMORY_FOLDER) as name:
         yield Path(name)
--- a/tests/forwarders.py
+++ b/tests/forwarders.py
@@ -1,4 +1,4 @@
-"""Forwarders in this process on real sockets, with the target and the platform that they need."""
+"""Runs forwarders in the test process on real sockets, with the target and the platform that they need."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @asynccontextmanager
 async def started_forwarder(folder: Path, document: dict[str, Any]) -> AsyncIterator[PlatformForwarder]:
-    """A forwarder with this configuration, which keeps its file and its state in the folder."""
+    """Start a forwarder with this configuration; its configuration file and its state are in the folder."""
     path, state = folder / "config.json", folder / "state"
     path.write_text(json.dumps(document))
     state.mkdir(exist_ok=True)
@@ -31,7 +31,7 @@
 async def forwarder_with_operators(
     folder: Path, handler: Handler = accept
 ) -> AsyncIterator[tuple[int, int, Peer, PlatformForwarder]]:
-    """A forwarder; its port for clients, its port for operators, its target."""
+    """Start a forwarder; yields its port for clients, its port for operators, its target, and itself."""
     async with listed_target(handler) as (target, platform, service):
         port, operators = await free_port(), await free_port()
         document = config(service.address, platform.document(), port) | {"ops": f"127.0.0.1:{operators}"}
--- a/tests/operators.py
+++ b/tests/operators.py
@@ -1,4 +1,4 @@
-"""A client at the operators' address of a forwarder."""
+"""A client of the operators' HTTP interface of a forwarder."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 async def call(port: int, method: str, path: str) -> tuple[int, str]:
-    """One request of an operator; its connection is closed after the response."""
+    """Send one request; return status and body. Checks that the server closes the connection afterwards."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(f"{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
     line, headers, body = await read_message(reader)
@@ -18,7 +18,7 @@
 
 
 async def read_metrics(port: int) -> dict[str, int]:
-    """The metrics of a forwarder, by their names without the common prefix."""
+    """Return the metrics of a forwarder by name, without the common prefix `app.`."""
     status, text = await call(port, "GET", "/ops/stats")
     assert status == 200
     pairs = [line.partition("=")[::2] for line in text.splitlines()]
@@ -27,7 +27,7 @@
 
 
 async def until(port: int, wanted: dict[str, int]) -> dict[str, int]:
-    """Wait until the metrics include the wanted values; returns them all."""
+    """Wait until the metrics include the wanted values; return all metrics."""
     while True:
         metrics = await read_metrics(port)
         if wanted.items() <= metrics.items():
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Peers on loopback sockets: scripted targets, a discovery service that also receives notices, a client."""
+"""Test peers on loopback sockets: scripted targets, a discovery and notice service, and a client."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test; it fails after 90 s."""
+    """Run an asynchronous test, with a time limit of 90 s."""
 
     async def limited() -> None:
         await asyncio.wait_for(test(), 90)
@@ -82,7 +82,7 @@
 
 @dataclass
 class Exchange:
-    """A request that a peer received, and its response."""
+    """A request that a peer received, with the connection on which to respond."""
 
     method: str
     path: str
@@ -114,7 +114,7 @@
 
 
 async def read_status(reader: asyncio.StreamReader) -> int:
-    """The status of the next response."""
+    """Read the next response and return its status."""
     line, _, _ = await read_message(reader)
     return int(line.split(" ")[1])
 
@@ -171,7 +171,7 @@
 
 
 class Gate:
-    """A handler that answers each request with 200 once a test has opened the gate."""
+    """A handler that delays its responses, which all have status 200, until a test opens the gate."""
 
     def __init__(self) -> None:
         self._opened = asyncio.Event()
@@ -191,7 +191,7 @@
 
 @dataclass
 class PlatformService:
-    """The discovery service, which also receives notices."""
+    """A discovery service that also receives notices at `/reports`."""
 
     members: list[dict[str, Any]]
     revision: int = 1
@@ -229,7 +229,10 @@
 
 @asynccontextmanager
 async def listed_target(handler: Handler, **entry: Any) -> AsyncIterator[tuple[Peer, PlatformService, Peer]]:
-    """A target, the platform that lists it with these fields, and the server of that platform."""
+    """Start a target and a platform that lists it with these fields.
+
+    Yields the target, the platform, and the HTTP server of the platform.
+    """
     async with Peer(handler) as target:
         platform = PlatformService([member(target.address, **entry)])
         async with Peer(platform.handle) as service:
@@ -248,17 +251,19 @@
     }
 
 
-FIRST_PORT = 20_000  # all of them are below those that the kernel gives
+# Below the range from which the kernel assigns ports.
+FIRST_PORT = 20_000
 BLOCK_PORTS = 150
 BLOCKS = 80
 
 
 @functools.cache
 def port_block() -> Iterator[int]:
-    """Ports that this process alone hands out, one after the other, in a cycle.
+    """Return an endless cycle over the ports of a block that is reserved for this process.
 
-    A block of ports belongs to the process that has bound the block's name in the abstract namespace of Unix
-    sockets, which ends with the process as its ports do, and spans all that share the ports.
+    A process reserves a block by binding the block's name in the abstract namespace of Unix sockets. The
+    kernel releases the name when the process ends, as it releases the ports, and both are shared by the same
+    processes.
     """
     for block in range(BLOCKS):
         reservation = socket.socket(socket.AF_UNIX)
@@ -270,18 +275,20 @@
         RESERVATIONS.append(reservation)
         first = FIRST_PORT + block * BLOCK_PORTS
         return itertools.cycle(range(first, first + BLOCK_PORTS))
-    raise RuntimeError("all blocks of ports are in use by other processes that run tests")
+    raise RuntimeError(
+        f"all {BLOCKS} blocks of {BLOCK_PORTS} ports from {FIRST_PORT} are reserved by other test processes"
+    )
 
 
-RESERVATIONS: list[socket.socket] = []  # they stay bound until the process ends
+RESERVATIONS: list[socket.socket] = []  # keeps the sockets bound until the process ends
 
 
 async def free_port() -> int:
-    """A port for a process that is told where to listen.
+    """Return a free port for a process whose port has to be known before it starts.
 
-    One that the kernel gives and that is closed again may be given to a test beside this one before the
-    process has it, and then that test's forwarder answers in its place. So each process that runs tests, of
-    this run and of others at the same time, has ports of its own.
+    A port that the kernel assigned and that was closed again could be assigned to a concurrent test before
+    the process binds it; the forwarder of that test would then receive the requests. Therefore each process
+    that runs tests, in this run or in a concurrent one, takes ports from a block of its own.
     """
     while True:
         port = next(port_block())
@@ -295,7 +302,7 @@
 
 
 class Process:
-    """The real program in a process of its own."""
+    """The forwarder program in a process of its own."""
 
     def __init__(self, folder: Path, platform: Peer, known: dict[str, Any], **limits: float) -> None:
         self.folder, self.platform, self.known, self.limits = folder, platform, known, limits
@@ -322,7 +329,7 @@
         return json.dumps(config(platform, self.known, self.port, **self.limits))
 
     def configure(self, text: str) -> Path:
-        """Replace the file of the configuration."""
+        """Replace the configuration file atomically, and return its path."""
         new, path = self.folder / "config.new", self.folder / "config.json"
         new.write_text(text)
         return new.replace(path)
@@ -348,12 +355,12 @@
 
 
 async def submit(port: int, request_id: str = "m1", body: bytes = b"x", **headers: str) -> int:
-    """Submit one message; the status of the response."""
+    """Submit one message; return the status of the response."""
     return (await request(port, "POST", "/api", message_headers(request_id, **headers), body))[0]
 
 
 def message_bytes(request_id: str, body: bytes, **headers: str) -> bytes:
-    """A message as a client writes it."""
+    """Return the bytes that a client sends to submit a message."""
     lines = ["POST /api HTTP/1.1", f"Content-Length: {len(body)}"]
     lines += [f"{name}: {value}" for name, value in message_headers(request_id, **headers).items()]
     return "\r\n".join([*lines, "", ""]).encode() + body
@@ -362,13 +369,13 @@
 async def request(
     port: int, method: str, path: str, headers: dict[str, str] | None = None, body: bytes = b""
 ) -> tuple[int, dict[str, str]]:
-    """One request on a connection of its own."""
+    """Send one request on a new connection; return the status and the headers of the response."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         lines = [f"{method} {path} HTTP/1.1", "Host: app.svc", f"Content-Length: {len(body)}"]
         lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
         writer.write("\r\n".join([*lines, "", ""]).encode() + body)
-        line, got, _ = await asyncio.wait_for(read_message(reader), 10)
-        return int(line.split(" ")[1]), got
+        line, response_headers, _ = await asyncio.wait_for(read_message(reader), 10)
+        return int(line.split(" ")[1]), response_headers
     finally:
         writer.close()
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""What the glossary and the page of the architecture name is there."""
+"""The files and links that the documentation pages name exist."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def named_paths(text: str) -> list[str]:
-    """The files and folders of the repository that a page names in full."""
+    """Return the paths of files and folders that a page names from the root of the repository."""
     return PATH.findall(text)
 
 
 def missing(page: str) -> list[str]:
-    """What a page names or links to that does not exist."""
+    """Return the paths and links of a page that do not exist."""
     text = (ROOT / page).read_text(encoding="utf-8")
     paths = [path for path in named_paths(text) if not (ROOT / path).exists()]
     links = [link for link in LINK.findall(text) if not ((ROOT / page).parent / link).exists()]
@@ -33,7 +33,7 @@
     assert missing(page) == []
 
 
-def test_a_file_that_is_gone_is_found(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    (tmp_path / "page.md").write_text("see `emberlatch/gone.py` and [this](other.md)", encoding="utf-8")
+def test_missing_files_and_links_are_reported(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    (tmp_path / "page.md").write_text("see `emberlatch/missing.py` and [this](other.md)", encoding="utf-8")
     monkeypatch.setattr("tests.test_documents.ROOT", tmp_path)
-    assert missing("page.md") == ["emberlatch/gone.py", "other.md"]
+    assert missing("page.md") == ["emberlatch/missing.py", "other.md"]
--- a/tests/test_free_ports.py
+++ b/tests/test_free_ports.py
@@ -1,4 +1,4 @@
-"""Ports for processes under test: runs of the tests beside each other have ports of their own."""
+"""Concurrent test runs get separate ports for the processes that they start."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 """
 
 
-def started() -> subprocess.Popen[str]:
-    """A process as the first worker of a run, which holds its ports until its input ends."""
+def start_run() -> subprocess.Popen[str]:
+    """Start a process like the first worker of a test run; it reserves ports until its stdin is closed."""
     return subprocess.Popen(
         [sys.executable, "-c", PROGRAM],
         cwd=ROOT,
@@ -34,17 +34,17 @@
     )
 
 
-def ports_of(run: subprocess.Popen[str]) -> list[int]:
-    """The ports that it was given."""
+def read_ports(run: subprocess.Popen[str]) -> list[int]:
+    """Return the ports that the process reserved."""
     assert run.stdout is not None
     ports: list[int] = json.loads(run.stdout.readline())
     return ports
 
 
-def test_the_first_workers_of_runs_beside_each_other_share_no_port() -> None:
-    runs = [started() for _ in range(RUNS)]
+def test_first_workers_of_concurrent_runs_share_no_port() -> None:
+    runs = [start_run() for _ in range(RUNS)]
     try:
-        ports = [port for run in runs for port in ports_of(run)]
+        ports = [port for run in runs for port in read_ports(run)]
     finally:
         for run in runs:
             run.communicate()
@@ -52,11 +52,11 @@
     assert all(run.returncode == 0 for run in runs)
 
 
-def test_the_ports_of_a_run_that_is_killed_are_given_again() -> None:
+def test_the_read_ports_a_run_that_is_killed_are_given_again() -> None:
     for _ in range(3):
-        run = started()
-        ports = ports_of(run)
+        run = start_run()
+        ports = read_ports(run)
         run.kill()
         run.communicate()
-        with started() as successor:
-            assert len(ports_of(successor)) == len(ports)
+        with start_run() as successor:
+            assert len(read_ports(successor)) == len(ports)
--- a/tests/test_junit.py
+++ b/tests/test_junit.py
@@ -1,4 +1,4 @@
-"""Results as JUnit XML: what is written is read again, and pytest's node ids are put together."""
+"""JUnit XML: written results can be read again, and pytest's node ids are rebuilt from their parts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tools.junit import CaseResult, Outcome, read_results, write_results
 
 
-def test_what_is_written_is_read_again(tmp_path: Path) -> None:
+def test_written_results_are_read_unchanged(tmp_path: Path) -> None:
     results = (
         CaseResult("tests/cluster/test_a.py::a <mark> & an umlaut ä", Outcome.PASSED),
         CaseResult("tests/cluster/test_a.py::holds: for 'all'", Outcome.FAILED),
@@ -30,7 +30,7 @@
         ('classname="" name="tests.test_broken"', "tests.test_broken"),
     ],
 )
-def test_node_ids_are_put_together(tmp_path: Path, attributes: str, test: str) -> None:
+def test_node_id_is_rebuilt_from_the_attributes(tmp_path: Path, attributes: str, test: str) -> None:
     path = tmp_path / "results.xml"
     path.write_text(f"<testsuites><testsuite><testcase {attributes}/></testsuite></testsuites>")
     assert read_results(path) == (CaseResult(test, Outcome.PASSED),)
@@ -46,7 +46,7 @@
         ("<system-out/>", Outcome.PASSED),
     ],
 )
-def test_outcomes(tmp_path: Path, child: str, outcome: Outcome) -> None:
+def test_outcome_follows_from_the_child_elements(tmp_path: Path, child: str, outcome: Outcome) -> None:
     path = tmp_path / "results.xml"
     path.write_text(
         f'<testsuite><testcase file="tests/test_a.py" name="test_b">{child}</testcase></testsuite>'
--- a/tests/test_readme_commands.py
+++ b/tests/test_readme_commands.py
@@ -1,4 +1,4 @@
-"""The README's commands, as CI plays them."""
+"""The extraction of the commands that CI runs from the README."""
 
 from __future__ import annotations
 
@@ -36,18 +36,18 @@
 """
 
 
-def test_commands_are_the_indented_blocks_of_the_section() -> None:
+def test_only_indented_blocks_of_the_section_are_commands() -> None:
     assert section_commands(TEXT, "First") == ["one && two", "three"]
     assert section_commands(TEXT, "First part") == ["four"]
 
 
 @pytest.mark.parametrize("section", ["Second", "Third", "title"])
-def test_a_section_without_commands_is_an_error(section: str) -> None:
+def test_section_without_commands_raises_an_error(section: str) -> None:
     with pytest.raises(NoCommandsError, match=section):
         section_commands(TEXT, section)
 
 
-def test_the_readme_has_the_sections_that_ci_plays() -> None:
+def test_readme_has_the_commands_that_ci_runs() -> None:
     assert any("emberlatch demo" in command for command in section_commands(README.read_text(), "Run it"))
     assert any(
         "try --kill" in command for command in section_commands(README.read_text(), "The whole system")
