--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -1,6 +1,6 @@
-"""What earlier releases stored and sent is read, and what is written now is the same byte for byte.
+"""Data that earlier releases stored or sent can be read, and the current code writes the same bytes.
 
-The files lie under `tests/fixtures/stored`; its README says by which release they were written.
+The files are under `tests/fixtures/stored`; the README there says which release wrote them.
 """
 
 from __future__ import annotations
@@ -43,21 +43,21 @@
 TERMS = '{"effect":1,"deadline":30.0}'
 
 
-def files_of(folder: Path) -> dict[str, bytes]:
-    """The files of a folder, by name."""
+def read_files(folder: Path) -> dict[str, bytes]:
+    """Return the content of the files of a folder, by name."""
     return {path.name: path.read_bytes() for path in sorted(folder.iterdir())}
 
 
-def copy_of(name: str, folder: Path) -> Path:
-    """A copy of a stored folder, which may be written to."""
+def copy_stored(name: str, folder: Path) -> Path:
+    """Return a writable copy of a stored folder."""
     return Path(shutil.copytree(STORED / name, folder / name))
 
 
-# The journal of messages.
+# The message journal.
 
 
-def entries() -> list[Entry]:
-    """An open message, one with unknown outcomes, one whose notice is not confirmed, and one that ended."""
+def make_entries() -> list[Entry]:
+    """Return four messages: open, with unknown outcomes, with an unconfirmed notice, and completed."""
     names = ("category-a", "tenant-a")
     return [
         Entry(1, "open", "", *names, 7, SENT_AT + 30.0, b"body of open", terms=TERMS),
@@ -68,11 +68,11 @@
 
 
 def write_journal(folder: Path) -> None:
-    """A journal that was written in two runs of the process."""
-    waiting, uncertain, ended, over = entries()
+    """Write a journal as two consecutive runs of the process do."""
+    waiting, uncertain, ended, removed = make_entries()
     journal = Journal(Folder(folder), JOURNAL_BYTES)
     journal.load()
-    for entry in (waiting, uncertain, ended, over):
+    for entry in (waiting, uncertain, ended, removed):
         journal.add(entry)
     uncertain.attempts, uncertain.unknown_outcomes = (
         2,
@@ -82,23 +82,25 @@
     ended.attempts = 1
     ended.notice = {"id": "ended", "end": "delivered", "at": SENT_AT + 2.0}
     journal.update(ended)
-    over.attempts = 1
-    journal.update(over)
-    journal.remove(over)
+    removed.attempts = 1
+    journal.update(removed)
+    journal.remove(removed)
     journal.close()
-    again = Journal(Folder(folder), JOURNAL_BYTES)
-    reopened = {entry.ref: entry for entry in again.load()}
+    second_journal = Journal(Folder(folder), JOURNAL_BYTES)
+    reopened = {entry.ref: entry for entry in second_journal.load()}
     reopened[1].attempts, reopened[1].unknown_outcomes = 1, [UnknownOutcome(1, "e3@w/7", 0, SENT_AT + 3.0)]
-    again.update(reopened[1])
-    again.add(Entry(5, "second run", "", "category-a", "tenant-a", 9, SENT_AT + 60.0, b"5", terms=TERMS))
-    again.close()
+    second_journal.update(reopened[1])
+    second_journal.add(
+        Entry(5, "second run", "", "category-a", "tenant-a", 9, SENT_AT + 60.0, b"5", terms=TERMS)
+    )
+    second_journal.close()
 
 
-def test_a_stored_journal_is_read(tmp_path: Path) -> None:
-    journal = Journal(Folder(copy_of("journal", tmp_path)), JOURNAL_BYTES)
+def test_stored_journal_gives_the_entries_that_were_written(tmp_path: Path) -> None:
+    journal = Journal(Folder(copy_stored("journal", tmp_path)), JOURNAL_BYTES)
     found = {entry.ref: entry for entry in journal.load()}
     journal.close()
-    waiting, uncertain, ended, _ = entries()
+    waiting, uncertain, ended, _ = make_entries()
     waiting.attempts, waiting.unknown_outcomes = 1, [UnknownOutcome(1, "e3@w/7", 0, SENT_AT + 3.0)]
     uncertain.attempts, uncertain.unknown_outcomes = (
         2,
@@ -109,16 +111,16 @@
     assert found == {1: waiting, 2: uncertain, 3: ended, 5: second}
 
 
-def test_a_journal_is_written_as_before(tmp_path: Path) -> None:
+def test_journal_is_written_byte_for_byte_as_stored(tmp_path: Path) -> None:
     write_journal(tmp_path)
-    assert files_of(tmp_path) == files_of(STORED / "journal")
+    assert read_files(tmp_path) == read_files(STORED / "journal")
 
 
-# The ledger of AS2, and the orders that were received by it.
+# The AS2 ledger, and the orders received over AS2.
 
 
 def write_ledger(folder: Path) -> None:
-    """A message without a receipt, one that was processed, one in dispute, and an unknown receipt."""
+    """Write a ledger with an open, a processed, a disputed and a refused message and an unknown receipt."""
     evidence = Evidence(Folder(folder), 2 * STATE_LOG_BYTES, 86_400.0)
     evidence.load()
     for number, name in enumerate(("silent", "processed", "disputed", "forgotten"), 1):
@@ -141,8 +143,8 @@
     evidence.close()
 
 
-def test_a_stored_ledger_is_read(tmp_path: Path) -> None:
-    evidence = Evidence(Folder(copy_of("as2-ledger", tmp_path)), 2 * STATE_LOG_BYTES, 86_400.0)
+def test_stored_ledger_gives_records_and_disputes(tmp_path: Path) -> None:
+    evidence = Evidence(Folder(copy_stored("as2-ledger", tmp_path)), 2 * STATE_LOG_BYTES, 86_400.0)
     evidence.load()
     found = {record.message_id: record for record in evidence.records()}
     names = ["silent@us.example", "disputed@us.example"]
@@ -157,58 +159,60 @@
     )
     assert disputed.disputes == [ledger.FAILED_YET_PROCESSED.format("failed")]
     assert [evidence.receipt(name) for name in disputed.receipts] == [b"receipt two"]
-    told = {dispute["original"]: dispute for dispute in evidence.disputes()}
-    assert sorted(told) == ["disputed@us.example", "partner-b nobody@us.example"]
-    assert told["partner-b nobody@us.example"]["at"] == SENT_AT + 40.0
+    disputes = {dispute["original"]: dispute for dispute in evidence.disputes()}
+    assert sorted(disputes) == ["disputed@us.example", "partner-b nobody@us.example"]
+    assert disputes["partner-b nobody@us.example"]["at"] == SENT_AT + 40.0
     evidence.close()
 
 
-def test_a_ledger_is_written_as_before(tmp_path: Path) -> None:
+def test_ledger_is_written_byte_for_byte_as_stored(tmp_path: Path) -> None:
     write_ledger(tmp_path)
-    assert files_of(tmp_path) == files_of(STORED / "as2-ledger")
+    assert read_files(tmp_path) == read_files(STORED / "as2-ledger")
 
 
-def as2_orders() -> list[Order]:
-    """An order that is coming, one that was taken, and one with a receipt that is owed."""
-    coming = Order("o1@them.example", "partner-a", "as2-1", "cd" * 32, "sha-256", SENT_AT)
-    taken = Order("o2@them.example", "partner-a", "as2-2", "ef" * 32, "sha-256", SENT_AT + 1.0, True)
-    owed = Order("o3@them.example", "partner-b", "as2-3", "", "", SENT_AT + 2.0, True, "processed", "error")
-    owed.text, owed.receipt_digest, owed.receipt_pending = "decryption-failed", "sha-512", True
-    return [coming, taken, owed]
+def make_orders() -> list[Order]:
+    """Return an order that is not accepted yet, an accepted one, and one whose receipt is pending."""
+    incoming = Order("o1@them.example", "partner-a", "as2-1", "cd" * 32, "sha-256", SENT_AT)
+    accepted = Order("o2@them.example", "partner-a", "as2-2", "ef" * 32, "sha-256", SENT_AT + 1.0, True)
+    answered = Order(
+        "o3@them.example", "partner-b", "as2-3", "", "", SENT_AT + 2.0, True, "processed", "error"
+    )
+    answered.text, answered.receipt_digest, answered.receipt_pending = "decryption-failed", "sha-512", True
+    return [incoming, accepted, answered]
 
 
 def write_orders(folder: Path) -> None:
-    """The log of orders, one of which was forgotten."""
+    """Write the log of the orders, with one more that was removed."""
     log = StateLog(Folder(folder), STATE_LOG_BYTES)
     log.load()
-    for order in as2_orders():
+    for order in make_orders():
         log.put(orders.make_storage_key(order.partner, order.message_id), order.document())
-    gone = Order("o4@them.example", "partner-b", "as2-4", "", "", SENT_AT)
-    log.put(orders.make_storage_key(gone.partner, gone.message_id), gone.document())
-    log.remove(orders.make_storage_key(gone.partner, gone.message_id))
+    removed = Order("o4@them.example", "partner-b", "as2-4", "", "", SENT_AT)
+    log.put(orders.make_storage_key(removed.partner, removed.message_id), removed.document())
+    log.remove(orders.make_storage_key(removed.partner, removed.message_id))
     log.close()
 
 
-def test_stored_orders_are_read(tmp_path: Path) -> None:
-    log = StateLog(Folder(copy_of("as2-orders", tmp_path)), STATE_LOG_BYTES)
+def test_stored_orders_equal_the_orders_that_were_written(tmp_path: Path) -> None:
+    log = StateLog(Folder(copy_stored("as2-orders", tmp_path)), STATE_LOG_BYTES)
     log.load()
     found = {key: orders.read(state) for key, state in log.states.items()}
     log.close()
     assert found == {
-        orders.make_storage_key(order.partner, order.message_id): order for order in as2_orders()
+        orders.make_storage_key(order.partner, order.message_id): order for order in make_orders()
     }
 
 
-def test_orders_are_written_as_before(tmp_path: Path) -> None:
+def test_orders_are_written_byte_for_byte_as_stored(tmp_path: Path) -> None:
     write_orders(tmp_path)
-    assert files_of(tmp_path) == files_of(STORED / "as2-orders")
+    assert read_files(tmp_path) == read_files(STORED / "as2-orders")
 
 
-# The last good inventory.
+# The last valid inventory.
 
 
-def inventory() -> Inventory:
-    """Endpoints with every field in use."""
+def make_inventory() -> Inventory:
+    """Return an inventory in which every endpoint field is in use."""
     return Inventory(
         [
             Endpoint("e1", ("10.0.0.1", 8080), "partner-a", 7, "orders", "east"),
@@ -221,25 +225,25 @@
 
 
 def write_inventory(folder: Path) -> None:
-    """The file of the last good set."""
-    last_good.save(folder, inventory(), SENT_AT + 0.5)
+    """Write the file of the last valid inventory."""
+    last_good.save(folder, make_inventory(), SENT_AT + 0.5)
 
 
-def test_a_stored_inventory_is_read(tmp_path: Path) -> None:
-    found = last_good.load(copy_of("inventory", tmp_path))
+def test_stored_inventory_equals_the_one_that_was_written(tmp_path: Path) -> None:
+    found = last_good.load(copy_stored("inventory", tmp_path))
     assert found is not None
-    assert found.inventory == inventory() and found.taken_at == SENT_AT + 0.5
-    assert list(found.inventory.endpoints.values()) == list(inventory().endpoints.values())
+    assert found.inventory == make_inventory() and found.taken_at == SENT_AT + 0.5
+    assert list(found.inventory.endpoints.values()) == list(make_inventory().endpoints.values())
 
 
-def test_an_inventory_is_written_as_before(tmp_path: Path) -> None:
+def test_inventory_is_written_byte_for_byte_as_stored(tmp_path: Path) -> None:
     write_inventory(tmp_path)
-    assert files_of(tmp_path) == files_of(STORED / "inventory")
+    assert read_files(tmp_path) == read_files(STORED / "inventory")
 
 
-# What one process hands over to the next: frames on a Unix socket.
+# The takeover of a process by its successor: frames on a Unix socket.
 
-TAKEN_OVER_AT = 101.5  # the time of the loop at which the state was handed over
+TAKEN_OVER_AT = 101.5  # event loop time, in seconds, at which the state was handed over
 KNOWN = {"members": [{"target": "e1@w/7", "address": ["10.0.0.1", 8080]}], "version": 3}
 OUTCOMES = (
     Outcome(5, 2, b"e1@w/7", Result.OK, 0.25, True),
@@ -247,11 +251,11 @@
 )
 
 
-def module_state() -> dict[str, Any]:
-    """What a decision module has learnt in seconds of traffic, with calls in flight and messages queued."""
-    fates = (Result.OK, Result.OK, Result.TIMEOUT, Result.RESET, None)
+def make_module_state() -> dict[str, Any]:
+    """Return the state of a decision module after 1.5 s of traffic: calls in flight, messages queued."""
+    results = (Result.OK, Result.OK, Result.TIMEOUT, Result.RESET, None)
     harness = ForwarderHarness(
-        make_settings(separate=True), 10, lambda harness, _: harness.random.choice(fates)
+        make_settings(separate=True), 10, lambda harness, _: harness.random.choice(results)
     )
 
     def arrivals() -> list[api.Event]:
@@ -262,32 +266,32 @@
     return harness.forwarder.handover_state()
 
 
-async def sent(module: dict[str, Any]) -> bytes:
-    """The frames of a takeover, in both directions one behind the other."""
-    ours, theirs = socket.socketpair()
-    connection = UnixConnection(ours)
+async def takeover_bytes(module: dict[str, Any]) -> bytes:
+    """Return the bytes of all frames of a takeover, those of both directions in one sequence."""
+    local, remote = socket.socketpair()
+    connection = UnixConnection(local)
     state = StateSnapshot(module, [("partner-a", 100.5), (7, 101.25)], KNOWN)
     for message in (TakeoverRequest(), state, OwnershipTaken(), RelayedOutcomes(OUTCOMES)):
         await connection.send(message.kind, message.to_body())
     connection.close()
     data = b""
-    while piece := theirs.recv(1 << 20):
-        data += piece
-    theirs.close()
+    while chunk := remote.recv(1 << 20):
+        data += chunk
+    remote.close()
     return data
 
 
 def write_takeover(folder: Path) -> None:
-    """The frames as they go over the socket."""
-    (folder / "frames.bin").write_bytes(asyncio.run(sent(module_state())))
+    """Write the frames to a file as they are sent over the socket."""
+    (folder / "frames.bin").write_bytes(asyncio.run(takeover_bytes(make_module_state())))
 
 
-async def received(data: bytes) -> list[Frame]:
-    """The frames that a process reads from these bytes."""
-    ours, theirs = socket.socketpair()
-    connection = UnixConnection(ours)
-    theirs.sendall(data)
-    theirs.close()
+async def receive_frames(data: bytes) -> list[Frame]:
+    """Return the frames that a process reads from these bytes."""
+    local, remote = socket.socketpair()
+    connection = UnixConnection(local)
+    remote.sendall(data)
+    remote.close()
     frames = []
     while (frame := await connection.receive()) is not None:
         frames.append(frame)
@@ -296,7 +300,7 @@
 
 
 def stored_frames() -> Iterator[bytes]:
-    """The bytes of each stored frame."""
+    """Yield the bytes of each stored frame."""
     data = (STORED / "takeover" / "frames.bin").read_bytes()
     while data:
         length, _ = HEADER.unpack_from(data)
@@ -305,16 +309,16 @@
 
 
 def stored_state() -> dict[str, Any]:
-    """The state that was handed over."""
+    """Return the state snapshot of the stored takeover."""
     frame: dict[str, Any] = json.loads(list(stored_frames())[1][HEADER.size :])
     return frame
 
 
-def test_stored_takeover_frames_are_read() -> None:
-    take, state, have, outcomes = asyncio.run(received(b"".join(stored_frames())))
-    assert (take.kind, take.body["version"]) == ("take", VERSION)
+def test_stored_takeover_frames_give_the_messages_that_were_sent() -> None:
+    request, state, ownership, outcomes = asyncio.run(receive_frames(b"".join(stored_frames())))
+    assert (request.kind, request.body["version"]) == ("take", VERSION)
     assert (state.kind, state.body["version"]) == ("state", VERSION)
-    assert have.kind == "have" and outcomes.kind == "outcomes"
+    assert ownership.kind == "have" and outcomes.kind == "outcomes"
     snapshot = StateSnapshot.from_body(state.body)
     module = snapshot.module
     assert module["pools"] and module["messages"] and module["calls"] and module["rests"]
@@ -325,17 +329,17 @@
     assert RelayedOutcomes.from_body(outcomes.body).outcomes == OUTCOMES
 
 
-def test_takeover_frames_are_written_as_before() -> None:
-    assert asyncio.run(sent(stored_state()["module"])) == b"".join(stored_frames())
+def test_takeover_frames_are_written_byte_for_byte_as_stored() -> None:
+    assert asyncio.run(takeover_bytes(stored_state()["module"])) == b"".join(stored_frames())
 
 
-def test_a_module_continues_from_a_stored_state_and_hands_over_the_same() -> None:
+def test_module_started_from_a_stored_state_hands_over_the_same_state() -> None:
     state = stored_state()["module"]
     harness = ForwarderHarness(make_settings(separate=True), 10, lambda *_: None)
     forwarder = Forwarder(harness.settings, 10)
     listed = api.DirectoryUpdate(api.ListKind.CACHED, 1, tuple(harness.entries.values()))
     forwarder.handle(TAKEN_OVER_AT, [listed, api.HandoverReceived(state)])
     handed_over = json.loads(json.dumps(forwarder.handover_state()))
-    assert handed_over.pop("messages") == []  # the journal tells which there are
+    assert handed_over.pop("messages") == []  # open messages are stored in the journal instead
     assert handed_over == {name: value for name, value in state.items() if name != "messages"}
     assert list(handed_over) == [name for name in state if name != "messages"]
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -1,6 +1,7 @@
-"""Words of the earlier house style stay out of the packages that were brought to the field's terms.
+"""Forbidden words do not occur in the names and texts of the packages.
 
-The list is that of the users' letter; docs/glossary.md maps each word to its term.
+The words belong to an earlier private vocabulary of this project. The list of words was given by the users;
+docs/glossary.md maps each word to the common term that replaces it.
 """
 
 from __future__ import annotations
@@ -14,15 +15,15 @@
 
 ROOT = Path(__file__).parent.parent
 
-WITHDRAWN_WORDS = (
+FORBIDDEN_WORD_LIST = (
     "told whole held news word words lives beat beats ill sick mates fellows kin letter errand book "
     "mend mended mending mends settle settled settles silence crowd rope room wish wishes further "
     "turned crew lot sent_on thrown lookout cairn refuge trailhead descent waymark caravan huts "
     "ration rations rationed bulk mishap keeper keepers saves helper helpers door resting parcel "
 )
-WITHDRAWN = frozenset(WITHDRAWN_WORDS.split())
+FORBIDDEN_WORDS = frozenset(FORBIDDEN_WORD_LIST.split())
 
-DONE = (
+CHECKED_PACKAGES = (
     "emberlatch/admission",
     "emberlatch/as2",
     "emberlatch/cli",
@@ -46,9 +47,9 @@
     "emberlatch/storm",
     "emberlatch/takeover",
 )
-"""Packages that are done. A package is added when it is; none is taken out."""
+"""The packages that are checked. Packages may be added but not removed."""
 
-KEPT_TEXTS = {
+ALLOWED_TEXTS = {
     "dead_letter": "a message's state in the users' pages",
     "keepers": "a key of records on disk and between processes",
     "beat": "a method between processes of which versions run side by side",
@@ -58,9 +59,9 @@
     "huts": "the package's name in checkouts and backups of earlier versions",
     "word": "a folder on disk of earlier versions",
 }
-"""Texts that keep such a word, and why."""
+"""Texts in which a forbidden word is allowed in every module, each with the reason."""
 
-KEPT_KEYS = {
+ALLOWED_LITERALS = {
     ("emberlatch/engine/engine.py", "held"): "a key of the gateway's status, which scripts read",
     ("emberlatch/standalone/answers.py", "held"): "a key of the gateway's status, which scripts read",
     ("emberlatch/standalone/outcome_log.py", "held"): "a message's state in the users' pages",
@@ -83,17 +84,17 @@
     ("emberlatch/storm/history.py", "told"): "a key of kept histories",
     ("emberlatch/storm/history.py", "wish"): "a key of kept histories",
 }
-"""Texts that are such a word and nothing else, each in the one module that may have it, and why."""
+"""Texts that are allowed in one module, as a complete string literal only, each with the reason."""
 
 
-def withdrawn_in(identifier: str) -> set[str]:
-    """The withdrawn words that an identifier in either case consists of."""
+def forbidden_words_in(identifier: str) -> set[str]:
+    """Return the forbidden words in an identifier, which is written in snake case or camel case."""
     parts = re.findall(r"[A-Z]?[a-z]+|[A-Z]+(?![a-z])", identifier)
-    return {part.lower() for part in parts} & WITHDRAWN
+    return {part.lower() for part in parts} & FORBIDDEN_WORDS
 
 
 def defined_names(tree: ast.AST) -> list[tuple[int, str]]:
-    """Every identifier that a module defines, with its line."""
+    """Return every identifier that a module defines, with its line."""
     names: list[tuple[int, str]] = []
     for node in ast.walk(tree):
         match node:
@@ -111,7 +112,7 @@
 
 
 def texts(tree: ast.AST) -> list[tuple[int, str]]:
-    """Every string literal of a module, docstrings among them, with its line."""
+    """Return every string literal of a module, including docstrings, with its line."""
     return [
         (node.lineno, node.value)
         for node in ast.walk(tree)
@@ -120,21 +121,25 @@
 
 
 def findings(source: str, name: str) -> list[str]:
-    """Where a module still speaks in withdrawn words: its names, and its texts."""
+    """Return a line for each defined name and each text of a module that contains a forbidden word."""
     tree = ast.parse(source)
-    found = [f"{name}:{line}: {word}" for line, word in defined_names(tree) if withdrawn_in(word)]
+    found = [
+        f"{name}:{line}: {identifier}"
+        for line, identifier in defined_names(tree)
+        if forbidden_words_in(identifier)
+    ]
     for line, text in texts(tree):
-        quoted = {kept for kept in KEPT_TEXTS if text == kept or f"`{kept}`" in text}
-        if (name, text) in KEPT_KEYS:
+        allowed = {word for word in ALLOWED_TEXTS if text == word or f"`{word}`" in text}
+        if (name, text) in ALLOWED_LITERALS:
             continue
-        words = WITHDRAWN & set(re.findall(r"[a-z_]+", text.lower())) - quoted
+        words = FORBIDDEN_WORDS & set(re.findall(r"[a-z_]+", text.lower())) - allowed
         if words:
             found.append(f"{name}:{line}: {' '.join(sorted(words))} in {text[:60]!r}")
     return found
 
 
 def findings_in(paths: Iterable[Path]) -> list[str]:
-    """Where some modules still speak in withdrawn words."""
+    """Return the findings in several modules."""
     return [
         line
         for path in sorted(paths)
@@ -142,18 +147,18 @@
     ]
 
 
-@pytest.mark.parametrize("package", DONE)
-def test_done_packages_keep_to_the_terms(package: str) -> None:
+@pytest.mark.parametrize("package", CHECKED_PACKAGES)
+def test_checked_packages_contain_no_forbidden_word(package: str) -> None:
     assert findings_in((ROOT / package).rglob("*.py")) == []
 
 
-def test_modules_beside_the_packages_keep_to_the_terms() -> None:
+def test_top_level_modules_contain_no_forbidden_word() -> None:
     assert findings_in((ROOT / "emberlatch").glob("*.py")) == []
 
 
-def test_no_package_is_left_out() -> None:
+def test_all_packages_are_checked() -> None:
     packages = {f"emberlatch/{path.parent.name}" for path in (ROOT / "emberlatch").glob("*/__init__.py")}
-    assert packages == set(DONE)
+    assert packages == set(CHECKED_PACKAGES)
 
 
 @pytest.mark.parametrize(
@@ -167,17 +172,19 @@
         "log('the rope')",
     ],
 )
-def test_a_planted_word_is_found(planted: str) -> None:
+def test_forbidden_word_in_a_name_or_text_is_reported(planted: str) -> None:
     assert findings(planted, "planted.py")
 
 
-@pytest.mark.parametrize(("module", "key"), KEPT_KEYS)
-def test_a_kept_key_is_kept_in_its_module_alone(module: str, key: str) -> None:
+@pytest.mark.parametrize(("module", "key"), ALLOWED_LITERALS)
+def test_allowed_literal_is_accepted_only_in_its_module_and_as_a_complete_literal(
+    module: str, key: str
+) -> None:
     assert findings(f"x = {key!r}", module) == []
     assert findings(f"x = {key!r}", "planted.py")
     assert findings(f"x = 'to {key} it'", module)
 
 
-def test_terms_are_not_mistaken_for_withdrawn_words() -> None:
+def test_terms_that_contain_a_forbidden_word_as_a_part_are_accepted() -> None:
     source = "heartbeat = threshold = 1\ndef withhold(bookmark, skill): ...\n"
     assert findings(source, "planted.py") == []
