--- a/emberlatch/as2/mime.py
+++ b/emberlatch/as2/mime.py
@@ -33,7 +33,7 @@
 class Entity:
     """Headers, and a body with its transfer encoding.
 
-    `raw` is the whole entity as received; empty if the headers were received apart from the body.
+    `raw` is the complete entity as received; empty if the headers were received apart from the body.
     """
 
     headers: tuple[tuple[str, str], ...]
