--- a/emberlatch/cluster/dispatch/destinations.py
+++ b/emberlatch/cluster/dispatch/destinations.py
@@ -23,7 +23,7 @@
 PHASES = {
     TargetState.IN_SERVICE: api.Phase.READY,
     TargetState.DRAINING: api.Phase.DRAINING,
-    TargetState.DEREGISTERED: api.Phase.GONE,
+    TargetState.DEREGISTERED: api.Phase.REMOVED,
 }
 
 
@@ -56,7 +56,7 @@
                 host, _, port = service.fixed_endpoint.rpartition(":")
                 wanted[_fixed_name(service, service.fixed_endpoint)] = service, (host, int(port))
         for name in [n for n in self._entries if n.startswith(FIXED_PREFIX) and n not in wanted]:
-            removed = api.Entry(name, self._entries.pop(name).destination, api.Phase.GONE)
+            removed = api.Entry(name, self._entries.pop(name).destination, api.Phase.REMOVED)
             yield EndpointUpdate((removed,), {name: NO_ADDRESS})
         entries, addresses = [], {}
         for name, (service, address) in wanted.items():
@@ -71,15 +71,15 @@
     def update_target(self, target: Target) -> EndpointUpdate | None:
         """Apply a target's new state; return None if nothing changes for the module."""
         name = target.id.encode()
-        phase = api.Phase.GONE if target.lease_expired else PHASES[target.state]
-        if phase is api.Phase.GONE and name not in self._entries:
+        phase = api.Phase.REMOVED if target.lease_expired else PHASES[target.state]
+        if phase is api.Phase.REMOVED and name not in self._entries:
             return None
         remote = target.zone != self._zone
         locality = Locality.REMOTE if remote else Locality.LOCAL
         # The other half of the capacity is reserved for the stores in the target's own zone.
         capacity = max(1, target.capacity // 2) if remote else target.capacity
         entry = api.Entry(name, self.number(target.service, locality), phase, max_concurrency=capacity)
-        if phase is api.Phase.GONE:
+        if phase is api.Phase.REMOVED:
             del self._entries[name]
             self._targets.pop(name, None)
         else:
--- a/emberlatch/cluster/dispatch/dispatcher.py
+++ b/emberlatch/cluster/dispatch/dispatcher.py
@@ -218,7 +218,7 @@
     def _send(self, ref: int, target: bytes) -> None:
         delivery = self._deliveries.by_ref.get(ref)
         if delivery is None or delivery.route is None:
-            self._inbox.add(api.ClientGone(ref))
+            self._inbox.add(api.ClientDisconnected(ref))
             return
         if not self._owner.owns(delivery.record):
             self._outcomes.forget(delivery)
--- a/emberlatch/cluster/dispatch/outcomes.py
+++ b/emberlatch/cluster/dispatch/outcomes.py
@@ -73,14 +73,14 @@
         """Remove a delivery that this store no longer performs; cancel its call if one is in flight."""
         self._deliveries.remove(delivery)
         if delivery.stage in POOL_STAGES:
-            self._inbox.add(api.ClientGone(delivery.ref))
+            self._inbox.add(api.ClientDisconnected(delivery.ref))
         self._deliveries.change_stage(delivery, DeliveryStage.DELAYED)
         self._inbox.schedule()
 
     def _end_lease_wait(self, delivery: Delivery, ref: int) -> None:
         # The message was not sent, so this counts neither as an attempt nor as a failure.
         if delivery.ref == ref and delivery.stage is DeliveryStage.QUEUED_IN_POOL:
-            self._inbox.add(api.ClientGone(ref))
+            self._inbox.add(api.ClientDisconnected(ref))
             delivery.offer_count += 1
             self._delayed.delay_for(delivery, NO_LEASE_RETRY_S)
             self._inbox.schedule()
@@ -104,7 +104,7 @@
         The delivery is withdrawn instead if the store is draining or does not own the message any more.
         """
         if self._deliveries.draining or not self._owner.owns(delivery.record):
-            self._inbox.add(api.ClientGone(delivery.ref))
+            self._inbox.add(api.ClientDisconnected(delivery.ref))
             self._retry(delivery, 0.0)
         else:
             self._deliveries.change_stage(delivery, DeliveryStage.QUEUED_IN_POOL)
--- a/emberlatch/config/decision_settings.py
+++ b/emberlatch/config/decision_settings.py
@@ -36,7 +36,7 @@
         tenants=tuple(api.Tenant(name, item.rate) for name, item in config.tenants.items()),
         over_quota_value_factor=OVER_QUOTA_WORTH if config.tenants else 1.0,
         separate_routes=tuple(kind.routes == "separate" for kind in config.kinds.values()),
-        per_call=tuple(kind.batch for kind in config.kinds.values()),
+        batch_limits=tuple(kind.batch for kind in config.kinds.values()),
         zone_fees=tuple(wing.fee for wing in config.wings.values()),
         report_fields=REPORT_FIELDS,
         weights=api.Weights.NOMINAL,
--- a/emberlatch/core/actions.py
+++ b/emberlatch/core/actions.py
@@ -77,15 +77,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Watch:
+class SetDirectoryWatch:
     """Subscribe to directory changes if `active`, otherwise unsubscribe."""
 
     active: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class Lookup:
+class RequestDirectoryList:
     """Request the complete endpoint list from the directory once."""
 
 
-Action = Send | Reject | Fail | Cancel | SetTimer | Probe | CloseIdle | SendToPeer | LogLine | Watch | Lookup
+Action = (
+    Send
+    | Reject
+    | Fail
+    | Cancel
+    | SetTimer
+    | Probe
+    | CloseIdle
+    | SendToPeer
+    | LogLine
+    | SetDirectoryWatch
+    | RequestDirectoryList
+)
--- a/emberlatch/core/attempts.py
+++ b/emberlatch/core/attempts.py
@@ -58,7 +58,7 @@
             return False
         return self.is_within_dedup_window(message)
 
-    def has_attempt_left(self, message: Message) -> bool:
+    def allows_another_attempt(self, message: Message) -> bool:
         """Return whether the category allows another attempt.
 
         A suitable endpoint does not have to be listed now: one may be listed at any time.
--- a/emberlatch/core/calls.py
+++ b/emberlatch/core/calls.py
@@ -105,7 +105,7 @@
         if result not in NOT_EXECUTED:
             message.unknown_outcomes.append(UncertainAttempt(call.sent_at, entry.target, entry.zone))
         call.endpoint.route.pool.waiting[message.ref] = message
-        if not self._attempts.has_attempt_left(message):
+        if not self._attempts.allows_another_attempt(message):
             self._queue.finish(message)
 
     def _cancel_overtaken(self, answered: Call) -> None:
--- a/emberlatch/core/events.py
+++ b/emberlatch/core/events.py
@@ -36,7 +36,7 @@
 
     DRAINING = 0
     READY = 1
-    GONE = 2
+    REMOVED = 2
 
 
 class ListKind(IntEnum):
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Recovered:
+class MessageRecovered:
     """A message that an earlier incarnation of this forwarder accepted and did not answer.
 
     `attempts`: number of the message's next attempt. `unknown_outcomes` include the calls that were in flight
@@ -182,7 +182,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClientGone:
+class ClientDisconnected:
     """The client no longer waits for this message."""
 
     ref: int
@@ -199,17 +199,18 @@
 class DirectoryUpdate:
     """An update of the endpoint list; an update of kind FAILED has no entries.
 
-    `overdue`: under the rules of the directory, a change that was not received may already be in force.
+    `may_miss_changes`: under the rules of the directory, a change that was not received may already be in
+    force.
     """
 
     kind: ListKind
     version: int
     entries: tuple[Entry, ...] = ()
-    overdue: bool = False
+    may_miss_changes: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class DirectoryMoved:
+class DirectoryAddressChanged:
     """The directory has a new address, to which no request has been sent yet."""
 
 
@@ -231,17 +232,17 @@
 
 Event = (
     Arrival
-    | Recovered
+    | MessageRecovered
     | HandoverReceived
     | SettingsChanged
     | Stopping
     | ResponseStarted
     | Outcome
     | ProbeResult
-    | ClientGone
+    | ClientDisconnected
     | TimerFired
     | DirectoryUpdate
-    | DirectoryMoved
+    | DirectoryAddressChanged
     | PeerRetryAfter
     | PeerMessage
 )
--- a/emberlatch/core/handover.py
+++ b/emberlatch/core/handover.py
@@ -200,4 +200,4 @@
 def entry_of_call(state: CallState) -> Entry:
     """Return the endpoint of a call as an entry that the directory no longer lists."""
     target = str(state["target"]).encode()
-    return Entry(target, state["destination"], Phase.GONE, state["kind"], state["zone"])
+    return Entry(target, state["destination"], Phase.REMOVED, state["kind"], state["zone"])
--- a/emberlatch/core/listing.py
+++ b/emberlatch/core/listing.py
@@ -4,7 +4,7 @@
 
 import math
 
-from emberlatch.core.actions import CloseIdle, Watch
+from emberlatch.core.actions import CloseIdle, SetDirectoryWatch
 from emberlatch.core.events import DirectoryUpdate, Entry, ListKind, Phase, Result, Target
 from emberlatch.core.pools import PoolTable
 from emberlatch.core.records import Endpoint
@@ -49,7 +49,7 @@
         """Request the endpoint list if a request is due."""
         context = self._context
         if context.now >= self.next_at:
-            context.actions.append(Watch(True))
+            context.actions.append(SetDirectoryWatch(True))
             self.next_at = context.now + max(MIN_POLL_WAIT_S, self._backoff)
 
 
@@ -84,7 +84,7 @@
 
     def on_update(self, event: DirectoryUpdate) -> None:
         """Apply a directory update."""
-        self.may_miss_updates = event.overdue
+        self.may_miss_updates = event.may_miss_changes
         self.poll.on_update(event.kind)
         if event.kind in (ListKind.CACHED, ListKind.FULL):
             for endpoint in self.endpoints.values():
@@ -97,12 +97,12 @@
     def _apply(self, entry: Entry) -> None:
         endpoint = self.endpoints.get(entry.target)
         if endpoint is None:
-            if entry.phase is Phase.GONE:
+            if entry.phase is Phase.REMOVED:
                 return
             endpoint = self._add(entry)
         if entry != endpoint.entry:
             self._update(endpoint, entry)
-        endpoint.in_service, endpoint.removed = entry.phase is Phase.READY, entry.phase is Phase.GONE
+        endpoint.in_service, endpoint.removed = entry.phase is Phase.READY, entry.phase is Phase.REMOVED
         self.retired.pop(entry.target, None)
         if endpoint.removed:
             self.retired[entry.target] = endpoint
@@ -147,7 +147,7 @@
             endpoint.route.rate_limit, endpoint.route.send_rate = entry.weight * confidence, math.inf
         endpoint.entry = entry
         endpoint.max_concurrency = min(entry.max_concurrency, endpoint.max_concurrency)
-        endpoint.batch_limit = max(settings.per_call[kind : kind + 1], default=1)
+        endpoint.batch_limit = max(settings.batch_limits[kind : kind + 1], default=1)
         fees = settings.zone_fees[entry.zone : entry.zone + 1]
         endpoint.zone_fee = sum(fees) if self._is_separate(kind) else 0.0
 
--- a/emberlatch/core/messages.py
+++ b/emberlatch/core/messages.py
@@ -7,7 +7,7 @@
 from emberlatch.core.actions import Fail, Reject
 from emberlatch.core.attempts import AttemptPolicy
 from emberlatch.core.bulkhead import Bulkhead
-from emberlatch.core.events import Arrival, Recovered
+from emberlatch.core.events import Arrival, MessageRecovered
 from emberlatch.core.key_order import KeyOrder
 from emberlatch.core.pools import PoolTable
 from emberlatch.core.records import DEMAND_WINDOW_S, Message, Pool, UncertainAttempt
@@ -72,7 +72,7 @@
         else:
             self._accept(event, Terms(settings.categories[event.category], settings.max_attempts))
 
-    def on_recovered(self, event: Recovered) -> None:
+    def on_recovered(self, event: MessageRecovered) -> None:
         """Accept a message of an earlier incarnation, with its attempts that may have been executed."""
         settings, arrival = self._context.settings, event.arrival
         terms = Terms(settings.categories[arrival.category], settings.max_attempts)
@@ -82,7 +82,11 @@
             UncertainAttempt(self._context.now - unknown.age, unknown.target, unknown.zone)
             for unknown in event.unknown_outcomes
         ]
-        if message.unknown_outcomes and not event.relayed and not self._attempts.has_attempt_left(message):
+        if (
+            message.unknown_outcomes
+            and not event.relayed
+            and not self._attempts.allows_another_attempt(message)
+        ):
             self.finish(message)
 
     def _accept(self, event: Arrival, terms: Terms) -> Message:
--- a/emberlatch/core/rules.py
+++ b/emberlatch/core/rules.py
@@ -33,15 +33,15 @@
 from emberlatch.core.calls import CallTable
 from emberlatch.core.events import (
     Arrival,
-    ClientGone,
-    DirectoryMoved,
+    ClientDisconnected,
+    DirectoryAddressChanged,
     DirectoryUpdate,
     Event,
     HandoverReceived,
+    MessageRecovered,
     Outcome,
     PeerRetryAfter,
     ProbeResult,
-    Recovered,
     SettingsChanged,
     Stopping,
     Target,
@@ -96,13 +96,13 @@
         self.timer = Timer(context)
         self.event_handlers: dict[type, Callable[..., None]] = {
             Arrival: self.queue.on_arrival,
-            Recovered: self.queue.on_recovered,
-            ClientGone: self._on_client_gone,
+            MessageRecovered: self.queue.on_recovered,
+            ClientDisconnected: self._on_client_gone,
             Outcome: self.call_table.on_outcome,
             ProbeResult: self._on_probe_result,
             PeerRetryAfter: self._on_peer_retry_after,
             DirectoryUpdate: self.endpoint_list.on_update,
-            DirectoryMoved: self._on_directory_moved,
+            DirectoryAddressChanged: self._on_directory_moved,
             SettingsChanged: self._on_settings_changed,
             HandoverReceived: self._on_handover_received,
             Stopping: self._on_stopping,
@@ -212,7 +212,7 @@
         terms = Terms(next(ordered, categories[0]), 1)
         return Message(Arrival(ref, 0, destination, 0.0, key=key), terms, self.context.now)
 
-    def _on_client_gone(self, event: ClientGone) -> None:
+    def _on_client_gone(self, event: ClientDisconnected) -> None:
         self.queue.remove(event.ref)
 
     def _on_probe_result(self, event: ProbeResult) -> None:
@@ -227,7 +227,7 @@
             self.health.apply_retry_after(endpoint.route, event.retry_after)
             self.pool_table.mark_dirty(endpoint.entry.destination)
 
-    def _on_directory_moved(self, _: DirectoryMoved) -> None:
+    def _on_directory_moved(self, _: DirectoryAddressChanged) -> None:
         self.endpoint_list.poll.on_moved()
 
     def _on_settings_changed(self, event: SettingsChanged) -> None:
--- a/emberlatch/core/settings.py
+++ b/emberlatch/core/settings.py
@@ -131,7 +131,7 @@
     """The configuration of a forwarder.
 
     `slots` limits the calls in flight, `open_cap` the messages without a final answer. `separate_routes` and
-    `per_call` (maximum number of messages in one call) are indexed by endpoint kind, `zone_fees` by zone.
+    `batch_limits` (maximum number of messages in one call) are indexed by endpoint kind, `zone_fees` by zone.
     """
 
     categories: tuple[Category, ...]
@@ -147,7 +147,7 @@
     over_quota_value_factor: float = 1.0
     decay: ValueDecay = ValueDecay.LINE
     separate_routes: tuple[bool, ...] = ()
-    per_call: tuple[int, ...] = ()
+    batch_limits: tuple[int, ...] = ()
     zone_fees: tuple[float, ...] = ()
     handshake_fee: float = 0.0
     waste_fee: float = 0.0
@@ -180,7 +180,7 @@
         _require(self.max_attempts >= 1, "allowed.max-attempts", "1 or more")
         _require(self.forwarders >= 1, "balancers", "1 or more")
         _require(self.over_quota_value_factor >= 0, "over-share-worth", "0 or more")
-        _require(all(n >= 1 for n in self.per_call), "extra.per-call", "each 1 or more")
+        _require(all(n >= 1 for n in self.batch_limits), "extra.per-call", "each 1 or more")
         _require(self.max_retry_after >= 0, "allowed.max-retry-after", "0 or more")
         _require(0 <= self.quota_share <= 1, "part", "from 0 to 1")
 
--- a/emberlatch/engine/carrier_router.py
+++ b/emberlatch/engine/carrier_router.py
@@ -31,12 +31,12 @@
         shares: dict[Carrier, list[Entry]] = {carrier: [] for carrier in self._carriers.values()}
         for entry in entries:
             target, previous = entry.target, self._carrier_by_target.get(entry.target)
-            if entry.phase is Phase.GONE:
+            if entry.phase is Phase.REMOVED:
                 shares[previous or self._default].append(entry)
                 continue
             carrier = self._carriers[self._protocol(target)]
             if previous not in (None, carrier):
-                shares[previous].append(replace(entry, phase=Phase.GONE))
+                shares[previous].append(replace(entry, phase=Phase.REMOVED))
             self._carrier_by_target[target] = carrier
             shares[carrier].append(entry)
         for carrier, share in shares.items():
--- a/emberlatch/engine/deliveries.py
+++ b/emberlatch/engine/deliveries.py
@@ -79,7 +79,7 @@
                 self._start_call(target, self._latest_deadline_first(items[first : first + size]))
 
     def _max_items_per_call(self, target: api.Target) -> int:
-        limits, endpoint = self._settings.current.per_call, self._carrier.entry(target)
+        limits, endpoint = self._settings.current.batch_limits, self._carrier.entry(target)
         kind = endpoint.kind if endpoint is not None else len(limits)
         return max(limits[kind : kind + 1], default=1)
 
--- a/emberlatch/engine/engine.py
+++ b/emberlatch/engine/engine.py
@@ -181,7 +181,7 @@
             if (entry.ref, each.attempt) not in self.relayed
         )
         relayed = (entry.ref, entry.attempts - 1) in self.relayed
-        self._events.post(api.Recovered(arrival, entry.attempts - relayed, unknown, terms, relayed))
+        self._events.post(api.MessageRecovered(arrival, entry.attempts - relayed, unknown, terms, relayed))
 
     async def stop(self) -> None:
         """Shut down gracefully: accept connections briefly, wait for calls, keep open messages journaled."""
@@ -260,7 +260,7 @@
 
     def on_directory_moved(self) -> None:
         """Inform the decision module that the endpoint directory now has another address."""
-        self._events.post(api.DirectoryMoved())
+        self._events.post(api.DirectoryAddressChanged())
 
     # Hand-over of all messages to another process.
 
@@ -355,9 +355,9 @@
                 connected.ports.carrier.close_idle(target)
             case api.LogLine(text):
                 log.info("%s", text)
-            case api.Watch(active):
+            case api.SetDirectoryWatch(active):
                 connected.ports.membership.watch(active)
-            case api.Lookup():
+            case api.RequestDirectoryList():
                 connected.ports.membership.look_up()
             case _:
                 log.error("unsupported action: %r", action)
--- a/emberlatch/engine/submissions.py
+++ b/emberlatch/engine/submissions.py
@@ -144,4 +144,4 @@
             else:
                 self._counters.count("journal full", entry.category)
                 responder.unavailable(JOURNAL_FULL_RETRY_S)
-                self._post(api.ClientGone(ref))
+                self._post(api.ClientDisconnected(ref))
--- a/emberlatch/fleet/endpoint_reports.py
+++ b/emberlatch/fleet/endpoint_reports.py
@@ -14,7 +14,7 @@
 
 MAX_ENDPOINTS = 1000  # endpoints whose report is kept; the oldest report is dropped first
 ORDER_TOLERANCE_S = 0.5  # the order of reports closer than this is unknown: the more severe one counts
-SEVERITY = {Phase.READY: 0, Phase.DRAINING: 1, Phase.GONE: 2}
+SEVERITY = {Phase.READY: 0, Phase.DRAINING: 1, Phase.REMOVED: 2}
 
 
 class EndpointReports:
--- a/emberlatch/inventory/membership.py
+++ b/emberlatch/inventory/membership.py
@@ -165,7 +165,7 @@
         self._on_update(DirectoryUpdate(ListKind.DELTA, self._revision, entries), addresses)
 
     def _entry(self, endpoint: Endpoint, gone: bool = False, cold: bool = False) -> Entry:
-        phase = Phase.GONE if gone else Phase.DRAINING if endpoint.draining else Phase.READY
+        phase = Phase.REMOVED if gone else Phase.DRAINING if endpoint.draining else Phase.READY
         return Entry(
             target=endpoint.target,
             destination=endpoint.destination,
--- a/emberlatch/net/directory_list.py
+++ b/emberlatch/net/directory_list.py
@@ -16,7 +16,7 @@
 
 LIST_DECODE_ERRORS = (ValueError, KeyError, TypeError, AttributeError, OverflowError, RecursionError)
 """Exceptions that decoding an invalid list may raise."""
-PHASE_OF_STATE = {"SERVING": Phase.READY, "DRAINING": Phase.DRAINING, "DELETED": Phase.GONE}
+PHASE_OF_STATE = {"SERVING": Phase.READY, "DRAINING": Phase.DRAINING, "DELETED": Phase.REMOVED}
 STATE_OF_PHASE = {phase: state for state, phase in PHASE_OF_STATE.items()}
 
 
--- a/emberlatch/net/directory_membership.py
+++ b/emberlatch/net/directory_membership.py
@@ -161,7 +161,9 @@
 
     def _report_failure(self) -> None:
         overdue = self._client.overdue(asyncio.get_running_loop().time())
-        self._on_update(DirectoryUpdate(ListKind.FAILED, self._client.revision or 0, overdue=overdue), {})
+        self._on_update(
+            DirectoryUpdate(ListKind.FAILED, self._client.revision or 0, may_miss_changes=overdue), {}
+        )
 
     async def _exchange(self, ask: Ask) -> Response:
         """Send one request; keep its connection if it succeeds, otherwise close the connection."""
--- a/emberlatch/net/pooled_carrier.py
+++ b/emberlatch/net/pooled_carrier.py
@@ -70,7 +70,7 @@
             if target.address != address:
                 self.close_idle(entry.target)
             target.entry, target.address = entry, address
-            target.deregistered = entry.phase is Phase.GONE
+            target.deregistered = entry.phase is Phase.REMOVED
             self._deregistered.discard(entry.target)
             if target.deregistered:
                 self._deregistered.add(entry.target)
--- a/emberlatch/simlink/decoder.py
+++ b/emberlatch/simlink/decoder.py
@@ -176,8 +176,8 @@
     return api.TimerFired(_REF.unpack_from(data, start)[0])
 
 
-def _decode_client_gone(data: bytes, start: int) -> api.ClientGone:
-    return api.ClientGone(_REF.unpack_from(data, start)[0])
+def _decode_client_gone(data: bytes, start: int) -> api.ClientDisconnected:
+    return api.ClientDisconnected(_REF.unpack_from(data, start)[0])
 
 
 def _decode_response_started(data: bytes, start: int) -> api.ResponseStarted:
--- a/emberlatch/simlink/encoder.py
+++ b/emberlatch/simlink/encoder.py
@@ -101,8 +101,8 @@
             return _pack_log_line(*_append(text.encode("utf-8", "replace"), tail))
         case Fault(text):
             return _pack_fault(*_append(text.encode("utf-8", "replace"), tail))
-        case api.Watch(active):
+        case api.SetDirectoryWatch(active):
             return _pack_watch(active)
-        case api.Lookup():
+        case api.RequestDirectoryList():
             return _pack_lookup()
     raise TypeError(f"not an action: {action!r}")
--- a/emberlatch/simlink/settings.py
+++ b/emberlatch/simlink/settings.py
@@ -113,7 +113,7 @@
         ),
         decay=api.ValueDecay(extra.get("decay", "line")),
         separate_routes=tuple(bool(value) for value in _items(extra.get("separate-routes"))),
-        per_call=tuple(_integer(value) for value in _items(extra.get("per-call"))),
+        batch_limits=tuple(_integer(value) for value in _items(extra.get("per-call"))),
         zone_fees=tuple(_number(value) for value in _items(extra.get("carriage"))),
         report_fields=tuple(str(name) for name in _items(sections["report"].get("fields"))),
         weights=api.Weights(document.get("weights", "off")),
--- a/emberlatch/standalone/fleet_integration.py
+++ b/emberlatch/standalone/fleet_integration.py
@@ -109,7 +109,7 @@
             previous_phase = api.Phase.READY if known is None else known[0].phase
             if entry.phase is not previous_phase or (is_first and entry.phase is not api.Phase.READY):
                 changed_phases[entry.target.decode()] = entry.phase
-            if entry.phase is api.Phase.GONE:
+            if entry.phase is api.Phase.REMOVED:
                 self._own_endpoints.pop(entry.target, None)
             else:
                 self._own_endpoints[entry.target] = entry, addresses[entry.target]
--- a/tests/cluster/test_dispatch.py
+++ b/tests/cluster/test_dispatch.py
@@ -105,7 +105,7 @@
     assert destinations.expected_instance(entry.target) == ""
     assert not list(destinations.configure([service]))
     (update,) = destinations.configure([])
-    assert [removed.phase for removed in update.entries] == [api.Phase.GONE]
+    assert [removed.phase for removed in update.entries] == [api.Phase.REMOVED]
 
 
 @test("a new category of lease waits returns a settings event, a known category returns none")
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -28,7 +28,9 @@
         ("status-update", Effect.SAFE, 3.0, 0.0),
     ]
     assert (
-        derived.per_call == (10, 1) and derived.weights is Weights.NOMINAL and not derived.must_poll_directory
+        derived.batch_limits == (10, 1)
+        and derived.weights is Weights.NOMINAL
+        and not derived.must_poll_directory
     )
 
 
@@ -63,7 +65,7 @@
         0.5,
         Scope.CELL,
     )
-    assert (made.zone_fees, made.separate_routes, made.per_call) == ((0.0, 0.5), (False,), (4,))
+    assert (made.zone_fees, made.separate_routes, made.batch_limits) == ((0.0, 0.5), (False,), (4,))
     assert (made.tenants[0].allowance, made.rules.drain_grace) == (3.5, 0.25)
     assert config.limits.journal == 64 * 2**20
 
--- a/tests/core/harness.py
+++ b/tests/core/harness.py
@@ -38,7 +38,7 @@
         forwarders=2,
         decision_interval=0.005,
         separate_routes=(separate,),
-        per_call=(4 if separate else 1,),
+        batch_limits=(4 if separate else 1,),
         probes=probes,
         cancel=True,
         retry_after=True,
--- a/tests/core/test_endpoint_list.py
+++ b/tests/core/test_endpoint_list.py
@@ -49,10 +49,10 @@
     table, listed_endpoints = module.pool_table, module.endpoint_list
     listed_endpoints.endpoints = LookupOnlyDict(listed_endpoints.endpoints)
     table.by_destination = LookupOnlyDict(table.by_destination)
-    removed = replace(entries[0], phase=Phase.GONE)
+    removed = replace(entries[0], phase=Phase.REMOVED)
     module.handle(1.0, [listed(removed, Entry(b"new", 9000))])
     assert not (b"t0" in module.endpoints or module.endpoint_list.retired) and b"new" in module.endpoints
-    module.handle(2.0, [listed(replace(entries[1], phase=Phase.GONE))])
+    module.handle(2.0, [listed(replace(entries[1], phase=Phase.REMOVED))])
     assert 0 not in module.pools and len(module.pools) == 500
 
 
@@ -60,12 +60,14 @@
     module = forwarder()
     entry = Entry(b"t", 7)
     module.handle(0.0, [listed(entry, kind=ListKind.CACHED), api.Arrival(1, 0, 7, 24.0)])
-    module.handle(0.1, [api.Outcome(1, 0, b"t", Result.FULL, 0.1, retry_after=2.0), api.ClientGone(1)])
-    module.handle(0.2, [listed(replace(entry, phase=Phase.GONE))])
+    module.handle(
+        0.1, [api.Outcome(1, 0, b"t", Result.FULL, 0.1, retry_after=2.0), api.ClientDisconnected(1)]
+    )
+    module.handle(0.2, [listed(replace(entry, phase=Phase.REMOVED))])
     assert b"t" in module.endpoints
     module.handle(0.3, [listed(entry)])  # listed again: the retry-after still applies
     assert module.endpoints[b"t"].route.blocked_until >= 2.1 and not module.endpoint_list.retired
-    module.handle(0.4, [listed(replace(entry, phase=Phase.GONE))])
+    module.handle(0.4, [listed(replace(entry, phase=Phase.REMOVED))])
     module.handle(400.0, [listed()])
     assert not (
         module.endpoints or module.endpoint_list.retired or module.pools or module.pool_table._routeless
@@ -76,7 +78,7 @@
     module = forwarder()
     module.handle(0.0, [api.Arrival(1, 0, 7, 24.0)])
     assert 7 in module.pools
-    module.handle(0.1, [api.ClientGone(1)])
+    module.handle(0.1, [api.ClientDisconnected(1)])
     module.handle(400.0, [listed()])
     assert not (module.pools or module.pool_table._routeless)
 
--- a/tests/core/test_forwarder.py
+++ b/tests/core/test_forwarder.py
@@ -272,7 +272,7 @@
         50.0,
         [
             api.DirectoryUpdate(api.ListKind.CACHED, 1, entries),
-            api.Recovered(arrival, 1, (unknown,)),
+            api.MessageRecovered(arrival, 1, (unknown,)),
         ],
     )
 
@@ -307,7 +307,7 @@
         50.0,
         [
             api.DirectoryUpdate(api.ListKind.CACHED, 1, entries),
-            api.Recovered(api.Arrival(1, 2, 0, 3.0, inherited=True), 1, (unknown,)),
+            api.MessageRecovered(api.Arrival(1, 2, 0, 3.0, inherited=True), 1, (unknown,)),
         ],
     )
     assert not any(isinstance(a, api.Send | api.Reject) for a in actions)
@@ -315,8 +315,10 @@
 
 def test_a_message_recovered_without_remaining_attempts_or_time_is_ended_at_once() -> None:
     forwarder = Forwarder(make_settings(), 1)
-    used = api.Recovered(api.Arrival(1, 0, 0, 3.0, inherited=True), 6)
-    late = api.Recovered(api.Arrival(2, 2, 0, -1.0, inherited=True), 0, (api.UnknownOutcome(b"e", 0, 0.5),))
+    used = api.MessageRecovered(api.Arrival(1, 0, 0, 3.0, inherited=True), 6)
+    late = api.MessageRecovered(
+        api.Arrival(2, 2, 0, -1.0, inherited=True), 0, (api.UnknownOutcome(b"e", 0, 0.5),)
+    )
     actions = forwarder.handle(50.0, [used, late])
     assert {a.ref for a in actions if isinstance(a, api.Reject | api.Fail)} == {1, 2}
 
@@ -451,9 +453,9 @@
 def test_the_directory_is_polled_at_once_and_again_within_the_poll_interval() -> None:
     rules = api.Rules(directory_poll_interval=10.0)
     forwarder = Forwarder(api.Settings(CATEGORIES, 4, 10, rules, must_poll_directory=True), 1)
-    assert api.Watch(True) in forwarder.handle(0.0, [])
+    assert api.SetDirectoryWatch(True) in forwarder.handle(0.0, [])
     forwarder.handle(0.5, [api.DirectoryUpdate(api.ListKind.FULL, 1)])
-    asked = [t for t in range(1, 20) if api.Watch(True) in forwarder.handle(float(t), [])]
+    asked = [t for t in range(1, 20) if api.SetDirectoryWatch(True) in forwarder.handle(float(t), [])]
     assert asked and asked[0] <= 10
 
 
@@ -461,7 +463,7 @@
     forwarder, sends = one_call_with_two_messages()
     done: list[api.Event] = [api.Outcome(s.ref, 0, s.target, Result.OK, 0.1, True) for s in sends]
     forwarder.handle(0.2, done)
-    assert forwarder.handle(0.3, [*done, api.ClientGone(1), api.TimerFired(99)]) == []
+    assert forwarder.handle(0.3, [*done, api.ClientDisconnected(1), api.TimerFired(99)]) == []
 
 
 @pytest.mark.parametrize(
@@ -511,15 +513,15 @@
     assert "Send" in str(scope["actions"])
 
 
-def sent_when_busy(per_call: tuple[int, ...]) -> list[api.Send]:
+def sent_when_busy(batch_limits: tuple[int, ...]) -> list[api.Send]:
     """Return what is sent when the only slot becomes free.
 
     One message waits for destination 2, and ten later ones wait for destination 1.
     """
     note = api.Category("note", api.Effect.SAFE, latency_target=3.0, deadline=12.0)
-    separate = (True,) * len(per_call)
+    separate = (True,) * len(batch_limits)
     chosen = api.Settings(
-        categories=(note,), slots=1, open_cap=50, per_call=per_call, separate_routes=separate
+        categories=(note,), slots=1, open_cap=50, batch_limits=batch_limits, separate_routes=separate
     )
     forwarder = Forwarder(chosen, 1)
     entries = [api.Entry(bytes([n]), n, kind=n) for n in range(3)]
@@ -545,7 +547,7 @@
     rates = {}
     for batch_limit in (1, 10):
         chosen = api.Settings(
-            (note,), slots=8, open_cap=500, per_call=(batch_limit,), separate_routes=(True,)
+            (note,), slots=8, open_cap=500, batch_limits=(batch_limit,), separate_routes=(True,)
         )
         forwarder = Forwarder(chosen, 1)
         forwarder.handle(0.0, [api.DirectoryUpdate(api.ListKind.CACHED, 1, (api.Entry(b"a", 0),))])
@@ -560,7 +562,7 @@
     """A removed target kept its share of demand and its unhealthy state, which slowed its successors."""
     note = api.Category("note", api.Effect.SAFE, latency_target=3.0, deadline=12.0)
     chosen = api.Settings(
-        (note,), slots=8, open_cap=50, per_call=(1,), separate_routes=(True,), max_attempts=3
+        (note,), slots=8, open_cap=50, batch_limits=(1,), separate_routes=(True,), max_attempts=3
     )
     forwarder = Forwarder(chosen, 1)
 
--- a/tests/core/test_handover.py
+++ b/tests/core/test_handover.py
@@ -57,7 +57,9 @@
             if a.result in MAY_HAVE_RUN
         )
         relayed = bool(attempts) and attempts[-1].result is None
-        events.append(api.Recovered(arrival, len(attempts) - relayed, unknown_outcomes, relayed=relayed))
+        events.append(
+            api.MessageRecovered(arrival, len(attempts) - relayed, unknown_outcomes, relayed=relayed)
+        )
     harness.timers.clear()
     harness.step([*events, api.HandoverReceived(state)])
 
--- a/tests/engine/test_carrier_router.py
+++ b/tests/engine/test_carrier_router.py
@@ -21,7 +21,7 @@
         if is_complete:
             self.listed.clear()
         for entry in entries:
-            if entry.phase is Phase.GONE:
+            if entry.phase is Phase.REMOVED:
                 self.listed.pop(entry.target, None)
             else:
                 self.listed[entry.target] = entry
@@ -71,7 +71,7 @@
     router, _http, as2, protocols = make_router()
     update(router, Entry(b"b", 2))
     del protocols[b"b"]  # the inventory has no protocol for a removed endpoint
-    update(router, Entry(b"b", 2, Phase.GONE))
+    update(router, Entry(b"b", 2, Phase.REMOVED))
     assert not as2.listed and not router._carrier_by_target
 
 
--- a/tests/engine/test_event_queue.py
+++ b/tests/engine/test_event_queue.py
@@ -14,11 +14,13 @@
         self.batches: list[list[int]] = []
 
     def decide(self) -> None:
-        self.batches.append([event.ref for event in self.events.take() if isinstance(event, api.ClientGone)])
+        self.batches.append(
+            [event.ref for event in self.events.take() if isinstance(event, api.ClientDisconnected)]
+        )
 
     def post(self, *refs: int) -> None:
         for ref in refs:
-            self.events.post(api.ClientGone(ref))
+            self.events.post(api.ClientDisconnected(ref))
 
 
 def test_events_of_one_loop_iteration_are_handled_by_one_decision() -> None:
--- a/tests/faults/planted_bugs.py
+++ b/tests/faults/planted_bugs.py
@@ -171,7 +171,7 @@
 
 @planted
 def unsafe_is_repeated() -> Any:
-    may, has_attempt = AttemptPolicy.may_send, AttemptPolicy.has_attempt_left
+    may, has_attempt = AttemptPolicy.may_send, AttemptPolicy.allows_another_attempt
 
     def unsafe(message: Any) -> bool:
         return bool(
@@ -180,7 +180,7 @@
 
     return _both(
         patch.object(AttemptPolicy, "may_send", lambda s, m, e: unsafe(m) or may(s, m, e)),
-        patch.object(AttemptPolicy, "has_attempt_left", lambda s, m: unsafe(m) or has_attempt(s, m)),
+        patch.object(AttemptPolicy, "allows_another_attempt", lambda s, m: unsafe(m) or has_attempt(s, m)),
     )
 
 
--- a/tests/fleet/test_endpoint_reports.py
+++ b/tests/fleet/test_endpoint_reports.py
@@ -9,7 +9,7 @@
 
 
 def test_the_newest_report_counts_in_any_order_of_arrival() -> None:
-    phases = [(Phase.DRAINING, 10.0), (Phase.READY, 20.0), (Phase.GONE, 30.0), (Phase.READY, 40.0)]
+    phases = [(Phase.DRAINING, 10.0), (Phase.READY, 20.0), (Phase.REMOVED, 30.0), (Phase.READY, 40.0)]
     for order in itertools.permutations(phases):
         reports = EndpointReports()
         for phase, since in order:
@@ -18,11 +18,11 @@
 
 
 def test_the_most_severe_of_simultaneous_reports_counts() -> None:
-    for order in itertools.permutations([(Phase.DRAINING, 10.0), (Phase.READY, 10.3), (Phase.GONE, 9.8)]):
+    for order in itertools.permutations([(Phase.DRAINING, 10.0), (Phase.READY, 10.3), (Phase.REMOVED, 9.8)]):
         reports = EndpointReports()
         for phase, since in order:
             reports.record("t", phase, since)
-        assert reports.all(50.0)[0].phase == Phase.GONE
+        assert reports.all(50.0)[0].phase == Phase.REMOVED
 
 
 def test_a_known_phase_is_no_change_and_too_many_reports_drop_the_oldest() -> None:
@@ -30,6 +30,6 @@
     assert reports.record("t", Phase.DRAINING, 1.0) and not reports.record("t", Phase.DRAINING, 9.0)
     assert not reports.record("t", Phase.READY, 0.2)
     for number in range(MAX_ENDPOINTS):
-        reports.record(f"t{number}", Phase.GONE, 2.0 + number)
+        reports.record(f"t{number}", Phase.REMOVED, 2.0 + number)
     assert len(reports.all(9e3)) == MAX_ENDPOINTS
     assert "t0" not in {report.target for report in reports.all(9e3)}
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -55,7 +55,7 @@
     (FRAMES[6], "000000079207a461623132"),
     (FRAMES[7], "000000199408" + UPDATES_HEX + "c305"),
     (
-        EndpointUpdates((EndpointHold("p1-east", 0.4),), (EndpointReport("p2", Phase.GONE, 1.5),)),
+        EndpointUpdates((EndpointHold("p1-east", 0.4),), (EndpointReport("p2", Phase.REMOVED, 1.5),)),
         "0000002493099192a770312d65617374cb3fd999999999999a9193a2703202cb3ff8000000000000",
     ),
     (Ping(1), "0000000493020190"),
@@ -96,7 +96,7 @@
         encode(Gossip((MemberUpdate("a", MemberState.ALIVE, -5),))),
         encode(EndpointUpdates((EndpointHold("a", float("nan")),))),
         encode(EndpointUpdates((EndpointHold("a", -1.0),))),
-        encode(EndpointUpdates(reports=(EndpointReport("a", Phase.GONE, -1.0),))),
+        encode(EndpointUpdates(reports=(EndpointReport("a", Phase.REMOVED, -1.0),))),
         bytes.fromhex("000000119309909193a16107cb3ff0000000000000"),  # phase 7, which does not exist
         encode(
             MembershipTable(
--- a/tests/fleet/test_service.py
+++ b/tests/fleet/test_service.py
@@ -180,18 +180,18 @@
         async with local_fleet(tmp_path, "a", "b", "c") as fleet:
             (service_a, a), (service_b, b) = fleet.start("a"), fleet.start("b")
             await a.wait_until(lambda: a.has_joined("b"))
-            service_a.share_endpoint_phases({"p-1": Phase.DRAINING, "p-2": Phase.GONE})
+            service_a.share_endpoint_phases({"p-1": Phase.DRAINING, "p-2": Phase.REMOVED})
             await b.wait_until(lambda: len(b.reports) == 2)
             service_a.share_endpoint_phases({"p-1": Phase.DRAINING})  # no change
-            service_b.share_endpoint_phases({"p-1": Phase.GONE})  # more severe than draining
+            service_b.share_endpoint_phases({"p-1": Phase.REMOVED})  # more severe than draining
             await a.wait_until(lambda: bool(a.reports))
-            assert a.reports == [("p-1", Phase.GONE)] and b.reports == [
+            assert a.reports == [("p-1", Phase.REMOVED)] and b.reports == [
                 ("p-1", Phase.DRAINING),
-                ("p-2", Phase.GONE),
+                ("p-2", Phase.REMOVED),
             ]
             _, c = fleet.start("c")
             await c.wait_until(lambda: len(c.reports) == 2)
-            assert sorted(c.reports) == [("p-1", Phase.GONE), ("p-2", Phase.GONE)]
+            assert sorted(c.reports) == [("p-1", Phase.REMOVED), ("p-2", Phase.REMOVED)]
 
     run(test)
 
--- a/tests/simlink/test_adapter.py
+++ b/tests/simlink/test_adapter.py
@@ -71,7 +71,7 @@
     assert (arrival.destination, arrival.category, arrival.remaining) == (57, 0, 0.24)
     assert arrival.duration_hint == pytest.approx(0.012)
     assert timer == interface.TimerFired(0x4D)
-    assert gone == interface.ClientGone(int.from_bytes(bytes.fromhex("192b6f0e5ba80d00"), "little"))
+    assert gone == interface.ClientDisconnected(int.from_bytes(bytes.fromhex("192b6f0e5ba80d00"), "little"))
 
 
 def test_outcome_example() -> None:
@@ -148,8 +148,8 @@
         interface.SetTimer(seconds, ref),
         interface.Probe(target),
         interface.CloseIdle(target),
-        interface.Watch(True),
-        interface.Lookup(),
+        interface.SetDirectoryWatch(True),
+        interface.RequestDirectoryList(),
     ]
     reply = encode_reply([(1, actions)])
     count, size = struct.unpack_from("<II", reply)
--- a/tests/standalone/test_fleet_integration.py
+++ b/tests/standalone/test_fleet_integration.py
@@ -46,7 +46,7 @@
         for reported, name, expected in (
             (Phase.DRAINING, "m1", Phase.DRAINING),
             (Phase.READY, "m1", Phase.READY),
-            (Phase.GONE, "m1", Phase.DRAINING),
+            (Phase.REMOVED, "m1", Phase.DRAINING),
             (Phase.READY, "m2", Phase.DRAINING),
         ):
             gateway.fleet.on_endpoint_report(names[name], int(reported))
