--- a/emberlatch/cluster/cli/backup.py
+++ b/emberlatch/cluster/cli/backup.py
@@ -17,10 +17,10 @@
 
 from emberlatch.cluster.cli.exit_code import ExitCode
 from emberlatch.cluster.cli.stored_records import RECORDS_FILE, DamagedRecord, read_records
-from emberlatch.cluster.consensus import AcceptorRecord, Configure, ControlState, FoundGroup, Voter
+from emberlatch.cluster.consensus import AcceptorRecord, Configure, ControlState, CreateVoterGroup, Voter
 from emberlatch.cluster.consensus.commands import apply_batch
 from emberlatch.cluster.consensus.storage import RecordStorage, read_state
-from emberlatch.cluster.control_plane import FOLDER as CONTROL_FOLDER
+from emberlatch.cluster.control_plane import CONTROL_FOLDER
 from emberlatch.cluster.disk import Disk
 from emberlatch.cluster.membership import rank
 from emberlatch.cluster.message_store import MessageState, Record, RecordDatabase
@@ -231,5 +231,5 @@
 
     count = min(2 * copies - 1, len(nodes))
     voters = tuple(voter(name) for name in sorted(nodes)[:count])
-    state = apply_batch(ControlState(), (FoundGroup(voters), command))
+    state = apply_batch(ControlState(), (CreateVoterGroup(voters), command))
     RecordStorage(folder, node).initialize(AcceptorRecord(voter(node), None, state))
--- a/emberlatch/cluster/cli/disk.py
+++ b/emberlatch/cluster/cli/disk.py
@@ -16,7 +16,7 @@
 )
 from emberlatch.cluster.consensus import ControlState
 from emberlatch.cluster.consensus.storage import read_state
-from emberlatch.cluster.control_plane import FOLDER as CONTROL_FOLDER
+from emberlatch.cluster.control_plane import CONTROL_FOLDER
 from emberlatch.cluster.message_store import STATE_LABELS, MessageState, Record
 from emberlatch.cluster.settings import ConfigurationError, read_configuration
 
--- a/emberlatch/cluster/consensus/__init__.py
+++ b/emberlatch/cluster/consensus/__init__.py
@@ -10,7 +10,7 @@
 from emberlatch.cluster.consensus.commands import (
     Command,
     Configure,
-    FoundGroup,
+    CreateVoterGroup,
     MarkDecommission,
     ReadmitMember,
     RemoveMember,
@@ -35,8 +35,8 @@
     "Configure",
     "ConsensusError",
     "ControlState",
+    "CreateVoterGroup",
     "DecommissionMark",
-    "FoundGroup",
     "MarkDecommission",
     "Proposal",
     "Proposer",
--- a/emberlatch/cluster/consensus/commands.py
+++ b/emberlatch/cluster/consensus/commands.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FoundGroup:
+class CreateVoterGroup:
     """Create the cluster with its first group of voters. `cluster` is a random name, drawn by the proposer.
 
     The code calls this the founding of the cluster.
@@ -114,7 +114,7 @@
         The binding is permanent. A revision below the one in force is only recorded in the history.
         """
         digest = text_digest(self.text)
-        if state.status(self.revision, digest) is not RevisionStatus.ABSENT:
+        if state.revision_status(self.revision, digest) is not RevisionStatus.ABSENT:
             return state
         history = (*state.history, (self.revision, digest))
         if len(history) > MAX_HISTORY:  # drop the oldest entry other than the one in force
@@ -230,12 +230,12 @@
         raise MessageDecodeError(cls.KIND, f"{payload!r:.60}")
 
 
-Command = FoundGroup | SetVoters | Configure | MarkDecommission | RemoveMember | ReadmitMember
+Command = CreateVoterGroup | SetVoters | Configure | MarkDecommission | RemoveMember | ReadmitMember
 Batch = tuple[Command, ...]
 
 _DECODERS: Mapping[str, Callable[[object], Command]] = {
     command.KIND: command.from_wire
-    for command in (FoundGroup, SetVoters, Configure, MarkDecommission, RemoveMember, ReadmitMember)
+    for command in (CreateVoterGroup, SetVoters, Configure, MarkDecommission, RemoveMember, ReadmitMember)
 }
 
 
@@ -244,7 +244,7 @@
 
     The seeds decide no other batch: it would take the place of the founding, which could then never happen.
     """
-    return len(batch) == 1 and isinstance(batch[0], FoundGroup)
+    return len(batch) == 1 and isinstance(batch[0], CreateVoterGroup)
 
 
 def apply_batch(state: ControlState, batch: Iterable[Command]) -> ControlState:
--- a/emberlatch/cluster/consensus/coordinator.py
+++ b/emberlatch/cluster/consensus/coordinator.py
@@ -10,7 +10,7 @@
 import random
 from dataclasses import dataclass
 
-from emberlatch.cluster.consensus.commands import Batch, Command, FoundGroup, SetVoters
+from emberlatch.cluster.consensus.commands import Batch, Command, CreateVoterGroup, SetVoters
 from emberlatch.cluster.consensus.errors import UndecidedError, UnreachableError
 from emberlatch.cluster.consensus.proposer import Proposer, Stage
 from emberlatch.cluster.consensus.replies import Declined, Learned, Reply
@@ -129,7 +129,7 @@
         """
         commands = [pending.command for pending in self._pending]
         if self._register.state.version == 0:
-            founding = next((command for command in commands if isinstance(command, FoundGroup)), None)
+            founding = next((command for command in commands if isinstance(command, CreateVoterGroup)), None)
             return () if founding is None else (founding,)
         if isinstance(commands[0], SetVoters):
             return (commands[0],)
--- a/emberlatch/cluster/consensus/maintenance.py
+++ b/emberlatch/cluster/consensus/maintenance.py
@@ -11,7 +11,7 @@
 
 from emberlatch.cluster.consensus.commands import (
     Command,
-    FoundGroup,
+    CreateVoterGroup,
     ReadmitMember,
     RemoveMember,
     SetVoters,
@@ -76,7 +76,7 @@
 
 def founding_command(
     members: Iterable[MemberReport], tolerance: FaultTolerance, cluster: str = ""
-) -> FoundGroup | None:
+) -> CreateVoterGroup | None:
     """Return the command that founds the cluster with machines that may vote; None if there are none."""
     chosen: list[MemberReport] = []
     candidates = [m for m in members if m.counted and m.reachable and not m.cluster]
@@ -85,7 +85,7 @@
         assert best is not None
         chosen.append(best)
         candidates.remove(best)
-    return FoundGroup(tuple(sorted(m.voter for m in chosen)), cluster) if chosen else None
+    return CreateVoterGroup(tuple(sorted(m.voter for m in chosen)), cluster) if chosen else None
 
 
 def next_change(state: ControlState, members: Members, tolerance: FaultTolerance) -> Command | None:
--- a/emberlatch/cluster/consensus/maintenance_loop.py
+++ b/emberlatch/cluster/consensus/maintenance_loop.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from emberlatch.cluster.consensus.commands import Command, FoundGroup
+from emberlatch.cluster.consensus.commands import Command, CreateVoterGroup
 from emberlatch.cluster.consensus.errors import UndecidedError, UnreachableError
 from emberlatch.cluster.consensus.maintenance import (
     FaultTolerance,
@@ -108,7 +108,7 @@
             return next_change(state, self._view.reports(), self._tolerance)
         return self._due_founding(state)
 
-    def _due_founding(self, state: ControlState) -> FoundGroup | None:
+    def _due_founding(self, state: ControlState) -> CreateVoterGroup | None:
         """Return the founding of a full group at once, or of a smaller one after a wait for missing members.
 
         A smaller group tolerates fewer faults; one that tolerates no loss of a machine is never founded.
--- a/emberlatch/cluster/consensus/ports.py
+++ b/emberlatch/cluster/consensus/ports.py
@@ -19,7 +19,7 @@
     def node_of(self, voter: Voter) -> str | None:
         """Return the node of a voter as last reported; None if it is not known."""
 
-    def lost_voters(self, voters: Iterable[Voter]) -> frozenset[Voter]:
+    def voters_with_replaced_disk(self, voters: Iterable[Voter]) -> frozenset[Voter]:
         """Return those of these voters whose own machine has since reported another disk identity."""
 
     async def call(self, node: str, request: list[object], timeout: float) -> object:
--- a/emberlatch/cluster/consensus/reader.py
+++ b/emberlatch/cluster/consensus/reader.py
@@ -18,14 +18,14 @@
 
 
 class StateReader:
-    """Performs the reads of one process; concurrent calls of `confirm` share a read."""
+    """Performs the reads of one process; concurrent calls of `read` share a read."""
 
     def __init__(self, client: VoterClient, coordinator: ProposalCoordinator) -> None:
         self._client, self._coordinator = client, coordinator
         self._current: asyncio.Task[ControlState] | None = None
         self._next: asyncio.Task[ControlState] | None = None
 
-    async def confirm(self, timeout: float) -> ControlState:
+    async def read(self, timeout: float) -> ControlState:
         """Return a state that is at least as new as any that was chosen before this call.
 
         `timeout` is in seconds. Raises UndecidedError if too few voters reply within it.
@@ -36,8 +36,8 @@
         except TimeoutError:
             raise UndecidedError("too few voters answer") from None
 
-    async def confirm_durable(self, timeout: float) -> ControlState:
-        """Like `confirm`; the returned state is also durable on as many disks as a decision needs."""
+    async def read_durable(self, timeout: float) -> ControlState:
+        """Like `read`; the returned state is also durable on as many disks as a decision needs."""
         try:
             async with asyncio.timeout(timeout):
                 return await self._read(require_durable=True)
--- a/emberlatch/cluster/consensus/service.py
+++ b/emberlatch/cluster/consensus/service.py
@@ -59,16 +59,16 @@
         """
         return await self._coordinator.submit(command, timeout)
 
-    async def confirm(self, timeout: float) -> ControlState:
+    async def read(self, timeout: float) -> ControlState:
         """Return a state that is at least as new as any that was chosen before this call.
 
         `timeout` is in seconds. Raises UndecidedError if too few voters reply within it.
         """
-        return await self._reader.confirm(timeout)
+        return await self._reader.read(timeout)
 
-    async def confirm_durable(self, timeout: float) -> ControlState:
-        """Like `confirm`; the returned state is also durable on as many disks as a decision needs."""
-        return await self._reader.confirm_durable(timeout)
+    async def read_durable(self, timeout: float) -> ControlState:
+        """Like `read`; the returned state is also durable on as many disks as a decision needs."""
+        return await self._reader.read_durable(timeout)
 
     def close(self) -> None:
         """Cancel all requests and proposals."""
--- a/emberlatch/cluster/consensus/state.py
+++ b/emberlatch/cluster/consensus/state.py
@@ -115,7 +115,7 @@
         return hashlib.sha256(text.encode()).hexdigest()[:16]
 
     @cached_property
-    def decommissioning(self) -> frozenset[str]:
+    def decommission_ordered(self) -> frozenset[str]:
         """Nodes whose decommission was ordered, the completed ones included."""
         return frozenset(node for node, _ in self.decommissions)
 
@@ -140,7 +140,7 @@
         later = self.version > other.version
         return later and not other.awaiting_founding and other.cluster in ("", self.cluster)
 
-    def status(self, revision: int, digest: str) -> RevisionStatus:
+    def revision_status(self, revision: int, digest: str) -> RevisionStatus:
         """Return the status of the text with this digest under this revision."""
         chosen = self.by_revision.get(revision)
         if chosen is not None:
--- a/emberlatch/cluster/consensus/state_client.py
+++ b/emberlatch/cluster/consensus/state_client.py
@@ -54,12 +54,12 @@
             state = await self._service.submit(Configure(revision, text), self._timeout)
         except UndecidedError:
             return CommitOutcome.UNDECIDED
-        return _OUTCOMES[state.status(revision, text_digest(text))]
+        return _OUTCOMES[state.revision_status(revision, text_digest(text))]
 
     async def read(self) -> ControlState | None:
         """The current state; None if no majority confirms one in time."""
         try:
-            return await self._service.confirm(self._timeout)
+            return await self._service.read(self._timeout)
         except UndecidedError:
             return None
 
@@ -80,7 +80,7 @@
         Also False if no majority confirms that in time.
         """
         try:
-            state = await self._service.confirm_durable(self._timeout)
+            state = await self._service.read_durable(self._timeout)
         except UndecidedError:
             return False
         return state.decommission_mark(node) is DecommissionMark.EMPTY and state.voter(node) is None
--- a/emberlatch/cluster/consensus/voter_client.py
+++ b/emberlatch/cluster/consensus/voter_client.py
@@ -44,7 +44,7 @@
     def quorum(self, state: ControlState) -> Quorum:
         """Return the quorum for the version after `state`; for the founding a majority is enough."""
         min_disks = self._min_disks if state.version > 0 else 1
-        return Quorum(state.voters, self.transport.lost_voters(state.voters), min_disks)
+        return Quorum(state.voters, self.transport.voters_with_replaced_disk(state.voters), min_disks)
 
     # Calls.
 
--- a/emberlatch/cluster/control_plane.py
+++ b/emberlatch/cluster/control_plane.py
@@ -29,7 +29,7 @@
 from emberlatch.cluster.settings import NodeSettings
 from emberlatch.engine import Tasks
 
-FOLDER = "control"  # subfolder of the data folder
+CONTROL_FOLDER = "control"  # subfolder of the data folder
 CONFIRM_TIMEOUT_S = 1.0  # seconds for one attempt to confirm the state that was on disk
 CONFIRM_RETRY_INTERVAL_S = 0.1  # seconds between two attempts to confirm that state
 DISK_RETRY_INTERVAL_S = 0.5  # seconds between two attempts to open or write a disk that failed
@@ -121,7 +121,7 @@
     def _load(self) -> tuple[AcceptorRecord, RecordStorage]:
         """Return the record on disk, created if there is none; OSError if the disk fails."""
         assert self._settings.data_dir is not None
-        folder = self._settings.data_dir / FOLDER
+        folder = self._settings.data_dir / CONTROL_FOLDER
         storage = RecordStorage(folder, self._settings.node, self._ports.disk.write)
         return storage.load() or self._create(storage), storage
 
@@ -179,7 +179,7 @@
         """
         while not self._confirmed:
             try:
-                state = await self.service.confirm(CONFIRM_TIMEOUT_S)
+                state = await self.service.read(CONFIRM_TIMEOUT_S)
             except UndecidedError:
                 await asyncio.sleep(CONFIRM_RETRY_INTERVAL_S)
                 continue
--- a/emberlatch/cluster/decommission/decommissions.py
+++ b/emberlatch/cluster/decommission/decommissions.py
@@ -79,7 +79,7 @@
         if not self._stores.has_confirmed_majority():
             return NO_MAJORITY
         try:
-            state = await self._service.confirm(DECISION_TIMEOUT_S)
+            state = await self._service.read(DECISION_TIMEOUT_S)
             rejection = self._rejection(state, node)
             if rejection is not None:
                 return rejection
@@ -115,7 +115,7 @@
         if not self._stores.has_confirmed_majority():
             return NO_MAJORITY
         try:
-            state = await self._service.confirm(DECISION_TIMEOUT_S)
+            state = await self._service.read(DECISION_TIMEOUT_S)
         except UndecidedError as error:
             return ControlResponse.failed(503, str(error))
         if state.decommission_mark(node) is None:
--- a/emberlatch/cluster/membership/control_links.py
+++ b/emberlatch/cluster/membership/control_links.py
@@ -25,7 +25,7 @@
         """The machine of a voter. Before the cluster is founded, a voter is known only by its address."""
         return voter.node if voter.identity else self._view.node_at(voter.node)
 
-    def lost_voters(self, voters: Iterable[Voter]) -> frozenset[Voter]:
+    def voters_with_replaced_disk(self, voters: Iterable[Voter]) -> frozenset[Voter]:
         """The voters whose machine has itself reported that it now has a disk with another identity."""
         return frozenset(voter for voter in voters if voter.identity and self._has_another_disk(voter))
 
--- a/emberlatch/cluster/membership/store_selection.py
+++ b/emberlatch/cluster/membership/store_selection.py
@@ -34,7 +34,7 @@
     def satisfies_quorum(self, nodes: Iterable[str]) -> bool:
         """Whether a message on the disks of these machines survives the losses that the setting `resilience`
         tolerates: machines, zones, regions. Stores that are being decommissioned do not count."""
-        known, decommissioning = self._roster.members, self._agreed.control_state.decommissioning
+        known, decommissioning = self._roster.members, self._agreed.control_state.decommission_ordered
         counted = (n for n in set(nodes) if n not in decommissioning)
         members = [m for n in counted if (m := known.get(n)) is not None and m.store]
         tolerated = self._settings.resilience
--- a/emberlatch/cluster/membership/view.py
+++ b/emberlatch/cluster/membership/view.py
@@ -211,7 +211,7 @@
 
     def leaving_stores(self) -> set[str]:
         """The machines that are being decommissioned or already are."""
-        return set(self._agreed.control_state.decommissioning)
+        return set(self._agreed.control_state.decommission_ordered)
 
     def disk_writes(self, node: str) -> bool:
         """Whether a machine's disk accepts writes; True if the machine has not reported."""
--- a/emberlatch/simulation/control_peers.py
+++ b/emberlatch/simulation/control_peers.py
@@ -110,7 +110,7 @@
         """The machine of a voter; a seed's address is known once its machine has sent a heartbeat."""
         return voter.node if voter.identity else self._table.node_at(voter.node)
 
-    def lost_voters(self, voters: Iterable[Voter]) -> frozenset[Voter]:
+    def voters_with_replaced_disk(self, voters: Iterable[Voter]) -> frozenset[Voter]:
         """The voters whose machine reports another identity, because its disk was lost."""
         return frozenset(voter for voter in voters if voter.identity and self._has_other_disk(voter))
 
--- a/tests/cluster/consensus_scenarios.py
+++ b/tests/cluster/consensus_scenarios.py
@@ -9,7 +9,7 @@
 import sys
 from dataclasses import replace
 
-from emberlatch.cluster.consensus.commands import Configure, FoundGroup, SetVoters, apply_batch
+from emberlatch.cluster.consensus.commands import Configure, CreateVoterGroup, SetVoters, apply_batch
 from emberlatch.cluster.consensus.state import ControlState, DecommissionMark, Voter
 from tests.cluster.consensus_model import Explorer
 from tests.cluster.consensus_states import ABSENT, BatchChoice, Scenario
@@ -20,7 +20,7 @@
 FOUNDING_VOTERS = (Voter("host-a", ""), Voter("host-b", ""), Voter("host-c", ""))
 
 UNFOUNDED = ControlState(voters=FOUNDING_VOTERS)
-FOUNDED = apply_batch(UNFOUNDED, (FoundGroup((A, B, C)),))
+FOUNDED = apply_batch(UNFOUNDED, (CreateVoterGroup((A, B, C)),))
 PAIRED = apply_batch(FOUNDED, (SetVoters(FOUNDED.epoch, (A, B)),))
 DECOMMISSIONING = replace(FOUNDED, decommissions=(("c", DecommissionMark.MARKED),))
 
@@ -71,7 +71,7 @@
 
 FOUR = Scenario(
     disks=(A, B, C, SPARE),
-    initial=apply_batch(UNFOUNDED, (FoundGroup((A, B, C, SPARE)),)),
+    initial=apply_batch(UNFOUNDED, (CreateVoterGroup((A, B, C, SPARE)),)),
     batch_choices=((TEXT_A,), (TEXT_B,)),
     max_version=2,
     may_lose=(2, 3),
@@ -108,7 +108,10 @@
 FOUNDING = Scenario(
     disks=(A, B, C, NEW_C),
     initial=UNFOUNDED,
-    batch_choices=((BatchChoice((FoundGroup((A, B, C)),)),), (BatchChoice((FoundGroup((A, B)),)),)),
+    batch_choices=(
+        (BatchChoice((CreateVoterGroup((A, B, C)),)),),
+        (BatchChoice((CreateVoterGroup((A, B)),)),),
+    ),
     max_version=1,
     founding_voters=(*FOUNDING_VOTERS, None),
     other_initial=(ControlState(voters=FOUNDING_VOTERS[2:]),),
--- a/tests/cluster/consensus_subject.py
+++ b/tests/cluster/consensus_subject.py
@@ -7,7 +7,7 @@
 from itertools import combinations
 
 from emberlatch.cluster.consensus.acceptor import Acceptor, AcceptorRecord
-from emberlatch.cluster.consensus.commands import Batch, FoundGroup, apply_batch
+from emberlatch.cluster.consensus.commands import Batch, CreateVoterGroup, apply_batch
 from emberlatch.cluster.consensus.maintenance import FaultTolerance, MemberReport, next_change
 from emberlatch.cluster.consensus.proposer import Proposer, Quorum, ReadOutcome, ReadRound, Stage
 from emberlatch.cluster.consensus.replies import Accepted, Chosen, Promise, Reply
@@ -27,7 +27,7 @@
 )
 
 RECOVERY_BALLOT = Ballot(99, "recovery")
-RECOVERY_FOUNDING = (FoundGroup((Voter("recovery", "recovery"),)),)  # seeds decide only a founding
+RECOVERY_FOUNDING = (CreateVoterGroup((Voter("recovery", "recovery"),)),)  # seeds decide only a founding
 RECOVERY_ATTEMPTS = 5
 STAGES = (Stage.PREPARING, Stage.ACCEPTING)
 
--- a/tests/cluster/test_control_faults.py
+++ b/tests/cluster/test_control_faults.py
@@ -12,7 +12,7 @@
 
 from emberlatch.cluster.consensus import AcceptorRecord, ControlState, Voter
 from emberlatch.cluster.consensus.storage import RecordStorage
-from emberlatch.cluster.control_plane import FOLDER
+from emberlatch.cluster.control_plane import CONTROL_FOLDER
 from emberlatch.net.http_connection import NoResponseError
 from emberlatch.simulation.http_client import send_request
 from emberlatch.simulation.node import CONTROL_PORT
@@ -234,7 +234,7 @@
             text=cluster.configuration_body(99, 700),
             cluster="other",
         )
-        storage = RecordStorage(cluster.nodes["s2"].folder / FOLDER, "s2")
+        storage = RecordStorage(cluster.nodes["s2"].folder / CONTROL_FOLDER, "s2")
         storage.initialize(AcceptorRecord(foreign_voter, None, state))
         await scenario.start()
         await asyncio.sleep(5.0)  # s0 and s1 found the cluster after the wait for a third voter
--- a/tests/cluster/test_stored_formats.py
+++ b/tests/cluster/test_stored_formats.py
@@ -17,7 +17,7 @@
 from emberlatch.cluster.consensus.acceptor import AcceptorRecord
 from emberlatch.cluster.consensus.commands import (
     Configure,
-    FoundGroup,
+    CreateVoterGroup,
     MarkDecommission,
     ReadmitMember,
     RemoveMember,
@@ -193,7 +193,7 @@
     with temporary_folder("control-unfounded") as folder:
         unfounded = RecordStorage(folder, "s0").load()
     assert unfounded is not None and unfounded.accepted is not None and unfounded.state.awaiting_founding
-    assert unfounded.accepted.batch == (FoundGroup(voters, "d00dfeed"),)
+    assert unfounded.accepted.batch == (CreateVoterGroup(voters, "d00dfeed"),)
 
 
 @test("the control state of a simulated store is read, and written with the same bytes: {name}")
--- a/tests/simulation/test_control_plane.py
+++ b/tests/simulation/test_control_plane.py
@@ -164,10 +164,10 @@
 
 
 def test_a_read_of_the_local_state_without_confirmation_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def confirm(control_service: service.ControlService, timeout: float) -> ControlState:
+    async def read(control_service: service.ControlService, timeout: float) -> ControlState:
         return control_service.state
 
-    failures = failures_with(lambda: monkeypatch.setattr(service.ControlService, "confirm", confirm))
+    failures = failures_with(lambda: monkeypatch.setattr(service.ControlService, "read", read))
     assert "a read is older" in failures
 
 
--- a/tests/simulation/test_register_disk.py
+++ b/tests/simulation/test_register_disk.py
@@ -53,7 +53,7 @@
     def node_of(self, voter: Voter) -> str | None:
         return None
 
-    def lost_voters(self, voters: Iterable[Voter]) -> frozenset[Voter]:
+    def voters_with_replaced_disk(self, voters: Iterable[Voter]) -> frozenset[Voter]:
         return frozenset()
 
     async def call(self, node: str, request: list[Any], timeout: float) -> Any:
