--- a/emberlatch/cluster/control_api/local.py
+++ b/emberlatch/cluster/control_api/local.py
@@ -89,7 +89,7 @@
         except (InvalidHeartbeatError, ValueError, RecursionError) as error:
             log_event(Event.INVALID_HEARTBEAT, str(error)[:MAX_ERROR_TEXT])
             return ControlResponse.failed(400, str(error)[:MAX_ERROR_TEXT])
-        await self._notify_stores(heartbeat.target, heartbeat.is_change)
+        await self._notify_stores(heartbeat.target, heartbeat.state_changed)
         return ControlResponse(200, b"{}")
 
     async def _deregister(self, target_id: str) -> ControlResponse:
@@ -103,7 +103,7 @@
     async def _notify_stores(self, target: Target, changed: bool) -> None:
         """Report a target to the other stores; if it has changed, wait a short time for their responses."""
         now, stores = asyncio.get_running_loop().time(), self._contact.reachable_stores()
-        known = self._targets.known.get(target.id, target)
+        known = self._targets.targets_by_id.get(target.id, target)
         payload = known.report(now).to_wire()
         if changed:
             calls = (peer.call(RpcMethod.TARGET, payload, TARGET_NOTIFY_TIMEOUT_S) for peer in stores)
--- a/emberlatch/cluster/decommission/evacuation.py
+++ b/emberlatch/cluster/decommission/evacuation.py
@@ -33,7 +33,7 @@
         """
         replicator = self._replicator
         try:
-            if records := replicator.local_store.delivery.idle():
+            if records := replicator.local_store.delivery.remove_idle():
                 await replicator.ownership.hand_over(records)
             counted = self._writable()
             under_replicated = replicator.repair.under_replicated(counted)
--- a/emberlatch/cluster/discovery/target_directory.py
+++ b/emberlatch/cluster/discovery/target_directory.py
@@ -28,7 +28,7 @@
     """The target that sent a heartbeat, and whether it registered the target or changed its state."""
 
     target: Target
-    is_change: bool
+    state_changed: bool
 
 
 class TargetDirectory:
@@ -38,13 +38,13 @@
         heartbeat_interval_s: seconds between two heartbeats of a target.
 
     Attributes:
-        known: targets by id, including those deregistered within `TOMBSTONE_RETENTION_S`.
+        targets_by_id: targets by id, including those deregistered within `TOMBSTONE_RETENTION_S`.
     """
 
     def __init__(self, heartbeat_interval_s: float) -> None:
         self._lease_s = heartbeat_interval_s * LEASE_HEARTBEATS
         self._subscribers: list[Callable[[Target], None]] = []
-        self.known: dict[str, Target] = {}
+        self.targets_by_id: dict[str, Target] = {}
         self._by_address: dict[tuple[str, int], Target] = {}
 
     def subscribe(self, subscriber: Callable[[Target], None]) -> None:
@@ -73,11 +73,11 @@
 
     def reports(self, now: float) -> TargetReports:
         """Return reports about all known targets, for another store."""
-        return TargetReports(tuple(target.report(now) for target in self.known.values()))
+        return TargetReports(tuple(target.report(now) for target in self.targets_by_id.values()))
 
     def deregister(self, target_id: str, now: float) -> Target | None:
         """Mark a target as deregistered; return the target, or None if it is not known."""
-        target = self.known.get(target_id)
+        target = self.targets_by_id.get(target_id)
         if target is not None:
             self._set_state(target, TargetState.DEREGISTERED)
             target.last_contact_at = now
@@ -89,20 +89,20 @@
 
     def expire(self, now: float) -> None:
         """Expire the leases of targets without heartbeats, and remove targets with an old last contact."""
-        for target in list(self.known.values()):
+        for target in list(self.targets_by_id.values()):
             lease_over = now - target.last_contact_at > self._lease_s
             if target.state is not TargetState.DEREGISTERED and lease_over and not target.lease_expired:
                 self._set_lease_expired(target, True)
             elif now - target.last_contact_at > TOMBSTONE_RETENTION_S:
-                del self.known[target.id]
+                del self.targets_by_id[target.id]
                 if self._by_address.get(target.address) is target:
                     del self._by_address[target.address]
 
     def _merge(self, reported: Target, now: float) -> bool:
         """Merge a report into the directory; return whether it registered the target or changed its state."""
-        known = self.known.get(reported.id)
+        known = self.targets_by_id.get(reported.id)
         if known is None:
-            if len(self.known) >= MAX_TARGETS or now - reported.last_contact_at > self._lease_s:
+            if len(self.targets_by_id) >= MAX_TARGETS or now - reported.last_contact_at > self._lease_s:
                 return False
             self._register(reported)
             return True
@@ -118,7 +118,7 @@
         return True
 
     def _register(self, target: Target) -> None:
-        self.known[target.id] = target
+        self.targets_by_id[target.id] = target
         if target.state is TargetState.DEREGISTERED:
             return
         previous = self._by_address.get(target.address)
--- a/emberlatch/cluster/dispatch/dispatcher.py
+++ b/emberlatch/cluster/dispatch/dispatcher.py
@@ -16,7 +16,7 @@
 from emberlatch.cluster.dispatch.delivery import Delivery, DeliveryStage, DeliveryTable
 from emberlatch.cluster.dispatch.destinations import Destinations, EndpointUpdate
 from emberlatch.cluster.dispatch.module_settings import LeaseWaitCategories
-from emberlatch.cluster.dispatch.offering import Offering
+from emberlatch.cluster.dispatch.offering import ReadyOffers
 from emberlatch.cluster.dispatch.outcomes import OutcomeHandler
 from emberlatch.cluster.dispatch.ports import DeliveryOwner, DispatchSettings
 from emberlatch.cluster.dispatch.quota import ServiceQuotas
@@ -52,7 +52,7 @@
         self._quotas = ServiceQuotas(settings, owner)
         self._outcomes = OutcomeHandler(self._deliveries, self._delayed, self._inbox, owner)
         categories = LeaseWaitCategories()
-        self._offering = Offering(
+        self._offering = ReadyOffers(
             self._deliveries,
             self._delayed,
             self._destinations,
@@ -107,7 +107,7 @@
         self._outcomes.forget(delivery)
         return True
 
-    def idle(self) -> list[Record]:
+    def remove_idle(self) -> list[Record]:
         """Withdraw and return all messages that have no call in flight."""
         idle = [
             delivery
@@ -119,7 +119,7 @@
         return [delivery.record for delivery in idle]
 
     def schedule_decision(self) -> None:
-        """Schedule a decision, as `DeliveryOwner.may_send` may have changed without an event."""
+        """Schedule a decision, as `DeliveryOwner.may_start_calls` may have changed without an event."""
         if self._offering.has_queues and self._deliveries.by_id:
             self._inbox.schedule()
 
@@ -131,7 +131,7 @@
         """
         self._deliveries.draining = True
         while self._deliveries.by_id:
-            if records := self.idle():
+            if records := self.remove_idle():
                 await hand_over(records)
             if self._loop.time() > until - SHUTDOWN_ABANDON_S:
                 break
@@ -189,7 +189,7 @@
         self._offering.enqueue(delivery)
 
     def _decide(self) -> None:
-        if not self._deliveries.draining and self._owner.may_send():
+        if not self._deliveries.draining and self._owner.may_start_calls():
             self._offering.offer_ready(self._config, self._loop.time())
         for action in self._module.handle(self._loop.time(), self._inbox.drain()):
             self._carry_out(action)
--- a/emberlatch/cluster/dispatch/offering.py
+++ b/emberlatch/cluster/dispatch/offering.py
@@ -23,7 +23,7 @@
 QUOTA_TIMER_SLACK_S = 0.001
 
 
-class Offering:
+class ReadyOffers:
     """Keeps a ready queue for each service, and offers deliveries from these queues at each decision."""
 
     def __init__(
--- a/emberlatch/cluster/dispatch/ports.py
+++ b/emberlatch/cluster/dispatch/ports.py
@@ -39,7 +39,7 @@
     def on_wrong_instance(self, target_id: str) -> None:
         """Record that another instance listens at the address of this target."""
 
-    def may_send(self) -> bool:
+    def may_start_calls(self) -> bool:
         """Return whether calls may start: no other store owns the messages, and our disk accepts writes."""
 
     def quota_divisor(self, service: str) -> float:
--- a/emberlatch/cluster/message_store/disk_watch.py
+++ b/emberlatch/cluster/message_store/disk_watch.py
@@ -109,7 +109,7 @@
         """Hand over records without a call in flight; messages still being accepted are not handed over."""
         waiting = [
             *filter(self._local_store.owns_with_body, self._withheld),
-            *self._local_store.delivery.idle(),
+            *self._local_store.delivery.remove_idle(),
         ]
         self._withheld = waiting
         if waiting:
--- a/emberlatch/cluster/message_store/ports.py
+++ b/emberlatch/cluster/message_store/ports.py
@@ -52,7 +52,7 @@
     def withdraw(self, record: Record) -> bool:
         """Stop delivering a message that ended or has another owner; return False if a call is in flight."""
 
-    def idle(self) -> list[Record]:
+    def remove_idle(self) -> list[Record]:
         """Remove and return all messages without a call in flight."""
 
 
@@ -78,9 +78,9 @@
         """See `DeliveryQueue`."""
         return self._bound().withdraw(record)
 
-    def idle(self) -> list[Record]:
+    def remove_idle(self) -> list[Record]:
         """See `DeliveryQueue`."""
-        return self._bound().idle()
+        return self._bound().remove_idle()
 
     def _bound(self) -> DeliveryQueue:
         if self._queue is None:
--- a/emberlatch/cluster/node/delivery_owner.py
+++ b/emberlatch/cluster/node/delivery_owner.py
@@ -27,7 +27,7 @@
         """Record that another instance listens at the address of this target."""
         self._targets.on_wrong_instance(target_id, asyncio.get_running_loop().time())
 
-    def may_send(self) -> bool:
+    def may_start_calls(self) -> bool:
         """Return whether deliveries may begin."""
         return self._replicator.may_send()
 
--- a/emberlatch/cluster/node/heartbeats.py
+++ b/emberlatch/cluster/node/heartbeats.py
@@ -122,7 +122,7 @@
 
     def on_state_change(self, peer: Peer) -> None:
         """Handle a change of a link's state; send the known targets to a peer whose link is up now."""
-        if peer.up and self._store is not None and self._store.targets.known:
+        if peer.up and self._store is not None and self._store.targets.targets_by_id:
             now = asyncio.get_running_loop().time()
             peer.notify(RpcMethod.TARGETS, self._store.targets.reports(now).to_wire())
         self._membership.link_changed(peer)
--- a/tests/cluster/dispatch_support.py
+++ b/tests/cluster/dispatch_support.py
@@ -20,7 +20,7 @@
     def on_wrong_instance(self, target_id: str) -> None:
         pass
 
-    def may_send(self) -> bool:
+    def may_start_calls(self) -> bool:
         return True
 
     def quota_divisor(self, service: str) -> float:
--- a/tests/cluster/test_cluster.py
+++ b/tests/cluster/test_cluster.py
@@ -242,7 +242,7 @@
         assert await target.send_heartbeat()
         for node in cluster.nodes.values():
             if node.program is not None and node.running.targets is not None:
-                assert node.target_directory.known[target.id].state == 1
+                assert node.target_directory.targets_by_id[target.id].state == 1
 
     assert not play(Plan(11), steps)[1]
 
--- a/tests/cluster/test_planted.py
+++ b/tests/cluster/test_planted.py
@@ -121,9 +121,9 @@
     original = TargetDirectory._merge
 
     def merge(self: TargetDirectory, reported: Any, now: float) -> bool:
-        known = self.known.get(reported.id)
+        known = self.targets_by_id.get(reported.id)
         if known is not None and known.state == 1:
-            self.known.pop(reported.id)
+            self.targets_by_id.pop(reported.id)
             reported.state = type(reported.state)(0)
         return original(self, reported, now)
 
@@ -247,7 +247,7 @@
 
 def _register_without_removal(self: TargetDirectory, target: Any) -> None:
     """Register a target without removing the incarnation that had its address before."""
-    self.known[target.id] = target
+    self.targets_by_id[target.id] = target
     self._by_address[target.address] = target
     self._notify(target)
 
--- a/tests/cluster/test_pure.py
+++ b/tests/cluster/test_pure.py
@@ -116,10 +116,10 @@
     targets = TargetDirectory(1.0)
     targets.apply_heartbeat("i-1", heartbeat_fields(sequence=5, state="draining"), 0.0)
     targets.apply_heartbeat("i-1", heartbeat_fields(sequence=4), 0.1)
-    states = [targets.known["i-1"].state]
+    states = [targets.targets_by_id["i-1"].state]
     targets.deregister("i-1", 0.2)
     targets.apply_heartbeat("i-1", heartbeat_fields(sequence=9), 0.3)
-    states.append(targets.known["i-1"].state)
+    states.append(targets.targets_by_id["i-1"].state)
     assert states == [TargetState.DRAINING, TargetState.DEREGISTERED]
 
 
@@ -129,8 +129,8 @@
     targets.apply_heartbeat("i-1", heartbeat_fields(), 0.0)
     targets.apply_heartbeat("i-2", heartbeat_fields(service="other"), 1.0)
     assert (
-        targets.known["i-1"].state is TargetState.DEREGISTERED
-        and targets.known["i-2"].state is TargetState.IN_SERVICE
+        targets.targets_by_id["i-1"].state is TargetState.DEREGISTERED
+        and targets.targets_by_id["i-2"].state is TargetState.IN_SERVICE
     )
 
 
@@ -140,7 +140,7 @@
     target = targets.apply_heartbeat("i-1", heartbeat_fields(), 0.0).target
     old_report = target.report(5.0)
     targets.expire(5.0)
-    known = targets.known["i-1"]
+    known = targets.targets_by_id["i-1"]
     assert known.lease_expired and not known.available and known.report(5.0).state is TargetState.IN_SERVICE
     targets.apply_report(old_report, 5.1)
     assert known.lease_expired
@@ -180,7 +180,7 @@
             raise AssertionError(fields)
         except InvalidHeartbeatError:
             pass
-    assert not targets.known
+    assert not targets.targets_by_id
 
 
 def configuration(**overrides: object) -> dict[str, object]:
--- a/tests/cluster/test_repeated_calls.py
+++ b/tests/cluster/test_repeated_calls.py
@@ -199,7 +199,7 @@
                 *[200] * 4,
                 delay_s=delay_s,
             )
-            assert all(s.target_directory.known[id].state is TargetState.IN_SERVICE for s in stores)
+            assert all(s.target_directory.targets_by_id[id].state is TargetState.IN_SERVICE for s in stores)
             await send_twice(
                 forwarded_request("POST", f"/api/instances/{id}/deregister"), *[200] * 4, delay_s=delay_s
             )
@@ -208,7 +208,7 @@
                 *[200] * 4,
                 delay_s=delay_s,
             )
-            assert all(s.target_directory.known[id].state is TargetState.DEREGISTERED for s in stores)
+            assert all(s.target_directory.targets_by_id[id].state is TargetState.DEREGISTERED for s in stores)
             revision = 20 + int(delay_s)
             configuration = cluster.configuration(revision)
             await send_twice(
--- a/tests/cluster/test_state.py
+++ b/tests/cluster/test_state.py
@@ -107,7 +107,7 @@
         sent = await submit_in_turn(scenario, 12, delay_ms=2500)
         await asyncio.sleep(1.0)
         for node in ("s0", "s1", "s2"):
-            targets = cluster.nodes[node].target_directory.known.values()
+            targets = cluster.nodes[node].target_directory.targets_by_id.values()
             assert all(target.available for target in targets), node
         await asyncio.sleep(5.0)
         assert all(successes(cluster, s.id) == 1 for s in sent)
@@ -365,7 +365,9 @@
         assert answer.status == 503
         await asyncio.sleep(3.5)
         assert all(
-            t.available for n in ("s1", "s2") for t in cluster.nodes[n].target_directory.known.values()
+            t.available
+            for n in ("s1", "s2")
+            for t in cluster.nodes[n].target_directory.targets_by_id.values()
         )
 
     assert not play(Plan(33), steps)[1]
