--- a/emberlatch/cluster/cli/backup.py
+++ b/emberlatch/cluster/cli/backup.py
@@ -101,7 +101,7 @@
             _write_item(out, digest, record.to_wire(0.0, record.body))
         trailer = {RECORD_COUNT_KEY: len(records), DIGEST_KEY: digest.digest()}
         _write_item(out, hashlib.sha256(), trailer)
-    queued = sum(record.open for record in records)
+    queued = sum(record.is_queued for record in records)
     print(f"{to}: {len(records)} records, {queued} of them queued; {_configuration_text(backup)}")
     return ExitCode.OK
 
--- a/emberlatch/cluster/control_plane.py
+++ b/emberlatch/cluster/control_plane.py
@@ -24,7 +24,7 @@
 from emberlatch.cluster.events import Event, log_event
 from emberlatch.cluster.membership import AgreedState, ControlReport, MembershipView
 from emberlatch.cluster.membership.control_links import ControlLinks
-from emberlatch.cluster.message_store import Replicator
+from emberlatch.cluster.message_store import MessageStore
 from emberlatch.cluster.rpc import Peer
 from emberlatch.cluster.settings import NodeSettings
 from emberlatch.engine import Tasks
@@ -53,7 +53,7 @@
     membership: MembershipView
     agreed: AgreedState
     active_configuration: ActiveConfiguration
-    replicator: Replicator
+    replicator: MessageStore
     disk: Disk
     tasks: Tasks
     announce: Callable[[], None]
--- a/emberlatch/cluster/decommission/decommissions.py
+++ b/emberlatch/cluster/decommission/decommissions.py
@@ -18,7 +18,7 @@
 from emberlatch.cluster.decommission.evacuation import Evacuation
 from emberlatch.cluster.decommission.ports import StoreDirectory
 from emberlatch.cluster.events import Event, log_event
-from emberlatch.cluster.message_store import Replicator
+from emberlatch.cluster.message_store import MessageStore
 from emberlatch.engine import Tasks
 
 DECISION_TIMEOUT_S = 0.8  # seconds for a call to be decided, after which its outcome is uncertain
@@ -37,7 +37,12 @@
     """
 
     def __init__(
-        self, node: str, tasks: Tasks, stores: StoreDirectory, service: ControlService, replicator: Replicator
+        self,
+        node: str,
+        tasks: Tasks,
+        stores: StoreDirectory,
+        service: ControlService,
+        replicator: MessageStore,
     ) -> None:
         self._node, self._tasks, self._stores, self._service = node, tasks, stores, service
         self._state_client = ControlStateClient(service, DECISION_TIMEOUT_S)
--- a/emberlatch/cluster/decommission/evacuation.py
+++ b/emberlatch/cluster/decommission/evacuation.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from emberlatch.cluster.decommission.ports import StoreDirectory
-from emberlatch.cluster.message_store import Phase, Replicator
+from emberlatch.cluster.message_store import MessageStore, Phase
 from emberlatch.cluster.rpc import CallFailedError
 
 POLL_INTERVAL_S = 0.1  # seconds between two steps, and between two checks of the store's phase
@@ -15,7 +15,7 @@
 class Evacuation:
     """Empties the store of this process: hands its messages to other owners and replicates its records."""
 
-    def __init__(self, node: str, replicator: Replicator, stores: StoreDirectory) -> None:
+    def __init__(self, node: str, replicator: MessageStore, stores: StoreDirectory) -> None:
         self._node, self._replicator, self._stores = node, replicator, stores
 
     async def run(self) -> None:
@@ -37,10 +37,12 @@
                 await replicator.ownership.hand_over(records)
             counted = self._writable()
             under_replicated = replicator.repair.under_replicated(counted)
-            under_replicated.sort(key=lambda record: not record.open)  # Undelivered messages come first.
+            under_replicated.sort(key=lambda record: not record.is_queued)  # Undelivered messages come first.
             await replicator.repair.add_copies(under_replicated[:MAX_RECORDS_PER_STEP], counted)
             remaining = replicator.repair.under_replicated(self._writable())
-            return not (remaining or replicator.busy or replicator.local_store.index.owned_by(self._node))
+            return not (
+                remaining or replicator.is_accepting or replicator.local_store.index.owned_by(self._node)
+            )
         except CallFailedError:
             return False
 
--- a/emberlatch/cluster/dispatch/dispatcher.py
+++ b/emberlatch/cluster/dispatch/dispatcher.py
@@ -84,7 +84,7 @@
 
     def deliver(self, record: Record) -> None:
         """Deliver a message once it is due; ignore one that has a delivery already or has ended."""
-        if record.id in self._deliveries.by_id or not record.open:
+        if record.id in self._deliveries.by_id or not record.is_queued:
             return
         delivery = self._deliveries.by_id[record.id] = Delivery(record)
         if record.due_at > self._loop.time():
@@ -102,7 +102,7 @@
         delivery = self._deliveries.by_id.get(record.id)
         if delivery is None:
             return True
-        if delivery.stage is DeliveryStage.IN_FLIGHT and record.open:
+        if delivery.stage is DeliveryStage.IN_FLIGHT and record.is_queued:
             return False
         self._outcomes.forget(delivery)
         return True
@@ -176,7 +176,7 @@
         A message whose route was removed is dead-lettered.
         """
         config, record = self._config, delivery.record
-        if config is None or config.revision < record.version:
+        if config is None or config.revision < record.config_revision:
             self._delayed.delay_for(delivery, CONFIGURATION_RETRY_S)
             return
         route = config.route(record.host, record.path.partition("?")[0])
--- a/emberlatch/cluster/membership/disk_reports.py
+++ b/emberlatch/cluster/membership/disk_reports.py
@@ -29,7 +29,7 @@
         """Drop the report of a machine whose link is down."""
         self._reports.pop(node, None)
 
-    def writes(self, node: str) -> bool:
+    def is_writable(self, node: str) -> bool:
         """Whether a machine's disk accepts writes; True if the machine has not reported."""
         known = self._reports.get(node)
         return known is None or known.state is DiskState.OK
--- a/emberlatch/cluster/membership/store_reports.py
+++ b/emberlatch/cluster/membership/store_reports.py
@@ -55,7 +55,7 @@
 
         Such a store may still reject messages, because a nearly full disk (event 507) is not reported.
         """
-        return self.phases.get(node) == Phase.SERVING.value and self.disks.writes(node)
+        return self.phases.get(node) == Phase.SERVING.value and self.disks.is_writable(node)
 
     def is_closing(self, node: str) -> bool:
         """Whether a store is shutting down."""
--- a/emberlatch/cluster/membership/view.py
+++ b/emberlatch/cluster/membership/view.py
@@ -93,7 +93,7 @@
         """Close all links."""
         self._links.close()
 
-    def inbound(self) -> list[RpcConnection]:
+    def inbound_connections(self) -> list[RpcConnection]:
         """The connections that other processes dialled to this one."""
         return self._links.inbound()
 
@@ -111,7 +111,7 @@
         """Add the stores that the previous incarnation knew. Raises OSError if the disk can't be read."""
         self._exchange.restore()
 
-    def update(self) -> MembershipUpdate:
+    def create_update(self) -> MembershipUpdate:
         """The description of this process and, if it is a store, of all stores that it knows."""
         return self._exchange.create_update()
 
@@ -153,7 +153,7 @@
             self.reported.apply(peer.name, heartbeat.phase, heartbeat.disk, self.now())
             self._exchange.compare_digest(peer, heartbeat.roster_digest)
 
-    def link_changed(self, peer: Peer) -> None:
+    def on_link_state_change(self, peer: Peer) -> None:
         """Handle a change of the state of a link."""
         if not peer.up:
             self.reported.link_down(peer.name)
@@ -209,13 +209,13 @@
         """The writable stores for one more replica, the best first; `have` are the nodes with a replica."""
         return self._selection.replica_candidates(have)
 
-    def leaving_stores(self) -> set[str]:
+    def decommissioning_stores(self) -> set[str]:
         """The machines that are being decommissioned or already are."""
         return set(self._agreed.control_state.decommission_ordered)
 
-    def disk_writes(self, node: str) -> bool:
+    def is_disk_writable(self, node: str) -> bool:
         """Whether a machine's disk accepts writes; True if the machine has not reported."""
-        return self.reported.disks.writes(node)
+        return self.reported.disks.is_writable(node)
 
     def disk_unreadable_s(self, node: str) -> float:
         """Seconds since a machine first reported that its disk can't be read; 0.0 if the disk can be read."""
--- a/emberlatch/cluster/message_store/__init__.py
+++ b/emberlatch/cluster/message_store/__init__.py
@@ -20,7 +20,7 @@
     LateBoundDeliveryQueue,
 )
 from emberlatch.cluster.message_store.record import STATE_LABELS, MessageState, Record
-from emberlatch.cluster.message_store.replicator import Replicator, StoreLimits
+from emberlatch.cluster.message_store.replicator import MessageStore, StoreLimits
 from emberlatch.cluster.message_store.request_handlers import MessageStoreHandlers
 from emberlatch.cluster.message_store.undeliverable import UndeliverableReason, log_undeliverable
 
@@ -39,12 +39,12 @@
     "MessageQuery",
     "MessageState",
     "MessageStatus",
+    "MessageStore",
     "MessageStoreHandlers",
     "Phase",
     "Record",
     "RecordDatabase",
     "RecordIndex",
-    "Replicator",
     "StateReport",
     "StoreLimits",
     "SubmittedMessage",
--- a/emberlatch/cluster/message_store/accepting.py
+++ b/emberlatch/cluster/message_store/accepting.py
@@ -126,7 +126,7 @@
         record.sent_at = asyncio.get_running_loop().time() - request.age_s
         record.due_at = record.sent_at + message.delay_s
         record.expires_at = record.sent_at + message.retention_s
-        record.version, record.owner, record.epoch = message.config_revision, me, epoch
+        record.config_revision, record.owner, record.epoch = message.config_revision, me, epoch
         record.replicas = (me, *replicas)
         self._local_store.add(record)
         return record
@@ -134,7 +134,7 @@
     async def _reply_if_accepted(self, record: Record, epoch: int) -> AcceptReply | None:
         """Return the reply on a durable record; None if it is cancelled or has an older epoch."""
         local_store = self._local_store
-        if not record.open:
+        if not record.is_queued:
             return ENDED if record.state is not MessageState.CANCELLED else None
         if record.epoch > epoch:
             return DELIVERED_ELSEWHERE
--- a/emberlatch/cluster/message_store/cancellation.py
+++ b/emberlatch/cluster/message_store/cancellation.py
@@ -67,7 +67,9 @@
         record = local_store.index.records.get(report.id)
         if record is None:  # the tombstone cancels a copy of an earlier epoch that arrives later
             record = local_store.add_tombstone(report.id, epoch - 1, report.owner)
-        elif record.open and record.owner == local_store.me and not local_store.delivery.withdraw(record):
+        elif (
+            record.is_queued and record.owner == local_store.me and not local_store.delivery.withdraw(record)
+        ):
             local_store.merge(record, record.state, "", epoch + 1, local_store.me, record.attempts)
         else:
             local_store.merge(record, MessageState.QUEUED, "", epoch, report.owner, report.attempts)
--- a/emberlatch/cluster/message_store/database.py
+++ b/emberlatch/cluster/message_store/database.py
@@ -203,7 +203,7 @@
 
     # Closing.
 
-    def abandon(self) -> None:
+    def close_without_commit(self) -> None:
         """Close without the pending writes, as if the process had been killed."""
         self._closed = True
         if self._db is not None:
@@ -214,7 +214,7 @@
         try:
             self._commit(self.group_commit.take())
         finally:
-            self.abandon()
+            self.close_without_commit()
 
 
 def _prepare(db: sqlite3.Connection) -> None:
--- a/emberlatch/cluster/message_store/index.py
+++ b/emberlatch/cluster/message_store/index.py
@@ -49,7 +49,7 @@
         record.counted_fingerprint = 0
         self._update_digests(record, record.fingerprint())
 
-    def changed(self, record: Record) -> None:
+    def update_record_digests(self, record: Record) -> None:
         """Update the digests after the state, epoch or owner of a record has changed."""
         if record.id in self.records:
             self._update_digests(record, record.fingerprint())
@@ -58,12 +58,16 @@
         """Set the stores that have a copy or are to receive one."""
         self._update_digests(record, 0)
         record.replicas = tuple(replicas)
-        self.changed(record)
+        self.update_record_digests(record)
 
     def fill_tombstone(self, record: Record, copy: Record) -> None:
         """Add the content of a copy to a tombstone that has none; its state does not change."""
         record.host, record.method, record.path = copy.host, copy.method, copy.path
-        record.content_type, record.body, record.version = copy.content_type, copy.body, copy.version
+        record.content_type, record.body, record.config_revision = (
+            copy.content_type,
+            copy.body,
+            copy.config_revision,
+        )
         record.sent_at, record.due_at = copy.sent_at, copy.due_at
         record.expires_at = copy.expires_at
         self.body_bytes += len(record.body or b"")
@@ -73,7 +77,7 @@
         self.body_bytes -= len(record.body or b"")
         record.body = None
 
-    def drop(self, record: Record) -> None:
+    def remove(self, record: Record) -> None:
         """Remove a record."""
         if self.records.pop(record.id, None) is not None:
             self._update_digests(record, 0)
--- a/emberlatch/cluster/message_store/local_store.py
+++ b/emberlatch/cluster/message_store/local_store.py
@@ -42,7 +42,7 @@
 
     def owns_with_body(self, record: Record) -> bool:
         """Return whether this process owns the queued record and has its body in memory."""
-        return record.open and record.owner == self.me and record.body is not None
+        return record.is_queued and record.owner == self.me and record.body is not None
 
     def enter_phase(self, phase: Phase) -> bool:
         """Change the phase unless the current one is CLOSING; return whether it changed."""
@@ -79,18 +79,18 @@
         record: it removes a message from the delivery queue when this process ceases to own it, and adds a
         message to the queue when this process becomes its owner.
         """
-        was_owned = record.open and record.owner == self.me
+        was_owned = record.is_queued and record.owner == self.me
         if state is MessageState.QUEUED and record.state is MessageState.CANCELLED and record.body is None:
             return False  # only a copy with content can change the owner of an empty tombstone
         if not record.merge(state, seal, epoch, owner, attempts):
             return False
-        record.ended_at = 0.0 if record.open else record.ended_at or self._now()
-        owned = record.open and record.owner == self.me
+        record.ended_at = 0.0 if record.is_queued else record.ended_at or self._now()
+        owned = record.is_queued and record.owner == self.me
         if was_owned and not owned:
             self.delivery.withdraw(record)
         if record.state in (MessageState.COMPLETED, MessageState.DEAD_LETTERED):
             self.index.unload_body(record)
-        self.index.changed(record)
+        self.index.update_record_digests(record)
         self._write_update(record)
         if owned and not was_owned and self.delivers and record.id not in self.probing:
             self.delivery.deliver(record)
@@ -109,12 +109,12 @@
         record = self.index.records.get(copy.id)
         if record is not None:
             return self._absorb_known(record, copy)
-        if copy.open and copy.body is None:
+        if copy.is_queued and copy.body is None:
             return None
         if self.me not in copy.replicas:
             copy.replicas = (*copy.replicas, self.me)
         self.add(copy)
-        if copy.open and copy.owner == self.me and self.delivers:
+        if copy.is_queued and copy.owner == self.me and self.delivers:
             self.delivery.deliver(copy)
         return copy
 
@@ -168,14 +168,14 @@
         return outcome
 
     @property
-    def disk(self) -> DiskState:
+    def disk_state(self) -> DiskState:
         """The current state of the disk."""
         return self.database.health.state(self._now())
 
     @property
     def writable(self) -> bool:
         """Whether the disk accepts writes."""
-        return self.disk is DiskState.OK
+        return self.disk_state is DiskState.OK
 
     def commits_promptly(self) -> bool:
         """Return whether a write made now can be expected on disk without a long delay."""
--- a/emberlatch/cluster/message_store/ownership.py
+++ b/emberlatch/cluster/message_store/ownership.py
@@ -83,7 +83,7 @@
         by_owner: dict[str, list[Record]] = {}
         writable = [peer.name for peer in self._cluster.writable_stores()]
         for position, record in enumerate(records):
-            if writable and record.open and record.owner == self._local_store.me:
+            if writable and record.is_queued and record.owner == self._local_store.me:
                 fallback = writable[position % len(writable)]
                 owner = next((node for node in writable if node in record.replicas), fallback)
                 by_owner.setdefault(owner, []).append(record)
@@ -152,7 +152,7 @@
         stores = self._cluster.counted_stores()
         live = {me, *(n for n, peer in stores.items() if peer.up and n not in stopped)}
         for record in list(self._local_store.index.records.values()):
-            if not record.open or record.owner not in stopped:
+            if not record.is_queued or record.owner not in stopped:
                 continue
             if next((n for n in record.replicas if n in live), None) == me:
                 count += 1
--- a/emberlatch/cluster/message_store/ports.py
+++ b/emberlatch/cluster/message_store/ports.py
@@ -33,10 +33,10 @@
     def unreachable_s(self, node: str) -> float:
         """Return for how many seconds a majority of the voters has not heard from a machine."""
 
-    def leaving_stores(self) -> set[str]:
+    def decommissioning_stores(self) -> set[str]:
         """Return the machines that are being decommissioned: their copies must not be counted."""
 
-    def disk_writes(self, node: str) -> bool:
+    def is_disk_writable(self, node: str) -> bool:
         """Return whether a machine's disk accepts writes, by the machine's last report."""
 
     def disk_unreadable_s(self, node: str) -> float:
--- a/emberlatch/cluster/message_store/record.py
+++ b/emberlatch/cluster/message_store/record.py
@@ -66,6 +66,7 @@
     __slots__ = (
         "attempts",
         "body",
+        "config_revision",
         "content_type",
         "counted_fingerprint",
         "due_at",
@@ -81,7 +82,6 @@
         "seal",
         "sent_at",
         "state",
-        "version",
     )  # fmt: skip
 
     def __init__(
@@ -95,7 +95,7 @@
         self.epoch = 0  # epoch of the ownership: each new owner has a later one; see `ownership`
         self.replicas: tuple[str, ...] = ()
         self.attempts = 0
-        self.version = -1  # revision of the configuration under which the message was accepted
+        self.config_revision = -1  # revision of the configuration under which the message was accepted
         self.sent_at = 0.0  # approximate time at which the client sent the message
         self.due_at = 0.0  # earliest time of delivery
         self.expires_at = 0.0  # end of the retention time
@@ -103,7 +103,7 @@
         self.counted_fingerprint = 0  # fingerprint that is included in the digests of its replicas
 
     @property
-    def open(self) -> bool:
+    def is_queued(self) -> bool:
         """Whether the message is queued for delivery."""
         return self.state is MessageState.QUEUED
 
@@ -135,7 +135,7 @@
             "id": self.id, "host": self.host, "method": self.method, "path": self.path,
             "content": self.content_type, "body": body, "state": int(self.state), "seal": self.seal,
             "holder": self.owner, "epoch": self.epoch, "keepers": list(self.replicas),
-            "attempts": self.attempts, "version": self.version, "sent": self.sent_at - now,
+            "attempts": self.attempts, "version": self.config_revision, "sent": self.sent_at - now,
             "due": self.due_at - now, "end": self.expires_at - now,
             "ended": self.ended_at - now if self.ended_at else None,
         }  # fmt: skip
@@ -159,7 +159,7 @@
             record.state, record.seal = MessageState(fields["state"]), str(fields["seal"])
             record.owner, record.epoch = str(fields["holder"]), int(fields["epoch"])
             record.replicas = tuple(map(str, fields["keepers"]))
-            record.attempts, record.version = int(fields["attempts"]), int(fields["version"])
+            record.attempts, record.config_revision = int(fields["attempts"]), int(fields["version"])
             record.sent_at, record.due_at = now + fields["sent"], now + fields["due"]
             record.expires_at = now + fields["end"]
             record.ended_at = 0.0 if fields["ended"] is None else now + fields["ended"]
--- a/emberlatch/cluster/message_store/repair.py
+++ b/emberlatch/cluster/message_store/repair.py
@@ -97,7 +97,8 @@
             request = MessageIds(tuple(ids))
             reply = await peer.call(RpcMethod.RECORDS, request.to_wire(), CALL_TIMEOUT_S)
             self._absorb(RecordBatch.from_wire(reply))
-        if self._cluster.disk_writes(peer.name):  # else it rejects them, and compares once it has recovered
+        # A store that cannot write rejects them, and compares once it has recovered.
+        if self._cluster.is_disk_writable(peer.name):
             await self.send(peer, newer_here)
         return len(newer_there), len(newer_here)
 
@@ -158,7 +159,7 @@
             for n, p in stores.items()
             if p.up or now - max(p.last_up_at, p.created_at) < UNREACHABLE_AFTER_S
         }
-        return ({self._local_store.me} | recently_up) - self._cluster.leaving_stores()
+        return ({self._local_store.me} | recently_up) - self._cluster.decommissioning_stores()
 
     def re_replicate_if_due(self, now: float) -> None:
         """Start copying the owned messages that too few reachable machines have, if a scan is due."""
@@ -169,7 +170,7 @@
         if reachable >= {me, *self._cluster.stores()}:
             return
         records = self._local_store.index.records.values()
-        owned = (r for r in records if r.open and r.owner == me)
+        owned = (r for r in records if r.is_queued and r.owner == me)
         under_quorum = [r for r in owned if not self._cluster.satisfies_quorum(reachable & set(r.replicas))]
         if under_quorum:
             self._re_replicating = True
--- a/emberlatch/cluster/message_store/replicator.py
+++ b/emberlatch/cluster/message_store/replicator.py
@@ -39,7 +39,7 @@
     retain_status_s: float
 
 
-class Replicator:
+class MessageStore:
     """Constructs the parts of the message store, and runs its maintenance.
 
     `cluster` gives access to the other stores; `listener` is notified of changes of the phase or disk state.
@@ -85,11 +85,11 @@
         self.enter_phase(Phase.SERVING)
 
     @property
-    def busy(self) -> bool:
+    def is_accepting(self) -> bool:
         """Whether any message is being accepted."""
         return self.accept_service.busy
 
-    def may_send(self) -> bool:
+    def may_start_deliveries(self) -> bool:
         """Return whether deliveries may start: outcomes can be written, and no other store has taken over."""
         return self.local_store.writable and self.ownership.may_deliver()
 
--- a/emberlatch/cluster/message_store/request_handlers.py
+++ b/emberlatch/cluster/message_store/request_handlers.py
@@ -16,7 +16,7 @@
     StateReport,
 )
 from emberlatch.cluster.message_store.record import Record
-from emberlatch.cluster.message_store.replicator import Replicator
+from emberlatch.cluster.message_store.replicator import MessageStore
 from emberlatch.cluster.rpc import RpcConnection, RpcMethod
 
 Handler = Callable[[RpcConnection, object], object]
@@ -26,7 +26,7 @@
 class MessageStoreHandlers:
     """Serves the calls to one message store. Handlers raise MessageDecodeError for an invalid payload."""
 
-    def __init__(self, replicator: Replicator) -> None:
+    def __init__(self, replicator: MessageStore) -> None:
         self._accept_service, self._replication = replicator.accept_service, replicator.replication
         self._cancellation, self._state_commits = replicator.cancellation, replicator.state_commits
         self._ownership, self._repair = replicator.ownership, replicator.repair
--- a/emberlatch/cluster/message_store/retention.py
+++ b/emberlatch/cluster/message_store/retention.py
@@ -49,11 +49,11 @@
 
     def _sweep_record(self, record: Record, now: float) -> None:
         local_store = self._local_store
-        deliverable = record.open and record.owner == local_store.me and local_store.delivers
+        deliverable = record.is_queued and record.owner == local_store.me and local_store.delivers
         if deliverable and now > record.expires_at + RETENTION_SLACK_S:
             if local_store.delivery.withdraw(record):
                 log_undeliverable(record, UndeliverableReason.RETENTION_EXPIRED)
                 self._state_commits.finish(record, MessageState.DEAD_LETTERED)
-        elif not record.open and now - record.ended_at > self._retain_status_s + STATUS_SLACK_S:
-            local_store.index.drop(record)
+        elif not record.is_queued and now - record.ended_at > self._retain_status_s + STATUS_SLACK_S:
+            local_store.index.remove(record)
             local_store.database.delete(record.id)
--- a/emberlatch/cluster/message_store/state_commits.py
+++ b/emberlatch/cluster/message_store/state_commits.py
@@ -46,7 +46,7 @@
         if record is None:
             if report.state is MessageState.CANCELLED:
                 self._local_store.add_tombstone(report.id, report.epoch, report.owner)
-        elif record.body is not None or report.state is not MessageState.QUEUED or record.open:
+        elif record.body is not None or report.state is not MessageState.QUEUED or record.is_queued:
             self._local_store.merge_report(record, report)
 
     def message_state(self, query: MessageQuery) -> MessageStatus | None:
--- a/emberlatch/cluster/node/builder.py
+++ b/emberlatch/cluster/node/builder.py
@@ -16,9 +16,9 @@
 from emberlatch.cluster.message_store import (
     LateBoundDeliveryQueue,
     LocalStore,
+    MessageStore,
     RecordDatabase,
     RecordIndex,
-    Replicator,
     StoreLimits,
 )
 from emberlatch.cluster.node.change_notifier import ChangeNotifier
@@ -140,15 +140,15 @@
         assert self._settings.data_dir is not None
         return RecordDatabase(self._settings.data_dir / "records.db", self._disk, self._machine.wall)
 
-    def _replicator(self, delivery: LateBoundDeliveryQueue) -> Replicator:
+    def _replicator(self, delivery: LateBoundDeliveryQueue) -> MessageStore:
         settings, membership, database = self._settings, self._membership, self._database
         assert database is not None
         index = RecordIndex(settings.node)
         limits = StoreLimits(settings.memory_mb * 1e6, settings.disk_mb * 1e6, settings.bounds.status_keep_s)
         local_store = LocalStore(settings.node, index, database, delivery)
-        return Replicator(local_store, self._tasks, membership, self._changes, limits)
+        return MessageStore(local_store, self._tasks, membership, self._changes, limits)
 
-    def _delivery(self, replicator: Replicator) -> tuple[TargetDirectory, Dispatcher]:
+    def _delivery(self, replicator: MessageStore) -> tuple[TargetDirectory, Dispatcher]:
         settings = self._settings
         targets = TargetDirectory(settings.heartbeat_ms / 1000)
         dispatch_settings = DispatchSettings(
--- a/emberlatch/cluster/node/delivery_owner.py
+++ b/emberlatch/cluster/node/delivery_owner.py
@@ -5,14 +5,14 @@
 import asyncio
 
 from emberlatch.cluster.discovery import TargetDirectory
-from emberlatch.cluster.message_store import MessageState, Record, Replicator
+from emberlatch.cluster.message_store import MessageState, MessageStore, Record
 from emberlatch.cluster.node.quota_shares import QuotaShares
 
 
 class StoreDeliveryOwner:
     """The `DeliveryOwner` of the messages that this store owns."""
 
-    def __init__(self, replicator: Replicator, targets: TargetDirectory, quota_shares: QuotaShares) -> None:
+    def __init__(self, replicator: MessageStore, targets: TargetDirectory, quota_shares: QuotaShares) -> None:
         self._replicator, self._targets, self._quota_shares = replicator, targets, quota_shares
 
     def owns(self, record: Record) -> bool:
@@ -29,7 +29,7 @@
 
     def may_start_calls(self) -> bool:
         """Return whether deliveries may begin."""
-        return self._replicator.may_send()
+        return self._replicator.may_start_deliveries()
 
     def quota_divisor(self, service: str) -> float:
         """Return the number by which the service's rate limit is divided to get this store's share."""
--- a/emberlatch/cluster/node/graceful_shutdown.py
+++ b/emberlatch/cluster/node/graceful_shutdown.py
@@ -84,7 +84,7 @@
             listener.drain(True)
         await store.dispatcher.close(replicator.ownership.hand_over, deadline)
         await _wait_while(
-            lambda: replicator.busy or (listener is not None and listener.pending_requests > 0),
+            lambda: replicator.is_accepting or (listener is not None and listener.pending_requests > 0),
             deadline - STORE_DRAIN_MARGIN_S,
             STORE_POLL_S,
         )
--- a/emberlatch/cluster/node/heartbeats.py
+++ b/emberlatch/cluster/node/heartbeats.py
@@ -44,7 +44,7 @@
 
     def handshake(self) -> object:
         """The payload of a handshake: heartbeat, membership and the identity of the local disk."""
-        update, identity = self._membership.update(), self._agreed.identity
+        update, identity = self._membership.create_update(), self._agreed.identity
         return Handshake(self.current(), update, identity).to_wire()
 
     def heartbeat_interval_s(self) -> float:
@@ -70,7 +70,7 @@
         store, revision = self._store, self.reported_revision()
         phase, disk, control = None, None, None
         if store is not None:
-            phase, disk = store.replicator.phase.value, store.replicator.local_store.disk
+            phase, disk = store.replicator.phase.value, store.replicator.local_store.disk_state
             control = store.control.report()
         digest = self._membership.roster.digest()
         if self._encoded is not None:
@@ -103,7 +103,7 @@
         """Send a heartbeat now to all reachable stores and to all processes that dialled this one."""
         for peer in self._membership.reachable_stores():
             peer.notify(RpcMethod.HEARTBEAT, self.heartbeat())
-        for connection in self._membership.inbound():
+        for connection in self._membership.inbound_connections():
             notice = HeartbeatNotice(self._node, self.current())
             connection.notify(RpcMethod.HEARTBEAT_NOTICE, notice.to_wire())
 
@@ -125,7 +125,7 @@
         if peer.up and self._store is not None and self._store.targets.targets_by_id:
             now = asyncio.get_running_loop().time()
             peer.notify(RpcMethod.TARGETS, self._store.targets.reports(now).to_wire())
-        self._membership.link_changed(peer)
+        self._membership.on_link_state_change(peer)
 
     def serve_handshake(self, connection: RpcConnection, payload: object) -> object:
         """Apply the handshake of a process that dialled this one, and return the local handshake."""
--- a/emberlatch/cluster/node/node.py
+++ b/emberlatch/cluster/node/node.py
@@ -9,7 +9,7 @@
 from emberlatch.cluster.disk import Disk
 from emberlatch.cluster.dispatch import Dispatcher
 from emberlatch.cluster.events import Event, log_event
-from emberlatch.cluster.message_store import Replicator
+from emberlatch.cluster.message_store import MessageStore
 from emberlatch.cluster.node.builder import NodeBuilder
 from emberlatch.cluster.rpc import RpcServer
 from emberlatch.cluster.settings import NodeSettings
@@ -33,7 +33,7 @@
         self._shutdown = parts.shutdown
 
     @property
-    def replicator(self) -> Replicator | None:
+    def replicator(self) -> MessageStore | None:
         """The component that stores messages; None without a disk."""
         return self._store.replicator if self._store is not None else None
 
--- a/emberlatch/cluster/node/parts.py
+++ b/emberlatch/cluster/node/parts.py
@@ -7,14 +7,14 @@
 from emberlatch.cluster.control_plane import ControlPlane
 from emberlatch.cluster.discovery import TargetDirectory
 from emberlatch.cluster.dispatch import Dispatcher
-from emberlatch.cluster.message_store import Replicator
+from emberlatch.cluster.message_store import MessageStore
 
 
 @dataclass(frozen=True, slots=True)
 class StoreParts:
     """Components that store and deliver messages."""
 
-    replicator: Replicator
+    replicator: MessageStore
     control: ControlPlane
     targets: TargetDirectory
     dispatcher: Dispatcher
--- a/emberlatch/cluster/node/request_handlers.py
+++ b/emberlatch/cluster/node/request_handlers.py
@@ -72,7 +72,7 @@
         return handler(connection, payload)
 
     def _roster(self, _: RpcConnection, payload: object) -> object:
-        return self._membership.update().to_wire()
+        return self._membership.create_update().to_wire()
 
     def _membership_update(self, _: RpcConnection, payload: object) -> None:
         self._membership.apply_membership_update(MembershipUpdate.from_wire(payload), None)
--- a/emberlatch/simulation/node.py
+++ b/emberlatch/simulation/node.py
@@ -11,7 +11,7 @@
 
 from emberlatch.cluster.control_plane import ControlPlane
 from emberlatch.cluster.discovery import TargetDirectory
-from emberlatch.cluster.message_store import Replicator
+from emberlatch.cluster.message_store import MessageStore
 from emberlatch.cluster.node import Node
 from emberlatch.cluster.settings.node_settings import Bounds, NodeSettings, Resilience
 from emberlatch.engine import Machine
@@ -87,7 +87,7 @@
         return self.program
 
     @property
-    def replicator(self) -> Replicator:
+    def replicator(self) -> MessageStore:
         """The replicator of a store; NodeNotStartedError on a forwarder."""
         return self._part(self.running.replicator, "replicator")
 
@@ -164,7 +164,7 @@
     def release_disk(self) -> None:
         """Close the files that the process had open, without writing anything."""
         if self.program is not None and self.program.replicator is not None:
-            self.program.replicator.local_store.database.abandon()
+            self.program.replicator.local_store.database.close_without_commit()
 
     def kill(self, restart_after_s: float = RESTART_DELAY_S) -> None:
         """Send SIGKILL; the process is started again after `restart_after_s` seconds."""
--- a/emberlatch/simulation/repair_cost.py
+++ b/emberlatch/simulation/repair_cost.py
@@ -9,7 +9,7 @@
 
 from emberlatch.cluster.message_store import MessageState, Record
 from emberlatch.cluster.message_store.index import RecordIndex
-from emberlatch.cluster.message_store.replicator import Replicator
+from emberlatch.cluster.message_store.replicator import MessageStore
 from emberlatch.simulation.cluster import SimulatedCluster
 from emberlatch.simulation.growth import peak_memory_mib
 from emberlatch.simulation.plan import Plan
@@ -95,7 +95,7 @@
         )
 
 
-def _replicator(cluster: SimulatedCluster, name: str) -> Replicator:
+def _replicator(cluster: SimulatedCluster, name: str) -> MessageStore:
     program = cluster.nodes[name].program
     assert program is not None and program.replicator is not None, f"{name} is not a running store"
     return program.replicator
--- a/tests/cluster/test_disks.py
+++ b/tests/cluster/test_disks.py
@@ -24,7 +24,7 @@
 from emberlatch.cluster.consensus.storage import IDENTITY_FILE, RecordStorage
 from emberlatch.cluster.disk import Disk
 from emberlatch.cluster.membership.disk_reports import DiskReports
-from emberlatch.cluster.message_store import DiskState, LocalStore, RecordDatabase, Replicator
+from emberlatch.cluster.message_store import DiskState, LocalStore, MessageStore, RecordDatabase
 from emberlatch.cluster.message_store.disk_health import RETRY_S, STALLED_S, DiskHealth
 from emberlatch.cluster.message_store.group_commit import GroupCommit
 from emberlatch.cluster.message_store.pending_writes import PendingWrites
@@ -200,7 +200,7 @@
         first._commit(first.group_commit.take())
         contents = path.read_bytes(), log.read_bytes()
         assert contents[1]
-        first.abandon()
+        first.close_without_commit()
         path.write_bytes(contents[0])
         log.write_bytes(contents[1])  # the files as after SIGKILL, without a checkpoint
         second = RecordDatabase(path, Disk(run_inline), lambda: 0.0)
@@ -708,7 +708,7 @@
     assert not detects_fault(check_refusals_while_disks_full)
     with (
         planted(LocalStore, "commits_promptly", lambda self: True),
-        planted(DiskReports, "writes", lambda self, node: True),
+        planted(DiskReports, "is_writable", lambda self, node: True),
     ):
         assert detects_fault(check_refusals_while_disks_full)
 
@@ -716,7 +716,7 @@
 @test("planted: starting deliveries while no disk accepts their outcomes is detected")
 def _() -> None:
     assert not detects_fault(check_deliveries_wait_while_disks_full)
-    with planted(Replicator, "may_send", lambda self: self.ownership.may_deliver()):
+    with planted(MessageStore, "may_start_deliveries", lambda self: self.ownership.may_deliver()):
         assert detects_fault(check_deliveries_wait_while_disks_full)
 
 
--- a/tests/cluster/test_heartbeats.py
+++ b/tests/cluster/test_heartbeats.py
@@ -30,7 +30,7 @@
 
 def store_parts() -> Any:
     """Stubs of the components whose state a store's heartbeat reports."""
-    local_store = SimpleNamespace(disk=DiskState.OK)
+    local_store = SimpleNamespace(disk_state=DiskState.OK)
     replicator = SimpleNamespace(phase=Phase.SERVING, local_store=local_store)
     return SimpleNamespace(replicator=replicator, control=ControlPlaneStub())
 
@@ -77,7 +77,7 @@
         case "phase":
             store.replicator.phase = Phase.CLOSING
         case "disk":
-            store.replicator.local_store.disk = next(
+            store.replicator.local_store.disk_state = next(
                 state for state in DiskState if state is not DiskState.OK
             )
         case "report":
@@ -94,7 +94,7 @@
         store.replicator.phase.value,
         revision,
         digest.value,
-        store.replicator.local_store.disk,
+        store.replicator.local_store.disk_state,
         store.control.current,
     )
     assert second == expected.to_wire()
--- a/tests/cluster/test_images.py
+++ b/tests/cluster/test_images.py
@@ -85,7 +85,7 @@
                     assert {f"m{k}" for k in range(n)} <= loaded.keys()
                     for k in range(2, n, 3):
                         assert loaded[f"m{k - 2}"].state is MessageState.COMPLETED
-                    assert all(r.body for r in loaded.values() if r.open)
+                    assert all(r.body for r in loaded.values() if r.is_queued)
             database.close()
 
         asyncio.run(run())
--- a/tests/cluster/test_pure.py
+++ b/tests/cluster/test_pure.py
@@ -73,9 +73,9 @@
         for stored in list(index.records.values()):
             if random_source.random() < 0.05:
                 stored.merge(MessageState.COMPLETED, "s", 1, "a", 0)
-                index.changed(stored)
+                index.update_record_digests(stored)
             elif random_source.random() < 0.02:
-                index.drop(stored)
+                index.remove(stored)
     ranges = ours.differing_ranges("b", theirs.digests("a"))
     requested, offered = ours.compare("b", ranges, theirs.summary("a", ranges))
     ids = {*ours.records, *theirs.records}
@@ -86,12 +86,12 @@
     }
     assert different and {*requested, *(r.id for r in offered)} == different
     for id in requested:
-        ours.drop(ours.records[id]) if id in ours.records else None
+        ours.remove(ours.records[id]) if id in ours.records else None
         copy = record(id)
         copy.merge(theirs.records[id].state, "s", 1, "a", 0)
         ours.put(copy)
     for original in offered:
-        theirs.drop(theirs.records[original.id]) if original.id in theirs.records else None
+        theirs.remove(theirs.records[original.id]) if original.id in theirs.records else None
         copy = record(original.id)
         copy.merge(original.state, "s", 1, "a", 0)
         theirs.put(copy)
@@ -284,9 +284,9 @@
 @test("a record decoded by a store with another clock has the same fingerprint and the same remaining times")
 def _() -> None:
     original = record()
-    original.sent_at, original.due_at, original.expires_at, original.version = 100.0, 104.0, 190.0, 7
+    original.sent_at, original.due_at, original.expires_at, original.config_revision = 100.0, 104.0, 190.0, 7
     copy = Record.from_wire(original.to_wire(101.0, original.body), 5001.0)
-    assert (copy.due_at - 5001.0, copy.expires_at - 5001.0, copy.version, copy.ended_at) == (
+    assert (copy.due_at - 5001.0, copy.expires_at - 5001.0, copy.config_revision, copy.ended_at) == (
         3.0,
         89.0,
         7,
--- a/tests/cluster/test_state.py
+++ b/tests/cluster/test_state.py
@@ -138,7 +138,7 @@
     """Return a queued record of any store; None if there is none."""
     stores = [node for node in scenario.cluster.nodes.values() if node.is_store]
     indexes = [store.replicator.local_store.index for store in stores]
-    return next((r for index in indexes for r in index.records.values() if r.open), None)
+    return next((r for index in indexes for r in index.records.values() if r.is_queued), None)
 
 
 @test("a message submitted again at its replica is not sent before the first owner was probed")
@@ -433,7 +433,7 @@
             if node.is_store and node.name != "s0":
                 index = node.replicator.local_store.index
                 for known in list(index.records.values()):
-                    index.drop(known)
+                    index.remove(known)
         cluster.nodes["s0"].terminate()
         await until(lambda: not cluster.nodes["s0"].up, 6.0)
         cluster.nodes["s0"].powered_off = True
--- a/tests/cluster/test_stored_formats.py
+++ b/tests/cluster/test_stored_formats.py
@@ -102,7 +102,7 @@
     assert (delivered.owner, delivered.epoch, delivered.replicas) == ("s1", 3, ("s0", "s1"))
     assert (delivered.attempts, delivered.seal, delivered.ended_at) == (1, "09ab", 2.25)
     queued = found["queued"]
-    assert (queued.sent_at, queued.due_at, queued.expires_at, queued.version) == (-0.5, 0.25, 60.5, 3)
+    assert (queued.sent_at, queued.due_at, queued.expires_at, queued.config_revision) == (-0.5, 0.25, 60.5, 3)
     bodies = {id: body for id, _, body in rows(FOLDER / "records")["records"]}
     assert bodies["delivered"] is None and bodies["dead"] == b"\x00\xff"
 
