--- a/emberlatch/cluster/dispatch/__init__.py
+++ b/emberlatch/cluster/dispatch/__init__.py
@@ -1,8 +1,8 @@
 """Delivery of messages that this store owns: delays, queues, rate quotas, calls to targets, outcomes."""
 
 from emberlatch.cluster.dispatch.carrier import Carrier, DeliveryRequest
+from emberlatch.cluster.dispatch.delivery_result import DeliveryResult
 from emberlatch.cluster.dispatch.dispatcher import Dispatcher
 from emberlatch.cluster.dispatch.ports import DeliveryOwner, DispatchSettings
-from emberlatch.cluster.dispatch.verdict import Verdict
 
-__all__ = ["Carrier", "DeliveryOwner", "DeliveryRequest", "DispatchSettings", "Dispatcher", "Verdict"]
+__all__ = ["Carrier", "DeliveryOwner", "DeliveryRequest", "DeliveryResult", "DispatchSettings", "Dispatcher"]
--- a/emberlatch/cluster/dispatch/carrier.py
+++ b/emberlatch/cluster/dispatch/carrier.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+from emberlatch.cluster.dispatch.delivery_result import MODULE_RESULTS, DeliveryResult, classify_response
 from emberlatch.cluster.dispatch.target_connection import TargetConnection, connect_to_target
-from emberlatch.cluster.dispatch.verdict import MODULE_RESULTS, Verdict, classify_response
 from emberlatch.cluster.events import Event, log_event
 from emberlatch.cluster.message_store import Record
 from emberlatch.core.interface import Outcome, Result, Settings
@@ -48,7 +48,7 @@
     def is_wanted(self, ref: int) -> bool:
         """Return whether the message still has to be sent."""
 
-    def on_verdict(self, ref: int, verdict: Verdict, seal: str) -> None:
+    def on_verdict(self, ref: int, verdict: DeliveryResult, seal: str) -> None:
         """Store the verdict on a response; the outcome of the call follows."""
 
     def on_outcome(self, outcome: Outcome) -> None:
@@ -96,13 +96,13 @@
         seal = headers.get(SEAL_HEADER, "")
         verdict = classify_response(response.status, seal, NOT_EXECUTED_HEADER in headers)
         retry_after_s = (
-            parse_retry_after(headers.get("retry-after")) if verdict is Verdict.OVERLOADED else 0.0
+            parse_retry_after(headers.get("retry-after")) if verdict is DeliveryResult.OVERLOADED else 0.0
         )
-        if verdict is Verdict.UNKNOWN:
+        if verdict is DeliveryResult.UNKNOWN:
             log_event(Event.UNKNOWN_RESPONSE_STATUS, call.target.decode(), status=response.status)
         self._deliveries.on_verdict(call.items[0].ref, verdict, seal)
         result, ended = MODULE_RESULTS[verdict]
-        if response.status == 504 and verdict is Verdict.UNKNOWN:
+        if response.status == 504 and verdict is DeliveryResult.UNKNOWN:
             result = Result.TIMEOUT
         call.complete_all(result, ended, retry_after_s)
 
--- a/emberlatch/cluster/dispatch/delivery.py
+++ b/emberlatch/cluster/dispatch/delivery.py
@@ -8,7 +8,7 @@
 
 from enum import Enum, IntEnum
 
-from emberlatch.cluster.dispatch.verdict import Verdict
+from emberlatch.cluster.dispatch.delivery_result import DeliveryResult
 from emberlatch.cluster.message_store import Record
 from emberlatch.cluster.settings import Route
 
@@ -73,7 +73,7 @@
         self.offer_count = 0
         self.pool_sizes: PoolSizes = [0, 0]
         self.locality = Locality.LOCAL
-        self.verdict: Verdict | None = None
+        self.verdict: DeliveryResult | None = None
         self.seal = ""
 
 
--- a/emberlatch/cluster/dispatch/verdict.py
+++ b/emberlatch/cluster/dispatch/delivery_result.py
@@ -7,7 +7,7 @@
 from emberlatch.core.interface import Result
 
 
-class Verdict(Enum):
+class DeliveryResult(Enum):
     """Meaning of a response for the delivery attempt."""
 
     COMPLETED = "completed"  # a success, with its seal
@@ -19,35 +19,35 @@
     UNKNOWN = "unknown"  # the message may have been executed
 
 
-MODULE_RESULTS: dict[Verdict, tuple[Result, bool]] = {
-    Verdict.COMPLETED: (Result.OK, True),
+MODULE_RESULTS: dict[DeliveryResult, tuple[Result, bool]] = {
+    DeliveryResult.COMPLETED: (Result.OK, True),
     # This response shows a healthy target. The module's delivery ends; a retry is a new delivery.
-    Verdict.ATTEMPT_FAILED: (Result.OK, True),
-    Verdict.REJECTED_PERMANENTLY: (Result.OK, True),
-    Verdict.OVERLOADED: (Result.FULL, False),
-    Verdict.STILL_RUNNING: (Result.OK, True),
-    Verdict.WRONG_INSTANCE: (Result.NOT_EXECUTED, False),
-    Verdict.UNKNOWN: (Result.ERROR, False),
+    DeliveryResult.ATTEMPT_FAILED: (Result.OK, True),
+    DeliveryResult.REJECTED_PERMANENTLY: (Result.OK, True),
+    DeliveryResult.OVERLOADED: (Result.FULL, False),
+    DeliveryResult.STILL_RUNNING: (Result.OK, True),
+    DeliveryResult.WRONG_INSTANCE: (Result.NOT_EXECUTED, False),
+    DeliveryResult.UNKNOWN: (Result.ERROR, False),
 }
 """The result passed to the decision module for each verdict, and whether its delivery has ended."""
 
 
-def classify_response(status: int, seal: str, not_executed: bool) -> Verdict:
+def classify_response(status: int, seal: str, not_executed: bool) -> DeliveryResult:
     """Return the verdict on a response.
 
     `seal` is the target's proof of execution, empty if there is none; `not_executed` is true if the target
     states that it did not execute the message. A 2xx status without a seal does not prove success.
     """
     if 200 <= status < 300 and seal:
-        return Verdict.COMPLETED
+        return DeliveryResult.COMPLETED
     if status == 500:
-        return Verdict.ATTEMPT_FAILED
+        return DeliveryResult.ATTEMPT_FAILED
     if status == 422:
-        return Verdict.REJECTED_PERMANENTLY
+        return DeliveryResult.REJECTED_PERMANENTLY
     if status == 421:
-        return Verdict.WRONG_INSTANCE
+        return DeliveryResult.WRONG_INSTANCE
     if status == 409 and not_executed:
-        return Verdict.STILL_RUNNING
+        return DeliveryResult.STILL_RUNNING
     if not_executed or status in (429, 503):
-        return Verdict.OVERLOADED
-    return Verdict.UNKNOWN
+        return DeliveryResult.OVERLOADED
+    return DeliveryResult.UNKNOWN
--- a/emberlatch/cluster/dispatch/dispatcher.py
+++ b/emberlatch/cluster/dispatch/dispatcher.py
@@ -14,13 +14,13 @@
 from emberlatch.cluster.dispatch.decision_inbox import DecisionInbox
 from emberlatch.cluster.dispatch.delay_queue import DelayQueue
 from emberlatch.cluster.dispatch.delivery import Delivery, DeliveryStage, DeliveryTable
+from emberlatch.cluster.dispatch.delivery_result import DeliveryResult
 from emberlatch.cluster.dispatch.destinations import Destinations, EndpointUpdate
 from emberlatch.cluster.dispatch.module_settings import LeaseWaitCategories
-from emberlatch.cluster.dispatch.offering import ReadyOffers
+from emberlatch.cluster.dispatch.offers import ReadyOffers
 from emberlatch.cluster.dispatch.outcomes import OutcomeHandler
 from emberlatch.cluster.dispatch.ports import DeliveryOwner, DispatchSettings
 from emberlatch.cluster.dispatch.quota import ServiceQuotas
-from emberlatch.cluster.dispatch.verdict import Verdict
 from emberlatch.cluster.events import Event, log_event
 from emberlatch.cluster.message_store import MessageState, Record, UndeliverableReason, log_undeliverable
 from emberlatch.cluster.settings import Configuration
@@ -52,7 +52,7 @@
         self._quotas = ServiceQuotas(settings, owner)
         self._outcomes = OutcomeHandler(self._deliveries, self._delayed, self._inbox, owner)
         categories = LeaseWaitCategories()
-        self._offering = ReadyOffers(
+        self._offers = ReadyOffers(
             self._deliveries,
             self._delayed,
             self._destinations,
@@ -120,7 +120,7 @@
 
     def schedule_decision(self) -> None:
         """Schedule a decision, as `DeliveryOwner.may_start_calls` may have changed without an event."""
-        if self._offering.has_queues and self._deliveries.by_id:
+        if self._offers.has_queues and self._deliveries.by_id:
             self._inbox.schedule()
 
     async def close(self, hand_over: Callable[[list[Record]], Awaitable[None]], until: float) -> None:
@@ -151,7 +151,7 @@
         delivery = self._deliveries.by_ref.get(ref)
         return delivery is not None and self._owner.owns(delivery.record)
 
-    def on_verdict(self, ref: int, verdict: Verdict, seal: str) -> None:
+    def on_verdict(self, ref: int, verdict: DeliveryResult, seal: str) -> None:
         """Store the verdict on a response; the outcome of the call follows."""
         self._outcomes.on_verdict(ref, verdict, seal)
 
@@ -186,11 +186,11 @@
             self._owner.finish(record, MessageState.DEAD_LETTERED, "")
             return
         delivery.route = route
-        self._offering.enqueue(delivery)
+        self._offers.enqueue(delivery)
 
     def _decide(self) -> None:
         if not self._deliveries.draining and self._owner.may_start_calls():
-            self._offering.offer_ready(self._config, self._loop.time())
+            self._offers.offer_ready(self._config, self._loop.time())
         for action in self._module.handle(self._loop.time(), self._inbox.drain()):
             self._carry_out(action)
 
--- a/emberlatch/cluster/dispatch/outcomes.py
+++ b/emberlatch/cluster/dispatch/outcomes.py
@@ -12,8 +12,8 @@
 from emberlatch.cluster.dispatch.decision_inbox import DecisionInbox
 from emberlatch.cluster.dispatch.delay_queue import DelayQueue
 from emberlatch.cluster.dispatch.delivery import POOL_STAGES, Delivery, DeliveryStage, DeliveryTable
+from emberlatch.cluster.dispatch.delivery_result import DeliveryResult
 from emberlatch.cluster.dispatch.ports import DeliveryOwner
-from emberlatch.cluster.dispatch.verdict import Verdict
 from emberlatch.cluster.message_store import MessageState, UndeliverableReason, log_undeliverable
 from emberlatch.core import interface as api
 
@@ -32,7 +32,7 @@
         self._deliveries, self._delayed, self._inbox, self._owner = deliveries, delayed, inbox, owner
         self._loop = asyncio.get_running_loop()
 
-    def on_verdict(self, ref: int, verdict: Verdict, seal: str) -> None:
+    def on_verdict(self, ref: int, verdict: DeliveryResult, seal: str) -> None:
         """Store the verdict on a call's response until the outcome of the call arrives."""
         if (delivery := self._deliveries.by_ref.get(ref)) is not None:
             delivery.verdict, delivery.seal = verdict, seal
@@ -46,16 +46,16 @@
             return
         verdict, delivery.verdict = delivery.verdict, None
         match verdict:
-            case Verdict.COMPLETED:
+            case DeliveryResult.COMPLETED:
                 self._finish(delivery, MessageState.COMPLETED, delivery.seal)
-            case Verdict.REJECTED_PERMANENTLY:
+            case DeliveryResult.REJECTED_PERMANENTLY:
                 self._give_up(delivery, UndeliverableReason.REJECTED_PERMANENTLY)
-            case Verdict.ATTEMPT_FAILED:
+            case DeliveryResult.ATTEMPT_FAILED:
                 self._on_attempt_failed(delivery)
-            case Verdict.STILL_RUNNING:
+            case DeliveryResult.STILL_RUNNING:
                 self._retry(delivery, RUNNING_RETRY_S)
             case _:
-                if verdict is Verdict.WRONG_INSTANCE:
+                if verdict is DeliveryResult.WRONG_INSTANCE:
                     self._owner.on_wrong_instance(outcome.target.decode())
                 self._try_other_target(delivery)
 
--- a/emberlatch/cluster/message_store/ownership.py
+++ b/emberlatch/cluster/message_store/ownership.py
@@ -3,7 +3,8 @@
 `Record.owner` names the owner, and `Record.epoch` is the epoch of that ownership; of two queued copies the
 later epoch counts. Only the owner delivers. Ownership changes here by hand-over (the owner passes it to
 another store) and by takeover (the owner has surely stopped), each with the next epoch. It also changes when
-an ingress node submits a message to a second store: see `accepting` and `cancellation.Cancellation.probe`.
+an ingress node submits a message to a second store: see `accept_service` and
+`cancellation.Cancellation.probe`.
 """
 
 from __future__ import annotations
--- a/emberlatch/cluster/message_store/replicator.py
+++ b/emberlatch/cluster/message_store/replicator.py
@@ -9,7 +9,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from emberlatch.cluster.message_store.accepting import AcceptService
+from emberlatch.cluster.message_store.accept_service import AcceptService
 from emberlatch.cluster.message_store.cancellation import Cancellation
 from emberlatch.cluster.message_store.disk_watch import DiskWatch
 from emberlatch.cluster.message_store.local_store import LocalStore, Phase
--- a/tests/cluster/test_carrier.py
+++ b/tests/cluster/test_carrier.py
@@ -9,7 +9,7 @@
 from ward import each, test
 
 from emberlatch.cluster.discovery import Target, TargetState
-from emberlatch.cluster.dispatch import Carrier, DeliveryRequest, Dispatcher, DispatchSettings, Verdict
+from emberlatch.cluster.dispatch import Carrier, DeliveryRequest, DeliveryResult, Dispatcher, DispatchSettings
 from emberlatch.cluster.message_store import Record
 from emberlatch.cluster.settings import read_configuration
 from emberlatch.core import interface as api
@@ -68,7 +68,7 @@
         self.connections: list[ScriptedTarget] = []
         self.requests: list[tuple[float, ScriptedTarget, bytes]] = []
         self.outcomes: list[api.Outcome] = []
-        self.verdicts: list[tuple[int, Verdict, str]] = []
+        self.verdicts: list[tuple[int, DeliveryResult, str]] = []
         self.on_request: Callable[[ScriptedTarget, bytes], None] = lambda connection, data: None
         world.network.serve(lambda: ScriptedTarget(self), TARGET)
         settings = api.Settings(
@@ -86,7 +86,7 @@
     def is_wanted(self, ref: int) -> bool:
         return True
 
-    def on_verdict(self, ref: int, verdict: Verdict, seal: str) -> None:
+    def on_verdict(self, ref: int, verdict: DeliveryResult, seal: str) -> None:
         self.verdicts.append((ref, verdict, seal))
 
     def on_outcome(self, outcome: api.Outcome) -> None:
@@ -102,7 +102,7 @@
         """Run a call that gets the expected response."""
         await self.send(ref, id)
         await self.requests[-1][1].write(response(id))
-        assert self.verdicts[-1] == (ref, Verdict.COMPLETED, "seal")
+        assert self.verdicts[-1] == (ref, DeliveryResult.COMPLETED, "seal")
 
     @property
     def results(self) -> list[api.Result]:
@@ -159,7 +159,7 @@
     async def steps(fixture: CarrierFixture) -> None:
         await fixture.send(0, "m0")
         await fixture.connections[0].write(response("m0", seal="first") + response("m0", seal="second"))
-        assert fixture.verdicts == [(0, Verdict.COMPLETED, "first")] and fixture.connections[0].lost
+        assert fixture.verdicts == [(0, DeliveryResult.COMPLETED, "first")] and fixture.connections[0].lost
         await fixture.deliver(1, "m1")
         assert len(fixture.connections) == 2
 
@@ -176,7 +176,7 @@
         await fixture.connections[0].write(response("m0", seal="late"))
         assert len(fixture.verdicts) == 1
         await fixture.connections[0].write(response("m1", seal="mine"))
-        assert fixture.verdicts[1:] == [(1, Verdict.COMPLETED, "mine")]
+        assert fixture.verdicts[1:] == [(1, DeliveryResult.COMPLETED, "mine")]
         assert fixture.connections[0].lost
         await fixture.deliver(2, "m2")
         assert len(fixture.connections) == 2
@@ -206,9 +206,12 @@
         assert first.msg_ids() == ["m0", "m1"]
         await fixture.send(2, "m0", 1)
         await first.write(response("m0", 500))
-        assert [verdict for _, verdict, _ in fixture.verdicts] == [Verdict.ATTEMPT_FAILED, Verdict.COMPLETED]
+        assert [verdict for _, verdict, _ in fixture.verdicts] == [
+            DeliveryResult.ATTEMPT_FAILED,
+            DeliveryResult.COMPLETED,
+        ]
         await fixture.connections[1].write(response("m0", seal="second"))
-        assert fixture.verdicts[-1] == (2, Verdict.COMPLETED, "second")
+        assert fixture.verdicts[-1] == (2, DeliveryResult.COMPLETED, "second")
 
     play_with(CarrierFixture, steps)
 
--- a/tests/cluster/test_dispatch.py
+++ b/tests/cluster/test_dispatch.py
@@ -6,13 +6,13 @@
 
 from emberlatch.cluster.discovery import Target, TargetState
 from emberlatch.cluster.dispatch.delivery import Delivery, DeliveryStage, DeliveryTable, Locality
+from emberlatch.cluster.dispatch.delivery_result import MODULE_RESULTS, DeliveryResult
 from emberlatch.cluster.dispatch.destinations import Destinations
 from emberlatch.cluster.dispatch.module_settings import LeaseWaitCategories
 from emberlatch.cluster.dispatch.outcomes import RETRY_BACKOFF_S
 from emberlatch.cluster.dispatch.ports import DispatchSettings
 from emberlatch.cluster.dispatch.quota import ServiceQuotas
 from emberlatch.cluster.dispatch.ready_queue import ReadyQueue
-from emberlatch.cluster.dispatch.verdict import MODULE_RESULTS, Verdict
 from emberlatch.cluster.settings import Route, Service
 from emberlatch.core import interface as api
 from tests.cluster.dispatch_support import RecordingOwner
@@ -130,5 +130,5 @@
 
 @test("every verdict has a result for the decision module, and the retry backoff never decreases")
 def _() -> None:
-    assert MODULE_RESULTS.keys() == set(Verdict)
+    assert MODULE_RESULTS.keys() == set(DeliveryResult)
     assert list(RETRY_BACKOFF_S) == sorted(RETRY_BACKOFF_S)
--- a/tests/cluster/test_planted.py
+++ b/tests/cluster/test_planted.py
@@ -16,7 +16,7 @@
 from emberlatch.cluster.consensus.state import text_digest
 from emberlatch.cluster.control_api import LocalHandler
 from emberlatch.cluster.discovery import TargetDirectory
-from emberlatch.cluster.dispatch import DeliveryRequest, Dispatcher, Verdict
+from emberlatch.cluster.dispatch import DeliveryRequest, DeliveryResult, Dispatcher
 from emberlatch.cluster.dispatch.delivery import Delivery, DeliveryStage
 from emberlatch.cluster.dispatch.outcomes import OutcomeHandler
 from emberlatch.cluster.ingress import submitter
@@ -188,7 +188,7 @@
 
     def on_outcome(self: OutcomeHandler, outcome: Outcome) -> None:
         delivery = self._deliveries.by_ref.get(outcome.ref)
-        if delivery is not None and delivery.verdict is Verdict.ATTEMPT_FAILED:
+        if delivery is not None and delivery.verdict is DeliveryResult.ATTEMPT_FAILED:
             delivery.record.attempts += 3
         original(self, outcome)
 
--- a/tests/cluster/test_pure.py
+++ b/tests/cluster/test_pure.py
@@ -12,8 +12,8 @@
 from ward import raises, test
 
 from emberlatch.cluster.discovery import InvalidHeartbeatError, TargetDirectory, TargetReport, TargetState
-from emberlatch.cluster.dispatch import Dispatcher, DispatchSettings, Verdict
-from emberlatch.cluster.dispatch.verdict import classify_response
+from emberlatch.cluster.dispatch import DeliveryResult, Dispatcher, DispatchSettings
+from emberlatch.cluster.dispatch.delivery_result import classify_response
 from emberlatch.cluster.message_store import MessageState, Record, RecordIndex
 from emberlatch.cluster.rate_limits import RateShare
 from emberlatch.cluster.rpc import MessageDecodeError
@@ -273,9 +273,9 @@
 @test("a response is classified by its status, its seal and whether the message was not executed")
 def _() -> None:
     verdicts = {
-        (200, "seal", False): Verdict.COMPLETED, (200, "", False): Verdict.UNKNOWN, (500, "", False): Verdict.ATTEMPT_FAILED,
-        (422, "", False): Verdict.REJECTED_PERMANENTLY, (421, "", True): Verdict.WRONG_INSTANCE, (409, "", True): Verdict.STILL_RUNNING,
-        (503, "", True): Verdict.OVERLOADED, (429, "", True): Verdict.OVERLOADED, (504, "", False): Verdict.UNKNOWN,
+        (200, "seal", False): DeliveryResult.COMPLETED, (200, "", False): DeliveryResult.UNKNOWN, (500, "", False): DeliveryResult.ATTEMPT_FAILED,
+        (422, "", False): DeliveryResult.REJECTED_PERMANENTLY, (421, "", True): DeliveryResult.WRONG_INSTANCE, (409, "", True): DeliveryResult.STILL_RUNNING,
+        (503, "", True): DeliveryResult.OVERLOADED, (429, "", True): DeliveryResult.OVERLOADED, (504, "", False): DeliveryResult.UNKNOWN,
     }  # fmt: skip
     for (status, seal, not_executed), verdict in verdicts.items():
         assert classify_response(status, seal, not_executed) is verdict, status
