--- a/emberlatch/cluster/membership/links.py
+++ b/emberlatch/cluster/membership/links.py
@@ -108,5 +108,5 @@
         """
         if asyncio.get_running_loop().time() - self._created_at < SEED_DIAL_PERIOD_S:
             return True
-        required_stores = 1 if self._settings.stores else 2
+        required_stores = 1 if self._settings.is_store else 2
         return known_stores < required_stores or not any(peer.up for peer in self.peers.values())
--- a/emberlatch/cluster/membership/view.py
+++ b/emberlatch/cluster/membership/view.py
@@ -230,7 +230,7 @@
         port=settings.inner_port,
         zone=settings.zone,
         region=settings.region,
-        store=settings.stores,
+        store=settings.is_store,
         counted=settings.counted,
         control=f"{control[0]}:{control[1]}" if control else "",
         incarnation=incarnation,
--- a/emberlatch/cluster/node/builder.py
+++ b/emberlatch/cluster/node/builder.py
@@ -71,7 +71,7 @@
         self._incarnation, self._seed = incarnation, seed
         self._changes = ChangeNotifier()
         self._agreed = AgreedState()
-        self._database = self._create_database() if settings.stores else None
+        self._database = self._create_database() if settings.is_store else None
         storage = DatabaseRosterStorage(self._database) if self._database is not None else None
         self._membership = MembershipView(settings, incarnation, tasks, self._agreed, storage)
         self._active_configuration = ActiveConfiguration(tasks)
@@ -84,7 +84,7 @@
             self._active_configuration,
         )
         endpoint = LocalEndpoint(Incarnation(settings.node, self._incarnation))
-        store = self._store() if settings.stores else None
+        store = self._store() if settings.is_store else None
         heartbeats = HeartbeatService(
             settings, endpoint, membership, self._agreed, active_configuration, store
         )
--- a/emberlatch/cluster/node/graceful_shutdown.py
+++ b/emberlatch/cluster/node/graceful_shutdown.py
@@ -20,7 +20,7 @@
 FLUSH_MARGIN_S = 0.5  # The wait for the disk ends this many seconds before the grace period.
 FRONT_POLL_S = 0.05  # seconds between two checks whether all clients have disconnected
 STORE_POLL_S = 0.02  # seconds between two checks whether all calls have been answered
-NOTICES_SENT_S = 0.03  # seconds that notices get for transmission before the links are closed
+NOTICE_SEND_S = 0.03  # seconds that notices get for transmission before the links are closed
 LINK_CLOSE_S = 0.02  # seconds that the links get for closing before the database is closed
 
 
@@ -93,7 +93,7 @@
         """Send the pending notices and wait for the disk; return whether all writes are durable."""
         for peer in self._membership.peers.values():
             peer.flush()
-        await asyncio.sleep(NOTICES_SENT_S)
+        await asyncio.sleep(NOTICE_SEND_S)
         remaining_s = deadline - FLUSH_MARGIN_S - asyncio.get_running_loop().time()
         return await store.replicator.flush(max(0.0, remaining_s))
 
--- a/emberlatch/cluster/node/heartbeats.py
+++ b/emberlatch/cluster/node/heartbeats.py
@@ -15,7 +15,7 @@
     MembershipView,
 )
 from emberlatch.cluster.node.parts import StoreParts
-from emberlatch.cluster.rpc import HEARTBEAT_INTERVAL_S, LocalEndpoint, Peer, RpcConnection, RpcMethod
+from emberlatch.cluster.rpc import DEFAULT_HEARTBEAT_INTERVAL_S, LocalEndpoint, Peer, RpcConnection, RpcMethod
 from emberlatch.cluster.settings import NodeSettings
 
 FULL_RATE_STORES = 6  # largest number of stores at which forwarders send heartbeats as often as stores do
@@ -34,7 +34,7 @@
         store: StoreParts | None,
     ) -> None:
         self.endpoint = endpoint
-        self._node, self._is_store = settings.node, settings.stores
+        self._node, self._is_store = settings.node, settings.is_store
         self._membership, self._agreed = membership, agreed
         self._active_configuration, self._store = active_configuration, store
         self._decoder = HeartbeatDecoder()
@@ -55,8 +55,8 @@
         forwarder grows with their number, so that the heartbeats it sends per second do not increase.
         """
         if self._is_store:
-            return HEARTBEAT_INTERVAL_S
-        return HEARTBEAT_INTERVAL_S * max(1.0, len(self._membership.stores()) / FULL_RATE_STORES)
+            return DEFAULT_HEARTBEAT_INTERVAL_S
+        return DEFAULT_HEARTBEAT_INTERVAL_S * max(1.0, len(self._membership.stores()) / FULL_RATE_STORES)
 
     def heartbeat(self) -> object:
         """The payload of a heartbeat."""
--- a/emberlatch/cluster/rpc/__init__.py
+++ b/emberlatch/cluster/rpc/__init__.py
@@ -12,12 +12,12 @@
 )
 from emberlatch.cluster.rpc.incarnation import ANY_NODE, Incarnation, LocalEndpoint
 from emberlatch.cluster.rpc.methods import RpcMethod
-from emberlatch.cluster.rpc.peer import HEARTBEAT_INTERVAL_S, Peer, PeerDelegate, PeerState
+from emberlatch.cluster.rpc.peer import DEFAULT_HEARTBEAT_INTERVAL_S, Peer, PeerDelegate, PeerState
 from emberlatch.cluster.rpc.server import RpcServer
 
 __all__ = [
     "ANY_NODE",
-    "HEARTBEAT_INTERVAL_S",
+    "DEFAULT_HEARTBEAT_INTERVAL_S",
     "CallFailedError",
     "ForeignPeerError",
     "FrameError",
--- a/emberlatch/cluster/rpc/peer.py
+++ b/emberlatch/cluster/rpc/peer.py
@@ -17,7 +17,7 @@
 from emberlatch.cluster.rpc.methods import RpcMethod
 from emberlatch.engine import Tasks
 
-HEARTBEAT_INTERVAL_S = 0.4  # default interval; a delegate may choose another one
+DEFAULT_HEARTBEAT_INTERVAL_S = 0.4  # default interval; a delegate may choose another one
 # A connection is closed if nothing arrives on it for this number of heartbeat intervals plus the slack.
 LIVENESS_MISSED_HEARTBEATS = 2.0
 LIVENESS_SLACK_S = 0.5
--- a/emberlatch/cluster/settings/node_settings.py
+++ b/emberlatch/cluster/settings/node_settings.py
@@ -72,7 +72,7 @@
     resilience: Resilience = field(default_factory=Resilience)
 
     @property
-    def stores(self) -> bool:
+    def is_store(self) -> bool:
         """Whether this process is a store: it stores messages and votes on the control state."""
         return "store" in self.serves and self.data_dir is not None
 
--- a/tests/cluster/rpc_support.py
+++ b/tests/cluster/rpc_support.py
@@ -276,7 +276,7 @@
     assert not world.loop.failures, str(world.loop.failures)
 
 
-def play_with(make: Callable[[World], Fixture], steps: Callable[[Fixture], Awaitable[None]]) -> None:
+def run_with_fixture(make: Callable[[World], Fixture], steps: Callable[[Fixture], Awaitable[None]]) -> None:
     """Run the steps on a fixture that `make` creates in a new world."""
 
     async def run_with_fixture(world: World) -> None:
--- a/tests/cluster/support.py
+++ b/tests/cluster/support.py
@@ -24,14 +24,14 @@
     return play(Plan(seed, faults=faults, **(defaults | plan_fields)))
 
 
-def successes(cluster: SimulatedCluster, id: str) -> int:
+def success_count(cluster: SimulatedCluster, id: str) -> int:
     """Return how often targets executed a message successfully."""
     return len([run for run in cluster.history.runs.get(id, []) if run.status == 200])
 
 
-def repeated(cluster: SimulatedCluster) -> list[str]:
+def executed_more_than_once(cluster: SimulatedCluster) -> list[str]:
     """Return the ids of the messages that were executed successfully more than once."""
-    return [id for id in cluster.history.runs if successes(cluster, id) > 1]
+    return [id for id in cluster.history.runs if success_count(cluster, id) > 1]
 
 
 def assert_nothing_lost(cluster: SimulatedCluster, breaches: list[Breach]) -> None:
@@ -49,7 +49,7 @@
 
 
 @contextmanager
-def planted(owner: object, attribute: str, fault: object) -> Iterator[None]:
+def patched_attribute(owner: object, attribute: str, fault: object) -> Iterator[None]:
     """Replace an attribute of a class or module by a faulty one within the context."""
     original = getattr(owner, attribute)
     setattr(owner, attribute, fault)
@@ -111,7 +111,7 @@
     return stored
 
 
-def on_disk(cluster: SimulatedCluster, id: str) -> list[str]:
+def stores_with_durable_copy(cluster: SimulatedCluster, id: str) -> list[str]:
     """Return the running stores whose databases have the message, so that it survives a loss of power."""
     found = []
     for name, node in cluster.nodes.items():
@@ -140,15 +140,15 @@
     "assert_all_completed",
     "assert_nothing_lost",
     "call_control",
+    "executed_more_than_once",
     "isolate",
-    "on_disk",
-    "planted",
+    "patched_attribute",
     "play",
     "play_faults",
     "record",
-    "repeated",
+    "stores_with_durable_copy",
     "submit",
     "submit_in_turn",
-    "successes",
+    "success_count",
     "until",
 ]
--- a/tests/cluster/test_capacity.py
+++ b/tests/cluster/test_capacity.py
@@ -8,7 +8,7 @@
 from ward import test
 
 from emberlatch.cluster.node.heartbeats import FULL_RATE_STORES
-from emberlatch.cluster.rpc.peer import HEARTBEAT_INTERVAL_S
+from emberlatch.cluster.rpc.peer import DEFAULT_HEARTBEAT_INTERVAL_S
 from emberlatch.simulation import control_cost
 from emberlatch.simulation.control_cost import ControlCost, Deployment
 from emberlatch.simulation.growth import GrowthCost, MemberCost, measure
@@ -30,7 +30,8 @@
 @test("a forwarder's frames do not grow when the forwarders, the stores or both double")
 def _() -> None:
     least = frames(growth(6, 6).forwarder)
-    assert 0 < least <= 2 * FULL_RATE_STORES / HEARTBEAT_INTERVAL_S * TOLERANCE  # a request and its response
+    # Each heartbeat is a request and its response.
+    assert 0 < least <= 2 * FULL_RATE_STORES / DEFAULT_HEARTBEAT_INTERVAL_S * TOLERANCE
     for size in ((12, 6), (6, 12), (12, 12)):
         assert frames(growth(*size).forwarder) <= least * TOLERANCE, size
 
@@ -39,16 +40,17 @@
 def _() -> None:
     for stores in (6, 12):
         few, many = frames(growth(6, stores).busiest_store), frames(growth(12, stores).busiest_store)
-        share = 2 * FULL_RATE_STORES / HEARTBEAT_INTERVAL_S / stores  # share of one forwarder's frames
+        # The share of one forwarder's frames that one store gets.
+        share = 2 * FULL_RATE_STORES / DEFAULT_HEARTBEAT_INTERVAL_S / stores
         assert 0 < many - few <= 6 * share * TOLERANCE, (stores, few, many)
 
 
 @test("a voter's frames are at most its share of the forwarders' heartbeats, and those of all other stores")
 def _() -> None:
     for forwarders, stores in ((6, 6), (12, 6), (6, 12), (12, 12)):
-        of_forwarders = forwarders * 2 * FULL_RATE_STORES / HEARTBEAT_INTERVAL_S / stores
+        of_forwarders = forwarders * 2 * FULL_RATE_STORES / DEFAULT_HEARTBEAT_INTERVAL_S / stores
         of_stores = (
-            (stores - 1) * 2 * 2 / HEARTBEAT_INTERVAL_S
+            (stores - 1) * 2 * 2 / DEFAULT_HEARTBEAT_INTERVAL_S
         )  # each sends the other a request and a response
         most = (of_forwarders + of_stores) * TOLERANCE + TARGETS_FRAMES
         assert frames(growth(forwarders, stores).busiest_store) <= most, (forwarders, stores)
--- a/tests/cluster/test_carrier.py
+++ b/tests/cluster/test_carrier.py
@@ -15,7 +15,7 @@
 from emberlatch.core import interface as api
 from emberlatch.engine import CallItem, Tasks
 from tests.cluster.dispatch_support import RecordingOwner
-from tests.cluster.rpc_support import ConnectionEnd, World, play_with
+from tests.cluster.rpc_support import ConnectionEnd, World, run_with_fixture
 from tests.cluster.support import record
 
 TARGET = ("target", 1)
@@ -116,7 +116,7 @@
             await fixture.deliver(ref, f"m{ref}")
         assert len(fixture.connections) == 1 and fixture.results == [api.Result.OK] * 5
 
-    play_with(CarrierFixture, steps)
+    run_with_fixture(CarrierFixture, steps)
 
 
 UNSOLICITED = {
@@ -137,7 +137,7 @@
         await fixture.deliver(1, "m1")
         assert len(fixture.connections) == 2 and len(fixture.verdicts) == 2
 
-    play_with(CarrierFixture, steps)
+    run_with_fixture(CarrierFixture, steps)
 
 
 @test("unread bytes on an idle connection close it before the next request is sent")
@@ -151,7 +151,7 @@
         assert fixture.connections[0].msg_ids() == ["m0"] and fixture.connections[1].msg_ids() == ["m1"]
         assert len(fixture.verdicts) == 1
 
-    play_with(CarrierFixture, steps)
+    run_with_fixture(CarrierFixture, steps)
 
 
 @test("a second response in the same segment closes the connection, and the first response counts")
@@ -163,7 +163,7 @@
         await fixture.deliver(1, "m1")
         assert len(fixture.connections) == 2
 
-    play_with(CarrierFixture, steps)
+    run_with_fixture(CarrierFixture, steps)
 
 
 @test(
@@ -181,7 +181,7 @@
         await fixture.deliver(2, "m2")
         assert len(fixture.connections) == 2
 
-    play_with(CarrierFixture, steps)
+    run_with_fixture(CarrierFixture, steps)
 
 
 @test("only a response to another message: no verdict, a timeout, a closed connection, no retry")
@@ -193,7 +193,7 @@
         assert not fixture.verdicts and fixture.results == [api.Result.TIMEOUT]
         assert fixture.connections[0].lost and len(fixture.requests) == 1
 
-    play_with(CarrierFixture, steps)
+    run_with_fixture(CarrierFixture, steps)
 
 
 @test("a retry is not sent on a connection that carried its message, so a duplicate failure counts once")
@@ -213,7 +213,7 @@
         await fixture.connections[1].write(response("m0", seal="second"))
         assert fixture.verdicts[-1] == (2, DeliveryResult.COMPLETED, "second")
 
-    play_with(CarrierFixture, steps)
+    run_with_fixture(CarrierFixture, steps)
 
 
 @test("a reset at every byte of a response: completed only if the response is complete, and no retry here")
@@ -233,7 +233,7 @@
             else:
                 assert fixture.results == [api.Result.RESET], str(cut)
 
-        play_with(CarrierFixture, steps)
+        run_with_fixture(CarrierFixture, steps)
     assert completed_cuts == {len(complete)}
 
 
@@ -245,7 +245,7 @@
         await asyncio.sleep(2.0)
         assert not fixture.verdicts and fixture.results == [api.Result.RESET] and fixture.connections[0].lost
 
-    play_with(CarrierFixture, steps)
+    run_with_fixture(CarrierFixture, steps)
 
 
 @test("no response: a timeout after the guard time, a closed connection, and a late response is ignored")
@@ -258,7 +258,7 @@
         await fixture.deliver(1, "m1")
         assert len(fixture.requests) == 2 and len(fixture.connections) == 2
 
-    play_with(CarrierFixture, steps)
+    run_with_fixture(CarrierFixture, steps)
 
 
 @test("the deadline of a request ends before the call times out, however long connecting took")
@@ -274,7 +274,7 @@
         assert sent + deadline_s <= started_at + GUARD_S + 0.002, str((arrived - started_at, deadline_s))
         assert fixture.results == [api.Result.TIMEOUT] and connection.lost
 
-    play_with(CarrierFixture, steps)
+    run_with_fixture(CarrierFixture, steps)
 
 
 ROUTE = {
@@ -318,7 +318,7 @@
             deadline_s = requested_deadline_s(data)
             assert second > first + deadline_s, str((first, deadline_s, second))
 
-    play_with(CarrierFixture, steps)
+    run_with_fixture(CarrierFixture, steps)
 
 
 @test("a second response to a failed attempt does not count as another failure")
@@ -337,4 +337,4 @@
         (delivery,) = dispatching.dispatcher._deliveries.by_id.values()
         assert delivery.record.attempts == 1
 
-    play_with(CarrierFixture, steps)
+    run_with_fixture(CarrierFixture, steps)
--- a/tests/cluster/test_cluster.py
+++ b/tests/cluster/test_cluster.py
@@ -18,15 +18,15 @@
     Plan,
     assert_nothing_lost,
     call_control,
+    executed_more_than_once,
     isolate,
-    on_disk,
-    planted,
+    patched_attribute,
     play,
     play_faults,
-    repeated,
+    stores_with_durable_copy,
     submit,
     submit_in_turn,
-    successes,
+    success_count,
     until,
 )
 
@@ -35,7 +35,7 @@
 def _() -> None:
     cluster, breaches = play_faults()
     assert_nothing_lost(cluster, breaches)
-    assert all(successes(cluster, id) == 1 for id in cluster.history.runs)
+    assert all(success_count(cluster, id) == 1 for id in cluster.history.runs)
 
 
 @test("a message answered 202 is on the disks of at least two stores, so that either disk may be lost")
@@ -46,7 +46,7 @@
             target.crash()
         for n in range(12):
             sent = await submit(scenario, f"f{n % 3}")
-            assert sent.status == 202 and len(on_disk(scenario.cluster, sent.id)) >= 2
+            assert sent.status == 202 and len(stores_with_durable_copy(scenario.cluster, sent.id)) >= 2
 
     assert not play(Plan(1), steps)[1]
 
@@ -99,7 +99,7 @@
         sent = await submit_in_turn(scenario, 12, delay_ms=1000)
         cluster.nodes["s0"].kill(30.0)
         await asyncio.sleep(3.0)
-        assert all(successes(cluster, s.id) >= 1 for s in sent)
+        assert all(success_count(cluster, s.id) >= 1 for s in sent)
 
     assert not play(Plan(4), steps)[1]
 
@@ -112,7 +112,7 @@
         sent = await submit_in_turn(scenario, 12, delay_ms=500)
         cluster.nodes["s1"].power_off(30.0)
         await asyncio.sleep(5.0)
-        assert all(successes(cluster, s.id) >= 1 for s in sent)
+        assert all(success_count(cluster, s.id) >= 1 for s in sent)
 
     assert not play(Plan(5), steps)[1]
 
@@ -128,7 +128,7 @@
         await until(lambda: not replicator.ownership.may_deliver(), 3.0)
         owned = {r.id for r in replicator.local_store.index.owned_by("s0")}
         await asyncio.sleep(6.0)
-        assert all(successes(cluster, s.id) == 1 for s in sent)
+        assert all(success_count(cluster, s.id) == 1 for s in sent)
         assert owned & {s.id for s in sent} <= cluster.history.runs.keys()
 
     assert not play(Plan(6), steps)[1]
@@ -143,7 +143,7 @@
         duration_s=8.0,
     )
     assert_nothing_lost(cluster, breaches)
-    assert not repeated(cluster), str(repeated(cluster))
+    assert not executed_more_than_once(cluster), str(executed_more_than_once(cluster))
 
 
 @test("a rolling shutdown of the forwarders under load leaves no request unanswered")
@@ -175,7 +175,7 @@
         assert (await call_control(cluster, "s1", "GET", "/api/configuration/retrieve")).status == 503
         await until(lambda: wiped.replicator.phase is Phase.SERVING, 10.0)
         await asyncio.sleep(1.0)
-        assert all(len(on_disk(cluster, s.id)) >= 2 for s in sent)
+        assert all(len(stores_with_durable_copy(cluster, s.id)) >= 2 for s in sent)
 
     assert not play(Plan(8), steps)[1]
 
@@ -402,5 +402,5 @@
     async def skip_repair(self: Repair, peer: object) -> None:
         pass
 
-    with planted(Repair, "repair_peer", skip_repair):
+    with patched_attribute(Repair, "repair_peer", skip_repair):
         play(Plan(6, zones=1, stores=5, tolerated_losses=2), steps)
--- a/tests/cluster/test_disks.py
+++ b/tests/cluster/test_disks.py
@@ -39,15 +39,15 @@
     MessageState,
     Plan,
     assert_nothing_lost,
-    on_disk,
-    planted,
+    executed_more_than_once,
+    patched_attribute,
     play,
     play_faults,
     record,
-    repeated,
+    stores_with_durable_copy,
     submit,
     submit_in_turn,
-    successes,
+    success_count,
     until,
 )
 
@@ -223,7 +223,7 @@
 
 def assert_no_repeated_success(cluster: SimulatedCluster) -> None:
     """No message succeeded twice."""
-    assert not repeated(cluster), str(repeated(cluster)[:3])
+    assert not executed_more_than_once(cluster), str(executed_more_than_once(cluster)[:3])
 
 
 @test("{kind} at one store for {seconds} s under load: every accepted message is completed once")
@@ -304,7 +304,7 @@
     for name in ("s0", "s1"):
         cluster.nodes[name].disk.fail(DiskFault.FULL)
     first = await submit_in_turn(scenario, 6)
-    assert not [s.id for s in first if s.status == 202 and len(on_disk(cluster, s.id)) < 2]
+    assert not [s.id for s in first if s.status == 202 and len(stores_with_durable_copy(cluster, s.id)) < 2]
     assert {s.status for s in first} <= {503, 504}, str([s.status for s in first])
     await asyncio.sleep(1.0)
     refused = await submit_in_turn(scenario, 9)
@@ -314,9 +314,9 @@
         cluster.nodes[name].disk.recover()
     await asyncio.sleep(2.0)
     later = await submit(scenario)
-    assert later.status == 202 and len(on_disk(cluster, later.id)) >= 2
+    assert later.status == 202 and len(stores_with_durable_copy(cluster, later.id)) >= 2
     await asyncio.sleep(5.0)
-    assert successes(cluster, later.id) == 1
+    assert success_count(cluster, later.id) == 1
     assert not [s.id for s in [*first, *refused] if s.status == 503 and s.id in cluster.history.runs]
     assert_stores_recovered(cluster)
 
@@ -344,7 +344,7 @@
     for name in STORES:
         cluster.nodes[name].disk.recover()
     await asyncio.sleep(8.0)
-    assert [successes(cluster, s.id) for s in sent] == [1] * 9
+    assert [success_count(cluster, s.id) for s in sent] == [1] * 9
 
 
 @test("while no disk accepts outcomes nothing is sent, so that no message repeats after a loss of power")
@@ -369,7 +369,7 @@
         lines = find_problems(await collect_reports((cluster.nodes["s1"].host, INNER_PORT)))
         assert "s0: its disk is failing" in lines, str(lines)
         await asyncio.sleep(2.5)
-        assert [successes(cluster, s.id) for s in sent] == [1] * 12
+        assert [success_count(cluster, s.id) for s in sent] == [1] * 12
         late = [s for s in sent if cluster.history.runs[s.id][0].at > s.sent_at + s.delay_s + 0.8]
         assert not late
         cluster.nodes["s0"].disk.recover()
@@ -429,7 +429,7 @@
             return (await send_request(address, "GET", f"{path}{sent.id}", b"", headers, 2.0)).status
 
         original_open, healthy_at = RecordDatabase.open, cluster.loop.time() + 10.0
-        with planted(RecordDatabase, "open", unreadable):
+        with patched_attribute(RecordDatabase, "open", unreadable):
             for node in stores:
                 node.kill(0.1)
             await asyncio.sleep(6.0)
@@ -458,14 +458,14 @@
             original_open(self)
 
         original_open, healthy_at = RecordDatabase.open, cluster.loop.time() + 8.0
-        with planted(RecordDatabase, "open", unreadable):
+        with patched_attribute(RecordDatabase, "open", unreadable):
             node.kill(0.1)
             await asyncio.sleep(5.5)
             assert node.up and disk_state(node) is DiskState.UNREADABLE
-            assert [successes(cluster, s.id) for s in sent] == [1] * 12
+            assert [success_count(cluster, s.id) for s in sent] == [1] * 12
             await asyncio.sleep(6.0)
         assert disk_state(node) is DiskState.OK
-        assert [successes(cluster, s.id) for s in sent] == [1] * 12
+        assert [success_count(cluster, s.id) for s in sent] == [1] * 12
 
     assert not play(Plan(44), steps)[1]
 
@@ -485,7 +485,9 @@
         assert known is None or (known.owner, known.epoch) == ("s0", 1)
         cluster.nodes["s0"].disk.sync_s = 0.001
         await asyncio.sleep(6.0)
-        assert successes(cluster, sent.id) <= 1 and (sent.status != 503 or not successes(cluster, sent.id))
+        assert success_count(cluster, sent.id) <= 1 and (
+            sent.status != 503 or not success_count(cluster, sent.id)
+        )
 
     assert not play(Plan(45), steps)[1]
 
@@ -673,7 +675,7 @@
         return "LOST" in found
 
     assert not loses_messages()
-    with planted(GroupCommit, "_attempt", attempt), planted(DiskHealth, "failing", False):
+    with patched_attribute(GroupCommit, "_attempt", attempt), patched_attribute(DiskHealth, "failing", False):
         assert loses_messages()
 
 
@@ -694,12 +696,12 @@
             if found is not None:
                 local_store.merge(found, MessageState.DEAD_LETTERED, "", found.epoch, found.owner, 0)
         await asyncio.sleep(1.0)
-        for name in on_disk(cluster, sent.id):
+        for name in stores_with_durable_copy(cluster, sent.id):
             stored = cluster.nodes[name].replicator.local_store.database.load(0.0)
             assert [r.state for r in stored if r.id == sent.id] == [MessageState.DEAD_LETTERED]
 
     assert not detects_fault(steps)
-    with planted(PendingWrites, "add_all", add_all):
+    with patched_attribute(PendingWrites, "add_all", add_all):
         assert detects_fault(steps)
 
 
@@ -707,8 +709,8 @@
 def _() -> None:
     assert not detects_fault(check_refusals_while_disks_full)
     with (
-        planted(LocalStore, "commits_promptly", lambda self: True),
-        planted(DiskReports, "is_writable", lambda self, node: True),
+        patched_attribute(LocalStore, "commits_promptly", lambda self: True),
+        patched_attribute(DiskReports, "is_writable", lambda self, node: True),
     ):
         assert detects_fault(check_refusals_while_disks_full)
 
@@ -716,7 +718,7 @@
 @test("planted: starting deliveries while no disk accepts their outcomes is detected")
 def _() -> None:
     assert not detects_fault(check_deliveries_wait_while_disks_full)
-    with planted(MessageStore, "may_start_deliveries", lambda self: self.ownership.may_deliver()):
+    with patched_attribute(MessageStore, "may_start_deliveries", lambda self: self.ownership.may_deliver()):
         assert detects_fault(check_deliveries_wait_while_disks_full)
 
 
@@ -726,7 +728,7 @@
         return True
 
     assert not detects_fault(check_voter_with_failing_disk)
-    with planted(DurableRecord, "_write", write):
+    with patched_attribute(DurableRecord, "_write", write):
         assert detects_fault(check_voter_with_failing_disk)
 
 
@@ -749,5 +751,5 @@
         return False
 
     assert not detects_loss()
-    with planted(RecordStorage, "write", write):
+    with patched_attribute(RecordStorage, "write", write):
         assert detects_loss()
--- a/tests/cluster/test_heartbeats.py
+++ b/tests/cluster/test_heartbeats.py
@@ -40,7 +40,7 @@
     digest = SimpleNamespace(value=11)
     membership: Any = SimpleNamespace(roster=SimpleNamespace(digest=lambda: digest.value))
     active_configuration: Any = SimpleNamespace(revision=3)
-    settings: Any = SimpleNamespace(node="n1", stores=store is not None)
+    settings: Any = SimpleNamespace(node="n1", is_store=store is not None)
     unused: Any = None
     return (
         HeartbeatService(settings, unused, membership, unused, active_configuration, store),
--- a/tests/cluster/test_ingress.py
+++ b/tests/cluster/test_ingress.py
@@ -9,7 +9,7 @@
 from emberlatch.cluster.ingress import HttpListener
 from emberlatch.engine import Tasks
 from emberlatch.net.server import Reply, Request
-from tests.cluster.rpc_support import ConnectionEnd, World, play_with
+from tests.cluster.rpc_support import ConnectionEnd, World, run_with_fixture
 
 FRONT = ("front", 1)
 
@@ -76,7 +76,7 @@
         await asyncio.sleep(0.1)
         assert client.bodies() == [b"/a", b"/b", b"/c"]
 
-    play_with(GatedListener, steps)
+    run_with_fixture(GatedListener, steps)
 
 
 @test("clients with concurrent requests each get the answer to their own request, in any order of completion")
@@ -92,7 +92,7 @@
             assert clients[n].bodies() == [b"/%d" % n]
         assert all(len(client.bodies()) == 1 for client in clients)
 
-    play_with(GatedListener, steps)
+    run_with_fixture(GatedListener, steps)
 
 
 @test("the answer to a client that disconnected is not sent to the client that connects next")
@@ -114,7 +114,7 @@
             await asyncio.sleep(0.1)
             assert next_client.bodies() == [b"/next"]
 
-    play_with(GatedListener, steps)
+    run_with_fixture(GatedListener, steps)
 
 
 @test("a request that is truncated at any byte is not handled; the complete request is")
@@ -136,7 +136,7 @@
                 else:
                     assert b"200" not in client.statuses(), str(cut)
 
-            play_with(GatedListener, steps)
+            run_with_fixture(GatedListener, steps)
     assert handled_at == {len(complete)}
 
 
@@ -155,7 +155,7 @@
         assert client.statuses() == [b"200", b"408"] and client.bodies()[0] == b"/a"
         assert listener.handled == [b"/a"] and client.lost
 
-    play_with(GatedListener, steps)
+    run_with_fixture(GatedListener, steps)
 
 
 @test(
@@ -170,7 +170,7 @@
         await asyncio.sleep(1.0)
         assert client.statuses() == [b"200", b"400"] and listener.handled == [b"/a"]
 
-    play_with(GatedListener, steps)
+    run_with_fixture(GatedListener, steps)
 
 
 @test("a request whose handler fails is answered 500, and other requests are answered normally")
@@ -188,4 +188,4 @@
         assert client.statuses() == [b"200", b"500", b"200"]
         assert client.bodies()[::2] == [b"/a", b"/b"]
 
-    play_with(GatedListener, steps)
+    run_with_fixture(GatedListener, steps)
--- a/tests/cluster/test_members.py
+++ b/tests/cluster/test_members.py
@@ -10,7 +10,7 @@
 from emberlatch.cluster.membership.roster_exchange import RosterExchange
 from emberlatch.simulation.growth import measure
 from emberlatch.simulation.scenario import Scenario
-from tests.cluster.support import Plan, planted, play, until
+from tests.cluster.support import Plan, patched_attribute, play, until
 
 ME = Member("a", "10.0.0.1", 7300, "z0", "r", True, True, "", 5)
 
@@ -57,7 +57,7 @@
         scenario.cluster.add_store("late", "z1")
         await until(lambda: len(digests(scenario)) == 1, 6.0)
 
-    with planted(RosterExchange, "_send_updates", lambda self: None):
+    with patched_attribute(RosterExchange, "_send_updates", lambda self: None):
         play(Plan(5, forwarders=6, stores=6), steps)
 
 
--- a/tests/cluster/test_planted.py
+++ b/tests/cluster/test_planted.py
@@ -29,7 +29,7 @@
 from emberlatch.cluster.settings import read_configuration
 from emberlatch.core.interface import Outcome
 from emberlatch.simulation.scenario import Scenario
-from tests.cluster.support import Fault, FaultKind, Plan, planted, play, play_faults, submit
+from tests.cluster.support import Fault, FaultKind, Plan, patched_attribute, play, play_faults, submit
 
 
 def rules(*faults: Fault, **options: Any) -> set[str]:
@@ -40,8 +40,8 @@
 @test("a 202 after a write to a single disk is detected as LOST")
 def _() -> None:
     with (
-        planted(Replication, "_next_candidate", lambda self, have: None),
-        planted(MembershipView, "satisfies_quorum", lambda self, nodes: bool(nodes)),
+        patched_attribute(Replication, "_next_candidate", lambda self, have: None),
+        patched_attribute(MembershipView, "satisfies_quorum", lambda self, nodes: bool(nodes)),
     ):
         assert "LOST" in rules(Fault(3.0, FaultKind.POWER_OFF_AND_WIPE, "s0", 1.0))
 
@@ -51,7 +51,10 @@
     async def cancel(self: Cancellation, record: Record, asked: set[str], epoch: int) -> bool:
         return True
 
-    with planted(Cancellation, "cancel", cancel), planted(submitter, "STORE_TIMEOUT_S", 0.45):
+    with (
+        patched_attribute(Cancellation, "cancel", cancel),
+        patched_attribute(submitter, "STORE_TIMEOUT_S", 0.45),
+    ):
 
         async def steps(scenario: Scenario) -> None:
             await scenario.start()
@@ -79,7 +82,7 @@
             delivery.stage = DeliveryStage.READY
         await hand_over([delivery.record for delivery in deliveries])
 
-    with planted(Dispatcher, "close", close):
+    with patched_attribute(Dispatcher, "close", close):
         found = set[str]()
         for seed in range(6):
             cluster, breaches = play_faults(
@@ -101,7 +104,7 @@
         history = (*state.history, (self.revision, text_digest(self.text)))
         return replace(state, revision=self.revision, text=self.text, history=history)
 
-    with planted(Configure, "apply", apply_any_revision):
+    with patched_attribute(Configure, "apply", apply_any_revision):
         found = set[str]()
         for seed in range(4):
 
@@ -127,7 +130,7 @@
             reported.state = type(reported.state)(0)
         return original(self, reported, now)
 
-    with planted(TargetDirectory, "_merge", merge):
+    with patched_attribute(TargetDirectory, "_merge", merge):
         assert "DRAIN" in rules(
             *(Fault(0.3 + n / 2, FaultKind.TARGET_LEAVE) for n in range(4)),
             targets=4,
@@ -138,7 +141,7 @@
 
 @test("a store that uses the complete rate limit instead of its share is detected as CEILING")
 def _() -> None:
-    with planted(QuotaShares, "divisor", lambda self, service: 1.0):
+    with patched_attribute(QuotaShares, "divisor", lambda self, service: 1.0):
         assert "CEILING" in rules(rate_limit_per_s=4.0, messages_per_s=60.0, duration_s=10.0)
 
 
@@ -147,7 +150,7 @@
     async def skip_repair(self: Repair, peer: Any) -> None:
         self.repaired_at[peer.name] = 1e12
 
-    with planted(Repair, "repair_peer", skip_repair):
+    with patched_attribute(Repair, "repair_peer", skip_repair):
         found = set[str]()
         for seed in range(4):
 
@@ -175,7 +178,7 @@
         copy.due_at -= 1.5 if copy.state is MessageState.QUEUED and copy.due_at > copy.sent_at else 0.0
         return copy
 
-    with planted(Record, "from_wire", staticmethod(from_wire)):
+    with patched_attribute(Record, "from_wire", staticmethod(from_wire)):
         found = set[str]()
         for seed in range(3):
             found |= rules(Fault(3.0, FaultKind.KILL_ALL, "", 0.5), seed=seed, messages_per_s=60.0)
@@ -192,7 +195,7 @@
             delivery.record.attempts += 3
         original(self, outcome)
 
-    with planted(OutcomeHandler, "on_outcome", on_outcome):
+    with patched_attribute(OutcomeHandler, "on_outcome", on_outcome):
         assert "MIXED" in rules(forced_failure_share=0.1)
 
 
@@ -207,7 +210,7 @@
         original(self, delivery, state, seal)
         return None
 
-    with planted(OutcomeHandler, "_finish", finish):
+    with patched_attribute(OutcomeHandler, "_finish", finish):
         assert "TWICE" in rules()
 
 
@@ -216,7 +219,7 @@
     async def notify_nobody(self: LocalHandler, target: Any, changed: bool) -> None:
         pass
 
-    with planted(LocalHandler, "_notify_stores", notify_nobody):
+    with patched_attribute(LocalHandler, "_notify_stores", notify_nobody):
         found = set[str]()
         # The breach needs a target whose later heartbeats all reach the store that received the first one.
         for seed in range(12):
@@ -235,8 +238,8 @@
         return replace(original(self, ref, target), expected_instance="")
 
     with (
-        planted(Dispatcher, "delivery_request", request),
-        planted(TargetDirectory, "_register", _register_without_removal),
+        patched_attribute(Dispatcher, "delivery_request", request),
+        patched_attribute(TargetDirectory, "_register", _register_without_removal),
     ):
         found = set[str]()
         for seed in range(3):
@@ -270,5 +273,5 @@
             )
 
     assert not play(Plan(3), steps)[1]
-    with planted(ActiveConfiguration, "adopt", adopt_any_revision):
+    with patched_attribute(ActiveConfiguration, "adopt", adopt_any_revision):
         assert {b.rule for b in play(Plan(3), steps)[1]} >= {"CONFIG"}
--- a/tests/cluster/test_repeated_calls.py
+++ b/tests/cluster/test_repeated_calls.py
@@ -31,7 +31,7 @@
     FaultKind,
     Plan,
     assert_all_completed,
-    planted,
+    patched_attribute,
     play,
     play_faults,
     until,
@@ -109,7 +109,7 @@
     def serve(handlers: RequestHandlers, connection: RpcConnection, method: str, payload: Any) -> Any:
         return duplicator.serve(handlers, connection, method, payload)
 
-    with planted(RequestHandlers, "serve", serve):
+    with patched_attribute(RequestHandlers, "serve", serve):
         cluster, breaches = play_faults(*FAULTS, forced_failure_share=0.02)
     assert not breaches, str((name, delay_s, breaches[:3]))
     accepted = [s for s in cluster.history.sent.values() if s.status == 202]
@@ -256,7 +256,10 @@
         served.extend([payload] if method == name else [])
         return _original_serve(handlers, connection, method, payload)
 
-    with planted(RpcConnection, "_on_request", handle_and_repeat), planted(RequestHandlers, "serve", serve):
+    with (
+        patched_attribute(RpcConnection, "_on_request", handle_and_repeat),
+        patched_attribute(RequestHandlers, "serve", serve),
+    ):
         cluster, breaches = play_faults(*FAULTS)
     assert not breaches, str(breaches[:3])
     nodes = [node.program for node in cluster.nodes.values() if node.program is not None]
--- a/tests/cluster/test_state.py
+++ b/tests/cluster/test_state.py
@@ -27,13 +27,13 @@
     assert_nothing_lost,
     call_control,
     isolate,
-    on_disk,
-    planted,
+    patched_attribute,
     play,
     play_faults,
+    stores_with_durable_copy,
     submit,
     submit_in_turn,
-    successes,
+    success_count,
     until,
 )
 
@@ -48,10 +48,10 @@
         assert process is not None
         process.suspend()
         await asyncio.sleep(4.5)
-        assert all(successes(cluster, s.id) == 1 for s in sent)
+        assert all(success_count(cluster, s.id) == 1 for s in sent)
         process.resume(cluster.loop)
         await asyncio.sleep(3.0)
-        assert all(successes(cluster, s.id) == 1 for s in sent)
+        assert all(success_count(cluster, s.id) == 1 for s in sent)
         assert cluster.nodes["s0"].replicator.ownership.may_deliver()
 
     assert not play(Plan(21), steps)[1]
@@ -70,7 +70,7 @@
         cluster.add_store("s9", "z0")
         await asyncio.sleep(4.5)
         for one in sent:
-            assert len([n for n in on_disk(cluster, one.id) if n != "s0"]) >= 2
+            assert len([n for n in stores_with_durable_copy(cluster, one.id) if n != "s0"]) >= 2
         await until(lambda: "s0" not in cluster.nodes["s1"].running.membership.counted_stores(), 8.0)
         cluster.nodes["s1"].power_off(1.0)
         await asyncio.sleep(0.5)
@@ -92,7 +92,7 @@
         answers = [sent.status for sent in await submit_in_turn(scenario, 30)]
         assert answers.count(202) == 30, str(answers)
         await asyncio.sleep(14.0)
-        assert all(successes(cluster, id) == 1 for id in cluster.history.sent)
+        assert all(success_count(cluster, id) == 1 for id in cluster.history.sent)
 
     assert not play(Plan(23), steps)[1]
 
@@ -110,7 +110,7 @@
             targets = cluster.nodes[node].target_directory.targets_by_id.values()
             assert all(target.available for target in targets), node
         await asyncio.sleep(5.0)
-        assert all(successes(cluster, s.id) == 1 for s in sent)
+        assert all(success_count(cluster, s.id) == 1 for s in sent)
         epochs = {cluster.nodes["s1"].replicator.local_store.index.records[s.id].epoch for s in sent}
         assert epochs == {1}, str(epochs)
 
@@ -129,7 +129,7 @@
             sent = await submission
             assert sent.status == 202
             await asyncio.sleep(3.0)
-            assert successes(cluster, sent.id) == 1
+            assert success_count(cluster, sent.id) == 1
 
     assert not play(Plan(30), steps)[1]
 
@@ -175,7 +175,7 @@
         assert len(quick) >= 24, str([round(s.answered_at - s.sent_at, 3) for s in sent])
         cluster.nodes["s1"].disk.sync_s = 0.001
         await asyncio.sleep(8.0)
-        assert all(successes(cluster, s.id) == 1 for s in sent)
+        assert all(success_count(cluster, s.id) == 1 for s in sent)
 
     assert not play(Plan(24), steps)[1]
 
@@ -232,10 +232,10 @@
         cluster.nodes["s1"].power_off(1000.0, wipe=True)
         await asyncio.sleep(0.1)
         for one in waiting:
-            assert len([n for n in on_disk(cluster, one.id) if n != "s1"]) >= 2
+            assert len([n for n in stores_with_durable_copy(cluster, one.id) if n != "s1"]) >= 2
         assert (await submit(scenario, "f0")).status == 202
         await asyncio.sleep(22.0)
-        assert all(successes(cluster, id) == 1 for id in cluster.history.sent)
+        assert all(success_count(cluster, id) == 1 for id in cluster.history.sent)
         late = [s for s in waiting if cluster.history.runs[s.id][0].at > s.sent_at + s.delay_s + 1.0]
         assert not late
 
@@ -419,7 +419,7 @@
                 f"{one.id} ran {after_kill_s} s after the kill, expected at most one; restart after {again} s"
             )
 
-    with planted(peer, "REDIAL_BACKOFF_S", (0.05, 4.0)):
+    with patched_attribute(peer, "REDIAL_BACKOFF_S", (0.05, 4.0)):
         play(Plan(23, targets=6), steps)
 
 
@@ -471,5 +471,5 @@
         await asyncio.sleep(2.0)
         assert sent.id not in cluster.history.runs
 
-    with planted(Carrier, "_connect", connect_slowly):
+    with patched_attribute(Carrier, "_connect", connect_slowly):
         assert not play(Plan(25), steps)[1]
