--- a/emberlatch/cluster/consensus/state_client.py
+++ b/emberlatch/cluster/consensus/state_client.py
@@ -45,8 +45,8 @@
     async def commit_configuration(self, revision: int, text: bytes) -> CommitOutcome:
         """Commit a valid configuration under its revision.
 
-        Nothing is submitted before the cluster is founded: the seeds would decide the configuration in place
-        of the founding, which could then never happen.
+        Nothing is submitted before the cluster is founded. If the seeds chose the configuration as the first
+        command, the cluster could no longer be founded, because the founding applies only to version 0.
         """
         if self._service.state.version == 0:
             return CommitOutcome.UNDECIDED
--- a/emberlatch/cluster/membership/view.py
+++ b/emberlatch/cluster/membership/view.py
@@ -162,7 +162,10 @@
     # Contact with the voters.
 
     def has_majority_contact(self) -> bool:
-        """Whether no other machine can have a majority of the voters without this one; see `VoterContact`."""
+        """Whether a majority of the voters each has a link to this process or has certainly stopped.
+
+        Any other majority then contains a voter with a link to this process; see `VoterContact`.
+        """
         return self._contact.has_majority_contact()
 
     def has_confirmed_majority(self) -> bool:
--- a/emberlatch/cluster/message_store/record.py
+++ b/emberlatch/cluster/message_store/record.py
@@ -22,7 +22,7 @@
     """The state of a message. The numbers are stored and sent; `rank` says which state outweighs which."""
 
     QUEUED = 0
-    CANCELLED = 1  # a tombstone: not accepted under this epoch; its client was informed so or got no reply
+    CANCELLED = 1  # a tombstone: not accepted under this epoch; its client got a reply that says so or none
     DEAD_LETTERED = 2  # no more attempts; log event 601 names the reason
     COMPLETED = 3
 
--- a/emberlatch/core/health.py
+++ b/emberlatch/core/health.py
@@ -127,7 +127,8 @@
         route.ejection_reason = EjectionReason.NONE
         if had_outage:
             # The route recovered at an unknown time since its last failure, on average half-way. The errors
-            # in the estimates of many forwarders even out; fewer forwarders assume less warm time.
+            # in the estimates of many forwarders even out; with fewer forwarders, `fair_share` lowers the
+            # estimate, down to 0 for at most `UNCOORDINATED_FORWARDERS`.
             estimated_warm_time = (1 - self._slow_start.fair_share()) * (now - route.last_failure_at) / 2
             route.slow_start_until = now + max(0.0, self._context.rules.slow_start - estimated_warm_time)
             route.next_trial_at = now if extra_allowed else self._slow_start.next_call_at(route)
--- a/emberlatch/core/key_order.py
+++ b/emberlatch/core/key_order.py
@@ -36,7 +36,7 @@
             self._queues.pop(message.key, None)
 
     def head(self, key: int) -> list[int]:
-        """Return the ref of the first message in a key's queue, or an empty list."""
+        """Return a list with the ref of the first message in a key's queue; empty if no message is queued."""
         return list(self._queues.get(key, ()))[:1]
 
     def on_sent(self, message: Message) -> None:
--- a/tests/cluster/test_capacity.py
+++ b/tests/cluster/test_capacity.py
@@ -49,9 +49,8 @@
 def _() -> None:
     for forwarders, stores in ((6, 6), (12, 6), (6, 12), (12, 12)):
         of_forwarders = forwarders * 2 * FULL_RATE_STORES / DEFAULT_HEARTBEAT_INTERVAL_S / stores
-        of_stores = (
-            (stores - 1) * 2 * 2 / DEFAULT_HEARTBEAT_INTERVAL_S
-        )  # each sends the other a request and a response
+        # Each sends the other a request and a response.
+        of_stores = (stores - 1) * 2 * 2 / DEFAULT_HEARTBEAT_INTERVAL_S
         most = (of_forwarders + of_stores) * TOLERANCE + TARGETS_FRAMES
         assert frames(growth(forwarders, stores).busiest_store) <= most, (forwarders, stores)
 
