--- a/emberlatch/cluster/dispatch/dispatcher.py
+++ b/emberlatch/cluster/dispatch/dispatcher.py
@@ -25,7 +25,7 @@
 from emberlatch.cluster.message_store import MessageState, Record, UndeliverableReason, log_undeliverable
 from emberlatch.cluster.settings import Configuration
 from emberlatch.core import interface as api
-from emberlatch.core.rules import Forwarder
+from emberlatch.core.forwarder import Forwarder
 from emberlatch.engine import CallItem, Tasks
 
 CONFIGURATION_RETRY_S = 0.1  # delay of a message whose configuration this store does not have yet
--- a/emberlatch/core/attempts.py
+++ b/emberlatch/core/attempts.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from emberlatch.core.context import Context
 from emberlatch.core.records import Endpoint, Message
 from emberlatch.core.settings import Effect, Scope
-from emberlatch.core.state import Context
 
 # A repeated attempt must reach the endpoint at least this long before the endpoint drops the idempotency key.
 DEDUP_MARGIN_S = 0.1
--- a/emberlatch/core/calls.py
+++ b/emberlatch/core/calls.py
@@ -7,13 +7,13 @@
 from emberlatch.core.actions import Cancel
 from emberlatch.core.attempts import AttemptPolicy
 from emberlatch.core.bulkhead import Bulkhead
+from emberlatch.core.context import Context
+from emberlatch.core.endpoint_list import EndpointList
 from emberlatch.core.events import Outcome, Result
 from emberlatch.core.health import RETRY_BACKOFF_S, RouteHealth
-from emberlatch.core.listing import EndpointList
 from emberlatch.core.messages import MessageQueue
 from emberlatch.core.pools import PoolTable
 from emberlatch.core.records import Call, Message, UncertainAttempt
-from emberlatch.core.state import Context
 
 # A call is taken to be stuck, not just slow, once this many later calls were answered before it.
 OVERTAKING_CALLS = 3
--- a/emberlatch/core/placing.py
+++ b/emberlatch/core/dispatcher.py
@@ -9,15 +9,15 @@
 from emberlatch.core.attempts import AttemptPolicy
 from emberlatch.core.bulkhead import Bulkhead
 from emberlatch.core.calls import CallTable
+from emberlatch.core.context import Context
+from emberlatch.core.endpoint_list import EndpointList
 from emberlatch.core.events import Target
 from emberlatch.core.key_order import KeyOrder
-from emberlatch.core.listing import EndpointList
 from emberlatch.core.pools import PoolTable
 from emberlatch.core.records import Call, Endpoint, Message, Pool, Route
 from emberlatch.core.send_rate import RateControl
 from emberlatch.core.settings import Effect
 from emberlatch.core.slow_start import SlowStart
-from emberlatch.core.state import Context
 
 # Latency that each additional message adds to a call, relative to a call with one message. This is an
 # estimate, because endpoint kinds differ.
--- a/emberlatch/core/listing.py
+++ b/emberlatch/core/endpoint_list.py
@@ -5,12 +5,12 @@
 import math
 
 from emberlatch.core.actions import CloseIdle, SetDirectoryWatch
+from emberlatch.core.context import Context
 from emberlatch.core.events import DirectoryUpdate, Entry, ListKind, Phase, Result, Target
 from emberlatch.core.pools import PoolTable
 from emberlatch.core.records import Endpoint
 from emberlatch.core.settings import Weights
 from emberlatch.core.slow_start import SlowStart
-from emberlatch.core.state import Context
 
 MIN_CONNECTION_REUSE = 5.0  # expected calls for which an idle connection is kept open during a shortage
 CONNECTION_SHORTAGE_S = 30.0  # time for which connections count as short after a failure to connect
--- a/emberlatch/core/rules.py
+++ b/emberlatch/core/forwarder.py
@@ -8,17 +8,17 @@
 
 | part | module | owns |
 | --- | --- | --- |
-| `Context` | state.py | settings, current time, random source, the turn's actions |
+| `Context` | context.py | settings, current time, random source, the turn's actions |
 | `PoolTable` | pools.py | the pools, which of them a turn processes, wake-ups by destination |
 | `Bulkhead` | bulkhead.py | call slots |
-| `EndpointList`, `DirectoryPoll` | listing.py | endpoints, time of the next directory request |
+| `EndpointList`, `DirectoryPoll` | endpoint_list.py | endpoints, time of the next directory request |
 | `RouteHealth`, `SlowStart` | health.py, slow_start.py | nothing: they update and read records |
 | `CongestionEstimate`, `RateControl` | send_rate.py | the congestion estimate |
 | `MessageQueue`, `KeyOrder` | messages.py, key_order.py | open messages, their delivery order |
-| `WaitPolicy`, `SubmissionStatistics` | waiting.py | counts of rejections and resubmissions |
+| `WaitPolicy`, `SubmissionStatistics` | wait_policy.py | counts of rejections and resubmissions |
 | `AttemptPolicy` | attempts.py | nothing: it reads messages and their categories |
 | `CallTable` | calls.py | calls in flight |
-| `Dispatcher` | placing.py | calls of the turn to which messages can be added |
+| `Dispatcher` | dispatcher.py | calls of the turn to which messages can be added |
 | `WakeupPlanner`, `Timer` | wakeups.py, timers.py | the timer |
 """
 
@@ -31,6 +31,9 @@
 from emberlatch.core.attempts import AttemptPolicy
 from emberlatch.core.bulkhead import Bulkhead
 from emberlatch.core.calls import CallTable
+from emberlatch.core.context import Context
+from emberlatch.core.dispatcher import Dispatcher
+from emberlatch.core.endpoint_list import EndpointList
 from emberlatch.core.events import (
     Arrival,
     ClientDisconnected,
@@ -47,15 +50,12 @@
     Target,
 )
 from emberlatch.core.health import RouteHealth
-from emberlatch.core.listing import EndpointList
 from emberlatch.core.messages import MessageQueue
-from emberlatch.core.placing import Dispatcher
 from emberlatch.core.pools import PoolTable
 from emberlatch.core.records import Call, Endpoint, Message, Pool
 from emberlatch.core.send_rate import CongestionEstimate, RateControl
 from emberlatch.core.settings import Settings, Terms
 from emberlatch.core.slow_start import SlowStart
-from emberlatch.core.state import Context
 from emberlatch.core.timers import Timer
 from emberlatch.core.wakeups import WakeupPlanner
 
--- a/emberlatch/core/health.py
+++ b/emberlatch/core/health.py
@@ -10,6 +10,7 @@
 
 from emberlatch.core.actions import Probe
 from emberlatch.core.bulkhead import Bulkhead
+from emberlatch.core.context import Context
 from emberlatch.core.events import Outcome, ProbeResult, Result
 from emberlatch.core.records import (
     MIN_RESPONSE_TIMEOUT_S,
@@ -21,7 +22,6 @@
 )
 from emberlatch.core.send_rate import MIN_RATE_SHARE, CongestionEstimate
 from emberlatch.core.slow_start import SlowStart
-from emberlatch.core.state import Context
 
 SLOW_LATENCY_RATIO = 3.0  # a route is slow above this multiple of its pool's baseline latency
 # A single call without a response shows that its route hangs after this many response time-outs.
--- a/emberlatch/core/messages.py
+++ b/emberlatch/core/messages.py
@@ -7,14 +7,14 @@
 from emberlatch.core.actions import Fail, Reject
 from emberlatch.core.attempts import AttemptPolicy
 from emberlatch.core.bulkhead import Bulkhead
+from emberlatch.core.context import Context
 from emberlatch.core.events import Arrival, MessageRecovered
 from emberlatch.core.key_order import KeyOrder
 from emberlatch.core.pools import PoolTable
 from emberlatch.core.records import DEMAND_WINDOW_S, Message, Pool, UncertainAttempt
 from emberlatch.core.settings import Terms
 from emberlatch.core.slow_start import SlowStart
-from emberlatch.core.state import Context
-from emberlatch.core.waiting import SubmissionStatistics, WaitPolicy
+from emberlatch.core.wait_policy import SubmissionStatistics, WaitPolicy
 
 PEAK_RETENTION = 0.95  # factor by which a peak rate decays each second
 # A message is answered at least this long and two decision intervals before its deadline.
--- a/emberlatch/core/send_rate.py
+++ b/emberlatch/core/send_rate.py
@@ -8,8 +8,8 @@
 
 import math
 
+from emberlatch.core.context import Context
 from emberlatch.core.records import Route
-from emberlatch.core.state import Context
 
 # The initial send rate is this multiple of an even share of a known limit, because other forwarders may need
 # less than their shares.
--- a/emberlatch/core/slow_start.py
+++ b/emberlatch/core/slow_start.py
@@ -8,8 +8,8 @@
 
 import math
 
+from emberlatch.core.context import Context
 from emberlatch.core.records import EjectionReason, Route
-from emberlatch.core.state import Context
 
 # All forwarders together may use this share of the load that would overload a recovering route.
 SLOW_START_BUDGET = 0.75
--- a/emberlatch/core/timers.py
+++ b/emberlatch/core/timers.py
@@ -6,7 +6,7 @@
 import math
 
 from emberlatch.core.actions import SetTimer
-from emberlatch.core.state import Context
+from emberlatch.core.context import Context
 
 STALL_S = 0.2  # a timer that fires later than this shows that the process itself was stalled
 TIMER_ROUNDING_S = 1e-4  # time by which a timer may fire early, because clocks may be rounded
--- a/emberlatch/core/view.py
+++ b/emberlatch/core/view.py
@@ -8,8 +8,8 @@
 import math
 from typing import Literal, NamedTuple, TypedDict
 
+from emberlatch.core.forwarder import Forwarder
 from emberlatch.core.records import Endpoint, Pool, Route
-from emberlatch.core.rules import Forwarder
 
 MAX_POOLS = 500  # maximum number of pools in a snapshot
 
--- a/emberlatch/core/waiting.py
+++ b/emberlatch/core/wait_policy.py
@@ -8,8 +8,8 @@
 import math
 
 from emberlatch.core.bulkhead import Bulkhead
+from emberlatch.core.context import Context
 from emberlatch.core.records import Message, Pool, Route
-from emberlatch.core.state import Context
 
 # An outage is expected to continue for this share of its age. A share of 1 rejects too many messages.
 OUTAGE_REMAINDER_SHARE = 1 / 3
--- a/emberlatch/core/wakeups.py
+++ b/emberlatch/core/wakeups.py
@@ -8,12 +8,12 @@
 import math
 
 from emberlatch.core.bulkhead import Bulkhead
+from emberlatch.core.context import Context
 from emberlatch.core.health import RouteHealth
 from emberlatch.core.messages import MessageQueue
 from emberlatch.core.pools import PoolTable
 from emberlatch.core.records import Pool
 from emberlatch.core.send_rate import RateControl
-from emberlatch.core.state import Context
 
 
 class WakeupPlanner:
--- a/emberlatch/simlink/adapter.py
+++ b/emberlatch/simlink/adapter.py
@@ -6,8 +6,8 @@
 import sys
 from typing import BinaryIO
 
+from emberlatch.core.forwarder import Forwarder
 from emberlatch.core.interface import Action, Event
-from emberlatch.core.rules import Forwarder
 from emberlatch.simlink.decoder import HEADER, Decoder
 from emberlatch.simlink.encoder import encode_reply
 from emberlatch.simlink.errors import WireError
--- a/tests/core/test_slow_start.py
+++ b/tests/core/test_slow_start.py
@@ -11,7 +11,7 @@
 from emberlatch.core import interface as api
 from emberlatch.core.interface import DirectoryUpdate, Entry, ListKind, Result
 from emberlatch.core.records import EjectionReason
-from tests.core.test_waiting import arrive, module, serving
+from tests.core.test_wait_policy import arrive, module, serving
 
 ResultAt = Callable[[float], api.Result]
 
--- a/tests/faults/planted_bugs.py
+++ b/tests/faults/planted_bugs.py
@@ -13,12 +13,12 @@
 from emberlatch.core.attempts import AttemptPolicy
 from emberlatch.core.bulkhead import Bulkhead
 from emberlatch.core.calls import CallTable
+from emberlatch.core.endpoint_list import EndpointList
+from emberlatch.core.forwarder import Forwarder
 from emberlatch.core.health import RouteHealth
 from emberlatch.core.interface import Effect, Outcome, Phase, Result
-from emberlatch.core.listing import EndpointList
 from emberlatch.core.messages import MessageQueue
 from emberlatch.core.records import Pool, Route
-from emberlatch.core.rules import Forwarder
 from emberlatch.core.slow_start import SlowStart
 from emberlatch.directory import Backoff, Client, Drop, Failure
 from emberlatch.directory import client as directory_client
