--- a/emberlatch/cluster/consensus/state_client.py
+++ b/emberlatch/cluster/consensus/state_client.py
@@ -45,8 +45,8 @@
     async def commit_configuration(self, revision: int, text: bytes) -> CommitOutcome:
         """Commit a valid configuration under its revision.
 
-        Nothing is submitted before the cluster is founded: the seeds would decide the configuration in place
-        of the founding, which could then never happen.
+        Nothing is submitted before the cluster is founded. If the seeds chose the configuration as the first
+        command, the cluster could no longer be founded, because the founding applies only to version 0.
         """
         if self._service.state.version == 0:
             return CommitOutcome.UNDECIDED
@@ -54,12 +54,12 @@
             state = await self._service.submit(Configure(revision, text), self._timeout)
         except UndecidedError:
             return CommitOutcome.UNDECIDED
-        return _OUTCOMES[state.status(revision, text_digest(text))]
+        return _OUTCOMES[state.revision_status(revision, text_digest(text))]
 
     async def read(self) -> ControlState | None:
         """The current state; None if no majority confirms one in time."""
         try:
-            return await self._service.confirm(self._timeout)
+            return await self._service.read(self._timeout)
         except UndecidedError:
             return None
 
@@ -80,7 +80,7 @@
         Also False if no majority confirms that in time.
         """
         try:
-            state = await self._service.confirm_durable(self._timeout)
+            state = await self._service.read_durable(self._timeout)
         except UndecidedError:
             return False
         return state.decommission_mark(node) is DecommissionMark.EMPTY and state.voter(node) is None
--- a/emberlatch/cluster/dispatch/dispatcher.py
+++ b/emberlatch/cluster/dispatch/dispatcher.py
@@ -14,18 +14,18 @@
 from emberlatch.cluster.dispatch.decision_inbox import DecisionInbox
 from emberlatch.cluster.dispatch.delay_queue import DelayQueue
 from emberlatch.cluster.dispatch.delivery import Delivery, DeliveryStage, DeliveryTable
+from emberlatch.cluster.dispatch.delivery_result import DeliveryResult
 from emberlatch.cluster.dispatch.destinations import Destinations, EndpointUpdate
 from emberlatch.cluster.dispatch.module_settings import LeaseWaitCategories
-from emberlatch.cluster.dispatch.offering import Offering
+from emberlatch.cluster.dispatch.offers import ReadyOffers
 from emberlatch.cluster.dispatch.outcomes import OutcomeHandler
 from emberlatch.cluster.dispatch.ports import DeliveryOwner, DispatchSettings
 from emberlatch.cluster.dispatch.quota import ServiceQuotas
-from emberlatch.cluster.dispatch.verdict import Verdict
 from emberlatch.cluster.events import Event, log_event
 from emberlatch.cluster.message_store import MessageState, Record, UndeliverableReason, log_undeliverable
 from emberlatch.cluster.settings import Configuration
 from emberlatch.core import interface as api
-from emberlatch.core.rules import Forwarder
+from emberlatch.core.forwarder import Forwarder
 from emberlatch.engine import CallItem, Tasks
 
 CONFIGURATION_RETRY_S = 0.1  # delay of a message whose configuration this store does not have yet
@@ -52,7 +52,7 @@
         self._quotas = ServiceQuotas(settings, owner)
         self._outcomes = OutcomeHandler(self._deliveries, self._delayed, self._inbox, owner)
         categories = LeaseWaitCategories()
-        self._offering = Offering(
+        self._offers = ReadyOffers(
             self._deliveries,
             self._delayed,
             self._destinations,
@@ -84,7 +84,7 @@
 
     def deliver(self, record: Record) -> None:
         """Deliver a message once it is due; ignore one that has a delivery already or has ended."""
-        if record.id in self._deliveries.by_id or not record.open:
+        if record.id in self._deliveries.by_id or not record.is_queued:
             return
         delivery = self._deliveries.by_id[record.id] = Delivery(record)
         if record.due_at > self._loop.time():
@@ -102,12 +102,12 @@
         delivery = self._deliveries.by_id.get(record.id)
         if delivery is None:
             return True
-        if delivery.stage is DeliveryStage.IN_FLIGHT and record.open:
+        if delivery.stage is DeliveryStage.IN_FLIGHT and record.is_queued:
             return False
         self._outcomes.forget(delivery)
         return True
 
-    def idle(self) -> list[Record]:
+    def remove_idle(self) -> list[Record]:
         """Withdraw and return all messages that have no call in flight."""
         idle = [
             delivery
@@ -119,8 +119,8 @@
         return [delivery.record for delivery in idle]
 
     def schedule_decision(self) -> None:
-        """Schedule a decision, as `DeliveryOwner.may_send` may have changed without an event."""
-        if self._offering.has_queues and self._deliveries.by_id:
+        """Schedule a decision, as `DeliveryOwner.may_start_calls` may have changed without an event."""
+        if self._offers.has_queues and self._deliveries.by_id:
             self._inbox.schedule()
 
     async def close(self, hand_over: Callable[[list[Record]], Awaitable[None]], until: float) -> None:
@@ -131,7 +131,7 @@
         """
         self._deliveries.draining = True
         while self._deliveries.by_id:
-            if records := self.idle():
+            if records := self.remove_idle():
                 await hand_over(records)
             if self._loop.time() > until - SHUTDOWN_ABANDON_S:
                 break
@@ -151,7 +151,7 @@
         delivery = self._deliveries.by_ref.get(ref)
         return delivery is not None and self._owner.owns(delivery.record)
 
-    def on_verdict(self, ref: int, verdict: Verdict, seal: str) -> None:
+    def on_verdict(self, ref: int, verdict: DeliveryResult, seal: str) -> None:
         """Store the verdict on a response; the outcome of the call follows."""
         self._outcomes.on_verdict(ref, verdict, seal)
 
@@ -176,7 +176,7 @@
         A message whose route was removed is dead-lettered.
         """
         config, record = self._config, delivery.record
-        if config is None or config.revision < record.version:
+        if config is None or config.revision < record.config_revision:
             self._delayed.delay_for(delivery, CONFIGURATION_RETRY_S)
             return
         route = config.route(record.host, record.path.partition("?")[0])
@@ -186,11 +186,11 @@
             self._owner.finish(record, MessageState.DEAD_LETTERED, "")
             return
         delivery.route = route
-        self._offering.enqueue(delivery)
+        self._offers.enqueue(delivery)
 
     def _decide(self) -> None:
-        if not self._deliveries.draining and self._owner.may_send():
-            self._offering.offer_ready(self._config, self._loop.time())
+        if not self._deliveries.draining and self._owner.may_start_calls():
+            self._offers.offer_ready(self._config, self._loop.time())
         for action in self._module.handle(self._loop.time(), self._inbox.drain()):
             self._carry_out(action)
 
@@ -218,7 +218,7 @@
     def _send(self, ref: int, target: bytes) -> None:
         delivery = self._deliveries.by_ref.get(ref)
         if delivery is None or delivery.route is None:
-            self._inbox.add(api.ClientGone(ref))
+            self._inbox.add(api.ClientDisconnected(ref))
             return
         if not self._owner.owns(delivery.record):
             self._outcomes.forget(delivery)
--- a/emberlatch/cluster/message_store/ports.py
+++ b/emberlatch/cluster/message_store/ports.py
@@ -33,10 +33,10 @@
     def unreachable_s(self, node: str) -> float:
         """Return for how many seconds a majority of the voters has not heard from a machine."""
 
-    def leaving_stores(self) -> set[str]:
+    def decommissioning_stores(self) -> set[str]:
         """Return the machines that are being decommissioned: their copies must not be counted."""
 
-    def disk_writes(self, node: str) -> bool:
+    def is_disk_writable(self, node: str) -> bool:
         """Return whether a machine's disk accepts writes, by the machine's last report."""
 
     def disk_unreadable_s(self, node: str) -> float:
@@ -52,7 +52,7 @@
     def withdraw(self, record: Record) -> bool:
         """Stop delivering a message that ended or has another owner; return False if a call is in flight."""
 
-    def idle(self) -> list[Record]:
+    def remove_idle(self) -> list[Record]:
         """Remove and return all messages without a call in flight."""
 
 
@@ -78,9 +78,9 @@
         """See `DeliveryQueue`."""
         return self._bound().withdraw(record)
 
-    def idle(self) -> list[Record]:
+    def remove_idle(self) -> list[Record]:
         """See `DeliveryQueue`."""
-        return self._bound().idle()
+        return self._bound().remove_idle()
 
     def _bound(self) -> DeliveryQueue:
         if self._queue is None:
--- a/emberlatch/cluster/node/heartbeats.py
+++ b/emberlatch/cluster/node/heartbeats.py
@@ -15,7 +15,7 @@
     MembershipView,
 )
 from emberlatch.cluster.node.parts import StoreParts
-from emberlatch.cluster.rpc import HEARTBEAT_INTERVAL_S, LocalEndpoint, Peer, RpcConnection, RpcMethod
+from emberlatch.cluster.rpc import DEFAULT_HEARTBEAT_INTERVAL_S, LocalEndpoint, Peer, RpcConnection, RpcMethod
 from emberlatch.cluster.settings import NodeSettings
 
 FULL_RATE_STORES = 6  # largest number of stores at which forwarders send heartbeats as often as stores do
@@ -34,7 +34,7 @@
         store: StoreParts | None,
     ) -> None:
         self.endpoint = endpoint
-        self._node, self._is_store = settings.node, settings.stores
+        self._node, self._is_store = settings.node, settings.is_store
         self._membership, self._agreed = membership, agreed
         self._active_configuration, self._store = active_configuration, store
         self._decoder = HeartbeatDecoder()
@@ -44,7 +44,7 @@
 
     def handshake(self) -> object:
         """The payload of a handshake: heartbeat, membership and the identity of the local disk."""
-        update, identity = self._membership.update(), self._agreed.identity
+        update, identity = self._membership.create_update(), self._agreed.identity
         return Handshake(self.current(), update, identity).to_wire()
 
     def heartbeat_interval_s(self) -> float:
@@ -55,8 +55,8 @@
         forwarder grows with their number, so that the heartbeats it sends per second do not increase.
         """
         if self._is_store:
-            return HEARTBEAT_INTERVAL_S
-        return HEARTBEAT_INTERVAL_S * max(1.0, len(self._membership.stores()) / FULL_RATE_STORES)
+            return DEFAULT_HEARTBEAT_INTERVAL_S
+        return DEFAULT_HEARTBEAT_INTERVAL_S * max(1.0, len(self._membership.stores()) / FULL_RATE_STORES)
 
     def heartbeat(self) -> object:
         """The payload of a heartbeat."""
@@ -70,7 +70,7 @@
         store, revision = self._store, self.reported_revision()
         phase, disk, control = None, None, None
         if store is not None:
-            phase, disk = store.replicator.phase.value, store.replicator.local_store.disk
+            phase, disk = store.replicator.phase.value, store.replicator.local_store.disk_state
             control = store.control.report()
         digest = self._membership.roster.digest()
         if self._encoded is not None:
@@ -103,7 +103,7 @@
         """Send a heartbeat now to all reachable stores and to all processes that dialled this one."""
         for peer in self._membership.reachable_stores():
             peer.notify(RpcMethod.HEARTBEAT, self.heartbeat())
-        for connection in self._membership.inbound():
+        for connection in self._membership.inbound_connections():
             notice = HeartbeatNotice(self._node, self.current())
             connection.notify(RpcMethod.HEARTBEAT_NOTICE, notice.to_wire())
 
@@ -122,10 +122,10 @@
 
     def on_state_change(self, peer: Peer) -> None:
         """Handle a change of a link's state; send the known targets to a peer whose link is up now."""
-        if peer.up and self._store is not None and self._store.targets.known:
+        if peer.up and self._store is not None and self._store.targets.targets_by_id:
             now = asyncio.get_running_loop().time()
             peer.notify(RpcMethod.TARGETS, self._store.targets.reports(now).to_wire())
-        self._membership.link_changed(peer)
+        self._membership.on_link_state_change(peer)
 
     def serve_handshake(self, connection: RpcConnection, payload: object) -> object:
         """Apply the handshake of a process that dialled this one, and return the local handshake."""
--- a/emberlatch/core/attempts.py
+++ b/emberlatch/core/attempts.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from emberlatch.core.context import Context
 from emberlatch.core.records import Endpoint, Message
 from emberlatch.core.settings import Effect, Scope
-from emberlatch.core.state import Context
 
 # A repeated attempt must reach the endpoint at least this long before the endpoint drops the idempotency key.
 DEDUP_MARGIN_S = 0.1
@@ -58,7 +58,7 @@
             return False
         return self.is_within_dedup_window(message)
 
-    def has_attempt_left(self, message: Message) -> bool:
+    def allows_another_attempt(self, message: Message) -> bool:
         """Return whether the category allows another attempt.
 
         A suitable endpoint does not have to be listed now: one may be listed at any time.
--- a/emberlatch/core/rules.py
+++ b/emberlatch/core/forwarder.py
@@ -8,17 +8,17 @@
 
 | part | module | owns |
 | --- | --- | --- |
-| `Context` | state.py | settings, current time, random source, the turn's actions |
+| `Context` | context.py | settings, current time, random source, the turn's actions |
 | `PoolTable` | pools.py | the pools, which of them a turn processes, wake-ups by destination |
 | `Bulkhead` | bulkhead.py | call slots |
-| `EndpointList`, `DirectoryPoll` | listing.py | endpoints, time of the next directory request |
+| `EndpointList`, `DirectoryPoll` | endpoint_list.py | endpoints, time of the next directory request |
 | `RouteHealth`, `SlowStart` | health.py, slow_start.py | nothing: they update and read records |
 | `CongestionEstimate`, `RateControl` | send_rate.py | the congestion estimate |
 | `MessageQueue`, `KeyOrder` | messages.py, key_order.py | open messages, their delivery order |
-| `WaitPolicy`, `SubmissionStatistics` | waiting.py | counts of rejections and resubmissions |
+| `WaitPolicy`, `SubmissionStatistics` | wait_policy.py | counts of rejections and resubmissions |
 | `AttemptPolicy` | attempts.py | nothing: it reads messages and their categories |
 | `CallTable` | calls.py | calls in flight |
-| `Dispatcher` | placing.py | calls of the turn to which messages can be added |
+| `Dispatcher` | dispatcher.py | calls of the turn to which messages can be added |
 | `WakeupPlanner`, `Timer` | wakeups.py, timers.py | the timer |
 """
 
@@ -31,31 +31,31 @@
 from emberlatch.core.attempts import AttemptPolicy
 from emberlatch.core.bulkhead import Bulkhead
 from emberlatch.core.calls import CallTable
+from emberlatch.core.context import Context
+from emberlatch.core.dispatcher import Dispatcher
+from emberlatch.core.endpoint_list import EndpointList
 from emberlatch.core.events import (
     Arrival,
-    ClientGone,
-    DirectoryMoved,
+    ClientDisconnected,
+    DirectoryAddressChanged,
     DirectoryUpdate,
     Event,
     HandoverReceived,
+    MessageRecovered,
     Outcome,
     PeerRetryAfter,
     ProbeResult,
-    Recovered,
     SettingsChanged,
     Stopping,
     Target,
 )
 from emberlatch.core.health import RouteHealth
-from emberlatch.core.listing import EndpointList
 from emberlatch.core.messages import MessageQueue
-from emberlatch.core.placing import Dispatcher
 from emberlatch.core.pools import PoolTable
 from emberlatch.core.records import Call, Endpoint, Message, Pool
 from emberlatch.core.send_rate import CongestionEstimate, RateControl
 from emberlatch.core.settings import Settings, Terms
 from emberlatch.core.slow_start import SlowStart
-from emberlatch.core.state import Context
 from emberlatch.core.timers import Timer
 from emberlatch.core.wakeups import WakeupPlanner
 
@@ -96,13 +96,13 @@
         self.timer = Timer(context)
         self.event_handlers: dict[type, Callable[..., None]] = {
             Arrival: self.queue.on_arrival,
-            Recovered: self.queue.on_recovered,
-            ClientGone: self._on_client_gone,
+            MessageRecovered: self.queue.on_recovered,
+            ClientDisconnected: self._on_client_gone,
             Outcome: self.call_table.on_outcome,
             ProbeResult: self._on_probe_result,
             PeerRetryAfter: self._on_peer_retry_after,
             DirectoryUpdate: self.endpoint_list.on_update,
-            DirectoryMoved: self._on_directory_moved,
+            DirectoryAddressChanged: self._on_directory_moved,
             SettingsChanged: self._on_settings_changed,
             HandoverReceived: self._on_handover_received,
             Stopping: self._on_stopping,
@@ -212,7 +212,7 @@
         terms = Terms(next(ordered, categories[0]), 1)
         return Message(Arrival(ref, 0, destination, 0.0, key=key), terms, self.context.now)
 
-    def _on_client_gone(self, event: ClientGone) -> None:
+    def _on_client_gone(self, event: ClientDisconnected) -> None:
         self.queue.remove(event.ref)
 
     def _on_probe_result(self, event: ProbeResult) -> None:
@@ -227,7 +227,7 @@
             self.health.apply_retry_after(endpoint.route, event.retry_after)
             self.pool_table.mark_dirty(endpoint.entry.destination)
 
-    def _on_directory_moved(self, _: DirectoryMoved) -> None:
+    def _on_directory_moved(self, _: DirectoryAddressChanged) -> None:
         self.endpoint_list.poll.on_moved()
 
     def _on_settings_changed(self, event: SettingsChanged) -> None:
--- a/emberlatch/core/health.py
+++ b/emberlatch/core/health.py
@@ -10,6 +10,7 @@
 
 from emberlatch.core.actions import Probe
 from emberlatch.core.bulkhead import Bulkhead
+from emberlatch.core.context import Context
 from emberlatch.core.events import Outcome, ProbeResult, Result
 from emberlatch.core.records import (
     MIN_RESPONSE_TIMEOUT_S,
@@ -21,7 +22,6 @@
 )
 from emberlatch.core.send_rate import MIN_RATE_SHARE, CongestionEstimate
 from emberlatch.core.slow_start import SlowStart
-from emberlatch.core.state import Context
 
 SLOW_LATENCY_RATIO = 3.0  # a route is slow above this multiple of its pool's baseline latency
 # A single call without a response shows that its route hangs after this many response time-outs.
@@ -127,7 +127,8 @@
         route.ejection_reason = EjectionReason.NONE
         if had_outage:
             # The route recovered at an unknown time since its last failure, on average half-way. The errors
-            # in the estimates of many forwarders even out; fewer forwarders assume less warm time.
+            # in the estimates of many forwarders even out; with fewer forwarders, `fair_share` lowers the
+            # estimate, down to 0 for at most `UNCOORDINATED_FORWARDERS`.
             estimated_warm_time = (1 - self._slow_start.fair_share()) * (now - route.last_failure_at) / 2
             route.slow_start_until = now + max(0.0, self._context.rules.slow_start - estimated_warm_time)
             route.next_trial_at = now if extra_allowed else self._slow_start.next_call_at(route)
--- a/tests/cluster/test_heartbeats.py
+++ b/tests/cluster/test_heartbeats.py
@@ -30,7 +30,7 @@
 
 def store_parts() -> Any:
     """Stubs of the components whose state a store's heartbeat reports."""
-    local_store = SimpleNamespace(disk=DiskState.OK)
+    local_store = SimpleNamespace(disk_state=DiskState.OK)
     replicator = SimpleNamespace(phase=Phase.SERVING, local_store=local_store)
     return SimpleNamespace(replicator=replicator, control=ControlPlaneStub())
 
@@ -40,7 +40,7 @@
     digest = SimpleNamespace(value=11)
     membership: Any = SimpleNamespace(roster=SimpleNamespace(digest=lambda: digest.value))
     active_configuration: Any = SimpleNamespace(revision=3)
-    settings: Any = SimpleNamespace(node="n1", stores=store is not None)
+    settings: Any = SimpleNamespace(node="n1", is_store=store is not None)
     unused: Any = None
     return (
         HeartbeatService(settings, unused, membership, unused, active_configuration, store),
@@ -77,7 +77,7 @@
         case "phase":
             store.replicator.phase = Phase.CLOSING
         case "disk":
-            store.replicator.local_store.disk = next(
+            store.replicator.local_store.disk_state = next(
                 state for state in DiskState if state is not DiskState.OK
             )
         case "report":
@@ -94,7 +94,7 @@
         store.replicator.phase.value,
         revision,
         digest.value,
-        store.replicator.local_store.disk,
+        store.replicator.local_store.disk_state,
         store.control.current,
     )
     assert second == expected.to_wire()
--- a/tests/cluster/test_pure.py
+++ b/tests/cluster/test_pure.py
@@ -12,8 +12,8 @@
 from ward import raises, test
 
 from emberlatch.cluster.discovery import InvalidHeartbeatError, TargetDirectory, TargetReport, TargetState
-from emberlatch.cluster.dispatch import Dispatcher, DispatchSettings, Verdict
-from emberlatch.cluster.dispatch.verdict import classify_response
+from emberlatch.cluster.dispatch import DeliveryResult, Dispatcher, DispatchSettings
+from emberlatch.cluster.dispatch.delivery_result import classify_response
 from emberlatch.cluster.message_store import MessageState, Record, RecordIndex
 from emberlatch.cluster.rate_limits import RateShare
 from emberlatch.cluster.rpc import MessageDecodeError
@@ -73,9 +73,9 @@
         for stored in list(index.records.values()):
             if random_source.random() < 0.05:
                 stored.merge(MessageState.COMPLETED, "s", 1, "a", 0)
-                index.changed(stored)
+                index.update_record_digests(stored)
             elif random_source.random() < 0.02:
-                index.drop(stored)
+                index.remove(stored)
     ranges = ours.differing_ranges("b", theirs.digests("a"))
     requested, offered = ours.compare("b", ranges, theirs.summary("a", ranges))
     ids = {*ours.records, *theirs.records}
@@ -86,12 +86,12 @@
     }
     assert different and {*requested, *(r.id for r in offered)} == different
     for id in requested:
-        ours.drop(ours.records[id]) if id in ours.records else None
+        ours.remove(ours.records[id]) if id in ours.records else None
         copy = record(id)
         copy.merge(theirs.records[id].state, "s", 1, "a", 0)
         ours.put(copy)
     for original in offered:
-        theirs.drop(theirs.records[original.id]) if original.id in theirs.records else None
+        theirs.remove(theirs.records[original.id]) if original.id in theirs.records else None
         copy = record(original.id)
         copy.merge(original.state, "s", 1, "a", 0)
         theirs.put(copy)
@@ -116,10 +116,10 @@
     targets = TargetDirectory(1.0)
     targets.apply_heartbeat("i-1", heartbeat_fields(sequence=5, state="draining"), 0.0)
     targets.apply_heartbeat("i-1", heartbeat_fields(sequence=4), 0.1)
-    states = [targets.known["i-1"].state]
+    states = [targets.targets_by_id["i-1"].state]
     targets.deregister("i-1", 0.2)
     targets.apply_heartbeat("i-1", heartbeat_fields(sequence=9), 0.3)
-    states.append(targets.known["i-1"].state)
+    states.append(targets.targets_by_id["i-1"].state)
     assert states == [TargetState.DRAINING, TargetState.DEREGISTERED]
 
 
@@ -129,8 +129,8 @@
     targets.apply_heartbeat("i-1", heartbeat_fields(), 0.0)
     targets.apply_heartbeat("i-2", heartbeat_fields(service="other"), 1.0)
     assert (
-        targets.known["i-1"].state is TargetState.DEREGISTERED
-        and targets.known["i-2"].state is TargetState.IN_SERVICE
+        targets.targets_by_id["i-1"].state is TargetState.DEREGISTERED
+        and targets.targets_by_id["i-2"].state is TargetState.IN_SERVICE
     )
 
 
@@ -140,7 +140,7 @@
     target = targets.apply_heartbeat("i-1", heartbeat_fields(), 0.0).target
     old_report = target.report(5.0)
     targets.expire(5.0)
-    known = targets.known["i-1"]
+    known = targets.targets_by_id["i-1"]
     assert known.lease_expired and not known.available and known.report(5.0).state is TargetState.IN_SERVICE
     targets.apply_report(old_report, 5.1)
     assert known.lease_expired
@@ -180,7 +180,7 @@
             raise AssertionError(fields)
         except InvalidHeartbeatError:
             pass
-    assert not targets.known
+    assert not targets.targets_by_id
 
 
 def configuration(**overrides: object) -> dict[str, object]:
@@ -273,9 +273,9 @@
 @test("a response is classified by its status, its seal and whether the message was not executed")
 def _() -> None:
     verdicts = {
-        (200, "seal", False): Verdict.COMPLETED, (200, "", False): Verdict.UNKNOWN, (500, "", False): Verdict.ATTEMPT_FAILED,
-        (422, "", False): Verdict.REJECTED_PERMANENTLY, (421, "", True): Verdict.WRONG_INSTANCE, (409, "", True): Verdict.STILL_RUNNING,
-        (503, "", True): Verdict.OVERLOADED, (429, "", True): Verdict.OVERLOADED, (504, "", False): Verdict.UNKNOWN,
+        (200, "seal", False): DeliveryResult.COMPLETED, (200, "", False): DeliveryResult.UNKNOWN, (500, "", False): DeliveryResult.ATTEMPT_FAILED,
+        (422, "", False): DeliveryResult.REJECTED_PERMANENTLY, (421, "", True): DeliveryResult.WRONG_INSTANCE, (409, "", True): DeliveryResult.STILL_RUNNING,
+        (503, "", True): DeliveryResult.OVERLOADED, (429, "", True): DeliveryResult.OVERLOADED, (504, "", False): DeliveryResult.UNKNOWN,
     }  # fmt: skip
     for (status, seal, not_executed), verdict in verdicts.items():
         assert classify_response(status, seal, not_executed) is verdict, status
@@ -284,9 +284,9 @@
 @test("a record decoded by a store with another clock has the same fingerprint and the same remaining times")
 def _() -> None:
     original = record()
-    original.sent_at, original.due_at, original.expires_at, original.version = 100.0, 104.0, 190.0, 7
+    original.sent_at, original.due_at, original.expires_at, original.config_revision = 100.0, 104.0, 190.0, 7
     copy = Record.from_wire(original.to_wire(101.0, original.body), 5001.0)
-    assert (copy.due_at - 5001.0, copy.expires_at - 5001.0, copy.version, copy.ended_at) == (
+    assert (copy.due_at - 5001.0, copy.expires_at - 5001.0, copy.config_revision, copy.ended_at) == (
         3.0,
         89.0,
         7,
--- a/tests/cluster/test_stored_formats.py
+++ b/tests/cluster/test_stored_formats.py
@@ -17,7 +17,7 @@
 from emberlatch.cluster.consensus.acceptor import AcceptorRecord
 from emberlatch.cluster.consensus.commands import (
     Configure,
-    FoundGroup,
+    CreateVoterGroup,
     MarkDecommission,
     ReadmitMember,
     RemoveMember,
@@ -102,7 +102,7 @@
     assert (delivered.owner, delivered.epoch, delivered.replicas) == ("s1", 3, ("s0", "s1"))
     assert (delivered.attempts, delivered.seal, delivered.ended_at) == (1, "09ab", 2.25)
     queued = found["queued"]
-    assert (queued.sent_at, queued.due_at, queued.expires_at, queued.version) == (-0.5, 0.25, 60.5, 3)
+    assert (queued.sent_at, queued.due_at, queued.expires_at, queued.config_revision) == (-0.5, 0.25, 60.5, 3)
     bodies = {id: body for id, _, body in rows(FOLDER / "records")["records"]}
     assert bodies["delivered"] is None and bodies["dead"] == b"\x00\xff"
 
@@ -193,7 +193,7 @@
     with temporary_folder("control-unfounded") as folder:
         unfounded = RecordStorage(folder, "s0").load()
     assert unfounded is not None and unfounded.accepted is not None and unfounded.state.awaiting_founding
-    assert unfounded.accepted.batch == (FoundGroup(voters, "d00dfeed"),)
+    assert unfounded.accepted.batch == (CreateVoterGroup(voters, "d00dfeed"),)
 
 
 @test("the control state of a simulated store is read, and written with the same bytes: {name}")
--- a/tests/faults/planted_bugs.py
+++ b/tests/faults/planted_bugs.py
@@ -13,12 +13,12 @@
 from emberlatch.core.attempts import AttemptPolicy
 from emberlatch.core.bulkhead import Bulkhead
 from emberlatch.core.calls import CallTable
+from emberlatch.core.endpoint_list import EndpointList
+from emberlatch.core.forwarder import Forwarder
 from emberlatch.core.health import RouteHealth
 from emberlatch.core.interface import Effect, Outcome, Phase, Result
-from emberlatch.core.listing import EndpointList
 from emberlatch.core.messages import MessageQueue
 from emberlatch.core.records import Pool, Route
-from emberlatch.core.rules import Forwarder
 from emberlatch.core.slow_start import SlowStart
 from emberlatch.directory import Backoff, Client, Drop, Failure
 from emberlatch.directory import client as directory_client
@@ -173,7 +173,7 @@
 
 @planted
 def unsafe_is_repeated() -> Any:
-    may, has_attempt = AttemptPolicy.may_send, AttemptPolicy.has_attempt_left
+    may, has_attempt = AttemptPolicy.may_send, AttemptPolicy.allows_another_attempt
 
     def unsafe(message: Any) -> bool:
         return bool(
@@ -182,7 +182,7 @@
 
     return _apply_both(
         patch.object(AttemptPolicy, "may_send", lambda s, m, e: unsafe(m) or may(s, m, e)),
-        patch.object(AttemptPolicy, "has_attempt_left", lambda s, m: unsafe(m) or has_attempt(s, m)),
+        patch.object(AttemptPolicy, "allows_another_attempt", lambda s, m: unsafe(m) or has_attempt(s, m)),
     )
 
 
