--- a/emberlatch/storm/__init__.py
+++ b/emberlatch/storm/__init__.py
@@ -1,4 +1,4 @@
-"""Storms: real processes of the program, or the same code in a simulation, under a plan of faults."""
+"""Storms: fault-injection tests of a fleet, on real processes of the program or in a simulation."""
 
 from emberlatch.storm.breach import Breach
 from emberlatch.storm.checker import check_history
--- a/emberlatch/storm/availability.py
+++ b/emberlatch/storm/availability.py
@@ -1,4 +1,4 @@
-"""When members were down and links were impaired, from the history of a storm. Pure."""
+"""When members were down and links were impaired, computed from the history of a storm without I/O."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from emberlatch.storm.history import RUNNER, EventKind, History
 
-RESTART_GRACE_S = 1.5  # after a member serves again: nothing of it is overdue until then
-IMPAIRMENT_TAIL_S = 2.0  # after a fault of links: delayed data is delivered until then
+RESTART_GRACE_S = 1.5  # time after a restart or a resume in which no deadline of the member can expire
+IMPAIRMENT_TAIL_S = 2.0  # time after the end of a link fault in which delayed data may still arrive
 
 Span = tuple[float, float]
-"""Begin and end in seconds since the storm began; the end may be infinite."""
+"""Begin and end of a time span, in seconds since the storm began; the end may be infinite."""
 
-MAX_CLOCK_DRIFT = 0.03  # share by which the clock of a member may be off in a plan
+MAX_CLOCK_DRIFT = 0.03  # largest relative rate error of a member's clock that the rules tolerate
 
 
 class Availability:
@@ -26,7 +26,7 @@
         for event in history.events:
             if event.source != RUNNER or "member" not in event.payload:
                 continue
-            if (name := event.member) not in self.downtimes:  # a second process of that name
+            if (name := event.member) not in self.downtimes:  # a duplicate process, not a member of the plan
                 continue
             match event.kind:
                 case EventKind.KILLED | EventKind.TERMINATED | EventKind.SUSPENDED | EventKind.PROCESS_EXITED:
@@ -40,19 +40,19 @@
             self.downtimes[name].append((at, math.inf))
 
     def extend_deadline(self, name: str, deadline: float, grace_s: float = RESTART_GRACE_S) -> float:
-        """The deadline of a member: later if it was down or had just returned when it was due."""
+        """Return a member's deadline, extended if the member was down or had just restarted at that time."""
         for begin, end in self.downtimes.get(name, ()):
             if begin <= deadline <= end + grace_s:
                 deadline = max(deadline, end + grace_s)
         return deadline
 
     def was_down(self, name: str, since: float, until: float) -> bool:
-        """Whether a member was suspended or down at some moment of a span."""
+        """Return whether a member was suspended or down at some moment of a span."""
         return any(begin <= until and end >= since for begin, end in self.downtimes.get(name, ()))
 
 
 class LinkImpairments:
-    """When faults of the plan impaired each direction of each link."""
+    """The time spans in which faults of the plan impaired each direction of each link."""
 
     def __init__(self, history: History) -> None:
         self._spans: dict[tuple[str, str], list[Span]] = defaultdict(list)
@@ -61,6 +61,6 @@
                 self._spans[direction].append((fault.at, fault.end + IMPAIRMENT_TAIL_S))
 
     def overlap(self, one: str, other: str, since: float, until: float) -> bool:
-        """Whether either direction between two was impaired at some moment of a span."""
+        """Return whether either direction between two parties was impaired at some moment of a span."""
         spans = self._spans[one, other] + self._spans[other, one]
         return any(begin <= until and end >= since for begin, end in spans)
--- a/emberlatch/storm/breach.py
+++ b/emberlatch/storm/breach.py
@@ -1,4 +1,4 @@
-"""A rule that was broken in a storm."""
+"""A breach: one violation of a rule in a storm."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """Which rule was broken, when (seconds since the storm began), by which members or endpoints, and how."""
+    """One violation of a rule; `at` is in seconds since the storm began.
+
+    `subjects` are the members and endpoints involved; `text` describes the violation.
+    """
 
     rule: str
     at: float
--- a/emberlatch/storm/checker.py
+++ b/emberlatch/storm/checker.py
@@ -1,4 +1,4 @@
-"""All rules, checked on one history. Pure: a kept history is judged again without running anything."""
+"""Checks one history against all rules, without I/O: a saved history can be checked without a new storm."""
 
 from __future__ import annotations
 
@@ -9,5 +9,5 @@
 
 
 def check_history(history: History) -> list[Breach]:
-    """All breaches in the order of their times."""
+    """Return all breaches, ordered by time."""
     return sorted([*check_messages(history), *check_membership(history)], key=lambda breach: breach.at)
--- a/emberlatch/storm/client_load.py
+++ b/emberlatch/storm/client_load.py
@@ -1,8 +1,8 @@
 """The clients of a storm: they submit messages to the members over real sockets.
 
-A rejected message is submitted again, at another member; one without an answer only if its class may be
-repeated anywhere. A keyed message may not: another member does not know at which wing and within which window
-the first copy ran.
+A client resubmits a rejected message to another member. It resubmits a message without an answer only if
+the message's class is `safe`. A keyed message must not be resubmitted: another member does not know in which
+wing and in which idempotency window the first copy was executed.
 """
 
 from __future__ import annotations
@@ -16,18 +16,20 @@
 from emberlatch.storm.plan import PARTNERS
 
 CLASS_EFFECTS = {"note": "safe", "payout": "keyed", "order": "unsafe"}
-"""The classes of a storm, and their effects."""
-CLASS_WEIGHTS = (4, 4, 2)  # in the traffic
-DEADLINE_S, LATENCY_TARGET_S, IDEMPOTENCY_WINDOW_S = 6.0, 2.0, 8.0  # of each class
+"""The message classes of a storm, each with its effect."""
+CLASS_WEIGHTS = (4, 4, 2)  # relative frequencies of the classes, in the order of CLASS_EFFECTS
+# Settings of every class; the idempotency window is used by the keyed class alone.
+DEADLINE_S, LATENCY_TARGET_S, IDEMPOTENCY_WINDOW_S = 6.0, 2.0, 8.0
 ANSWER_TIMEOUT_S = 1.0
 MAX_ATTEMPTS = 3
-MIN_TIME_LEFT_S = 0.5  # with less, nothing is submitted any more
-RETRY_DELAY_S = 0.2  # where the answer names no wait
+MIN_TIME_LEFT_S = 0.5  # shortest time to the deadline with which a client still submits a message
+RETRY_DELAY_S = 0.2  # delay before a retry if the answer has no Retry-After header
 MAX_RETRY_WAIT_S = 1.0
-REJECTIONS = (429, 503)
+REJECTION_STATUSES = (429, 503)
 NO_ANSWER = 0
+"""Recorded as the status if the connection was opened and no answer was read on it."""
 NOT_SENT = -1
-"""In place of a status: the connection broke before an answer came; nobody listened."""
+"""Recorded as the status if the connection could not be opened."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +45,7 @@
     key: str = ""
 
     def to_payload(self) -> dict[str, object]:
-        """As it stands in the history."""
+        """Return the payload that the history stores."""
         payload: dict[str, object] = {
             "id": self.id,
             REQUEST: self.request,
@@ -55,7 +57,7 @@
         return payload | ({"key": self.key} if self.key else {})
 
     def to_http(self) -> bytes:
-        """As it is sent."""
+        """Return the bytes of the HTTP request."""
         key = f"Idempotency-Key: {self.key}\r\n" if self.key else ""
         return (
             f"POST /api HTTP/1.1\r\nHost: storm\r\nX-Request-ID: {self.id}\r\n{key}"
@@ -66,7 +68,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _Answer:
-    """`status` may be NO_ANSWER or NOT_SENT; `retry_after_s` is 0 if none was named."""
+    """The answer to a submission.
+
+    `status` may be NO_ANSWER or NOT_SENT; `retry_after_s` is 0 if the answer has no Retry-After header.
+    """
 
     status: int
     retry_after_s: float = 0.0
@@ -74,7 +79,7 @@
 
 @dataclass(slots=True)
 class ClientLoad:
-    """Submits messages at random moments to random members, each at its port on loopback."""
+    """Submits messages at random moments to random members; `ports` are the members' ports on loopback."""
 
     messages_per_s: float
     seed: int
@@ -87,7 +92,7 @@
         self._rng = random.Random(f"clients {self.seed}")
 
     async def run(self, duration_s: float) -> None:
-        """Begin requests for that long, and return once the last of them is over."""
+        """Start requests for `duration_s`, and return when the last of them has finished."""
         loop = asyncio.get_running_loop()
         at = began_at = loop.time()
         number = 0
@@ -126,7 +131,7 @@
             answer = await self._submit(submission)
             outcome = {"id": submission.id, "status": answer.status, "wait": answer.retry_after_s}
             self.record(CLIENT, EventKind.SUBMISSION_ANSWERED, outcome)
-            if answer.status in REJECTIONS:
+            if answer.status in REJECTION_STATUSES:
                 await asyncio.sleep(min(answer.retry_after_s or RETRY_DELAY_S, MAX_RETRY_WAIT_S))
             elif answer.status == NO_ANSWER and CLASS_EFFECTS[message_class] == "safe":
                 await asyncio.sleep(RETRY_DELAY_S)
--- a/emberlatch/storm/fault_player.py
+++ b/emberlatch/storm/fault_player.py
@@ -1,4 +1,4 @@
-"""Plays the faults of a plan on real processes, links and partners."""
+"""Injects the faults of a plan into real processes, links and partners."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from emberlatch.storm.partners import Partners
 from emberlatch.storm.plan import ENDPOINT_FAULTS, Fault, FaultKind, Plan
 
-TERMINATION_TIMEOUT_S = 5.0  # from SIGTERM to SIGKILL
+TERMINATION_TIMEOUT_S = 5.0  # time between SIGTERM and SIGKILL
 GARBAGE_INTERVAL_S = 0.02
 GARBAGE = (
     b"",
     b"GET / HTTP/1.1\r\n\r\n",
-    b"\xff\xff\xff\xff",  # a frame of 4 GiB
+    b"\xff\xff\xff\xff",  # the length prefix of a frame of 4 GiB
     b"\x00\x00\x00\x05abcde",
     os.urandom(4096),
 )
 
 START_CONDITIONS = (FaultKind.WALL_OFFSET, FaultKind.CLOCK_RATE, FaultKind.SLOW_START)
-"""Faults that hold for the first start already if they begin at 0."""
+"""Kinds of faults that affect the first start of a process if they begin at time 0."""
 
 
 class FaultPlayer:
-    """Begins and ends each fault of a plan at its time, in tasks of its own until `cancel`."""
+    """Begins and ends each fault of a plan at its time, in background tasks that run until `cancel`."""
 
     def __init__(
         self,
@@ -39,31 +39,31 @@
         links: LinkRelays,
         partners: Partners,
         record: Recorder,
-        create_twin: Callable[[MemberProcess], MemberProcess],
+        create_duplicate: Callable[[MemberProcess], MemberProcess],
     ) -> None:
-        """`create_twin` creates a second process of a member's name, not started yet."""
+        """`create_duplicate` creates a second process with a member's name, and does not start it."""
         self._plan, self._members, self._links, self._partners = plan, members, links, partners
-        self._record, self._create_twin = record, create_twin
+        self._record, self._create_duplicate = record, create_duplicate
         self._loop = asyncio.get_running_loop()
         self._began_at = 0.0
         self._tasks: set[asyncio.Task[None]] = set()
 
     def prepare(self) -> None:
-        """Begin the faults that hold from the first start of the processes on."""
+        """Begin the faults that affect the first start of the processes."""
         for fault in self._plan.faults:
-            if _holds_from_start(fault):
+            if _affects_first_start(fault):
                 for name in fault.subjects:
                     self._begin_for_member(fault, self._members[name])
 
     def start(self, began_at: float) -> None:
-        """Play all other faults at their times; `began_at` is when the storm began on the loop's clock."""
+        """Play all other faults at their times; `began_at` is the loop time at which the storm began."""
         self._began_at = began_at
         for fault in self._plan.faults:
-            if not _holds_from_start(fault):
+            if not _affects_first_start(fault):
                 self._spawn(self._play(fault))
 
     async def cancel(self) -> None:
-        """End all that still runs, the second processes of a name among it."""
+        """Cancel all background tasks and wait for them; this also closes the duplicate processes."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -74,7 +74,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _sleep_until(self, at: float) -> None:
-        """`at` is in seconds since the storm began."""
+        """Sleep until `at`, in seconds since the storm began."""
         await asyncio.sleep(max(0.0, self._began_at + at - self._loop.time()))
 
     async def _play(self, fault: Fault) -> None:
@@ -119,12 +119,15 @@
             case FaultKind.LEAVE:
                 self._spawn(self._restart(member, fault, member.leave(TERMINATION_TIMEOUT_S)))
             case FaultKind.DUPLICATE:
-                self._spawn(self._run_twin(member))
+                self._spawn(self._run_duplicate(member))
             case FaultKind.GARBAGE:
                 self._spawn(self._send_garbage(member, self._began_at + fault.until))
 
     async def _restart(self, member: MemberProcess, fault: Fault, ending: Awaitable[None]) -> None:
-        """End a process and start the next one, unless it stays down until the end of the storm."""
+        """Wait for `ending`, which ends the process, and start the member's next process.
+
+        A killed member without an `amount` is not restarted here: it stays down until the end of the storm.
+        """
         incarnation = member.incarnation
         await ending
         if fault.kind == FaultKind.WIPE:
@@ -135,18 +138,21 @@
         if member.incarnation == incarnation and member.exited.is_set():
             await member.start()
 
-    async def _run_twin(self, member: MemberProcess) -> None:
-        """Run a second process of a member's name until the end of the storm."""
-        twin = self._create_twin(member)
+    async def _run_duplicate(self, member: MemberProcess) -> None:
+        """Run a second process with a member's name until the end of the storm."""
+        duplicate = self._create_duplicate(member)
         self._record(RUNNER, EventKind.DUPLICATED, {"member": member.name})
-        await twin.start()
+        await duplicate.start()
         try:
             await self._sleep_until(self._plan.duration_s)
         finally:
-            await twin.close()
+            await duplicate.close()
 
     async def _send_garbage(self, member: MemberProcess, until: float) -> None:
-        """Connect to a member's fleet port again and again; send invalid data, then a byte at a time."""
+        """Open connections to a member's fleet port repeatedly until `until`, a time on the loop's clock.
+
+        Each connection sends invalid data first, then one byte per GARBAGE_INTERVAL_S.
+        """
         rng, writers = random.Random(self._plan.seed), list[asyncio.StreamWriter]()
         while self._loop.time() < until:
             with contextlib.suppress(OSError):
@@ -161,5 +167,5 @@
             writer.transport.abort()
 
 
-def _holds_from_start(fault: Fault) -> bool:
+def _affects_first_start(fault: Fault) -> bool:
     return fault.at == 0 and fault.kind in START_CONDITIONS
--- a/emberlatch/storm/gateway_files.py
+++ b/emberlatch/storm/gateway_files.py
@@ -1,4 +1,4 @@
-"""The configuration file and the inventory of a storm's members."""
+"""The configuration files and the inventories of a storm's members."""
 
 from __future__ import annotations
 
@@ -56,7 +56,10 @@
 
 
 def render_config(port: int, state: Path, fleet: str = "") -> str:
-    """The configuration of a member that listens at a port on loopback; `fleet` is its section, if any."""
+    """Return the configuration of a member that listens on `port` on loopback.
+
+    `fleet` is the text of the fleet section, empty for a member that runs alone.
+    """
     gateway = GATEWAY_TEMPLATE.format(
         port=port,
         state=state,
@@ -68,13 +71,16 @@
 
 
 def render_fleet_section(me: str, fleet_port: int, ports: Mapping[str, int]) -> str:
-    """The section of a member: its own port, and the port by which it reaches each member."""
+    """Return the fleet section of the member `me`, which listens on `fleet_port`.
+
+    `ports` are the ports on loopback by which it reaches each member, and contain its own.
+    """
     members = "\n".join(f'{name} = "127.0.0.1:{port}"' for name, port in sorted(ports.items()))
     return FLEET_TEMPLATE.format(me=me, port=fleet_port, members=members)
 
 
 def render_inventory(ports: Mapping[str, int]) -> str:
-    """The inventory of a member, by the port at which it reaches each endpoint."""
+    """Return the inventory of a member; `ports` are the ports by which it reaches each endpoint."""
     rows = [INVENTORY_HEAD]
     for name in ENDPOINTS:
         partner, wing = name.split("-")
--- a/emberlatch/storm/history.py
+++ b/emberlatch/storm/history.py
@@ -1,7 +1,7 @@
-"""The history of a storm: its plan and what happened, each event with its time on the runner's clock.
+"""The history of a storm: its plan, and its events with their times on the runner's clock.
 
-A kept history is a file of JSON lines: the plan, then an event a line. `storm replay` reads such files, also
-of earlier versions: the names of the kinds, of the sources and of the payloads' keys are stored names.
+A saved history is a file of JSON lines: the plan in the first line, then one event per line. `storm replay`
+also reads files of earlier versions, so the names of kinds, sources and payload keys must not change.
 
 | source | kind | payload |
 | --- | --- | --- |
@@ -13,7 +13,7 @@
 | an endpoint | EFFECTS | name (a key or an id), times |
 | a member | OUTCOME | id, state, ref |
 | a member | any event that it logs, by its name: `FleetEvent` and others | as logged |
-| the runner | of a process: PROCESS_STARTED to DUPLICATED | member, life (its number), status |
+| the runner | events of a process: PROCESS_STARTED to DUPLICATED | member, life (the incarnation), status |
 | the runner | FAULT_BEGAN, FAULT_ENDED | text |
 | the runner | FAULTS_OVER, RECOVERED, COMPLETED | |
 """
@@ -31,21 +31,21 @@
 from emberlatch.storm.plan import Plan
 
 Payload: TypeAlias = dict[str, Any]
-"""The values of an event, as JSON knows them. What members log comes as they log it."""
+"""The values of an event, of JSON types. Those of a logged event are as the member logged them."""
 
 CLIENT = "client"
 RUNNER = "rig"
-"""The sources of events that are neither a member nor an endpoint."""
+"""The sources of events besides the names of members and endpoints."""
 
 REQUEST = "wish"
-"""The key of a payload under which a client's request is numbered."""
+"""The key of a payload with the number of the client's request."""
 
-TWIN_SUFFIX = "'"
-"""Appended to a member's name: a second process with that name."""
+DUPLICATE_SUFFIX = "'"
+"""Appended to a member's name in events of a second process that runs with that name."""
 
 
 class EventKind(StrEnum):
-    """Kinds of events by their stored names; of `FleetEvent` those that are checked."""
+    """The kinds of events with their stored names; of the kinds in `FleetEvent`, those that rules check."""
 
     SUBMITTED = "hand"
     SUBMISSION_ANSWERED = "heard"
@@ -71,10 +71,10 @@
     RECOVERED = "healed"
     COMPLETED = "settled"
     FAILURE = "failure"
-    """An exception in the simulated fleet."""
+    """An unhandled exception in the simulated fleet."""
 
     ERROR_LOGGED = "trouble"
-    """Anything that a member logs as an error."""
+    """A log line of a member at level error or critical."""
     INCARNATION_STARTED = FleetEvent.INCARNATION_STARTED
     PEER_STATE = FleetEvent.PEER_STATE
     PARTITIONED = FleetEvent.PARTITIONED
@@ -87,10 +87,14 @@
 
 
 class Recorder(Protocol):
-    """Adds an event at this moment."""
+    """Adds an event with the current time to the history."""
 
     def __call__(self, source: str, kind: str, payload: Payload, /) -> None:
-        """`source` is a member, an endpoint, CLIENT or RUNNER; `kind` an EventKind or a logged name."""
+        """Record an event.
+
+        `source` is a member, an endpoint, CLIENT or RUNNER; `kind` is an EventKind or the name of a logged
+        event.
+        """
 
 
 class HistoryEvent(msgspec.Struct, frozen=True, rename={"source": "who", "kind": "what", "payload": "told"}):
@@ -103,7 +107,7 @@
 
     @property
     def member(self) -> str:
-        """The member that the event is about; raises KeyError if it is about none."""
+        """The member that the event concerns; raises KeyError if the payload names none."""
         return str(self.payload["member"])
 
     def __str__(self) -> str:
@@ -112,38 +116,38 @@
 
 
 class History(msgspec.Struct):
-    """A plan and the events of its storm, in the order of their times once they are sorted."""
+    """A plan and the events of its storm; `sort` orders the events by time."""
 
     plan: Plan
     events: list[HistoryEvent] = []
 
     def of_kind(self, *kinds: str) -> Iterator[HistoryEvent]:
-        """The events of some kinds."""
+        """Return the events of the given kinds, in the order of the list."""
         return (event for event in self.events if event.kind in kinds)
 
     def last_time_of(self, kind: str, default: float) -> float:
-        """When the last event of a kind happened."""
+        """Return the time of the last event of a kind, or `default` if there is none."""
         return max((event.at for event in self.of_kind(kind)), default=default)
 
     def sort(self) -> None:
-        """Order the events by time: each source records in order, several together do not."""
+        """Sort the events by time, because events of different sources may be recorded out of order."""
         self.events.sort(key=lambda event: event.at)
 
     def rebase(self, zero: float) -> None:
-        """Make `zero` the time 0 of all events."""
+        """Subtract `zero` from the times of all events."""
         self.events[:] = [
             HistoryEvent(round(event.at - zero, 4), event.source, event.kind, event.payload)
             for event in self.events
         ]
 
     def save(self, path: Path) -> None:
-        """Write the plan and the events to a file, a line each."""
+        """Write the plan and the events to a file, one per line."""
         lines = [msgspec.json.encode(self.plan), *map(msgspec.json.encode, self.events)]
         path.write_bytes(b"\n".join(lines) + b"\n")
 
 
 def read_history(path: Path) -> History:
-    """Read a file of `History.save`; raises OSError, or ValueError if it is invalid."""
+    """Read a file that `History.save` wrote; raises OSError, or ValueError if the file is invalid."""
     first, *rest = path.read_bytes().splitlines()
     plan = msgspec.json.decode(first, type=Plan)
     return History(plan, [msgspec.json.decode(line, type=HistoryEvent) for line in rest])
--- a/emberlatch/storm/link_relays.py
+++ b/emberlatch/storm/link_relays.py
@@ -1,4 +1,4 @@
-"""The relays of a storm: one for each member and endpoint, and for each two members."""
+"""The relays of a storm: one from each member to each endpoint, and one from each member to each other."""
 
 from __future__ import annotations
 
@@ -8,11 +8,14 @@
 from emberlatch.storm.relay import Address, DirectionFaults, Relay
 
 Link = tuple[str, str]
-"""Who connects, and to whom; and a direction: sender and receiver."""
+"""Two names: for a relay, the client and the server; for a direction, the sender and the receiver."""
 
 
 class LinkRelays:
-    """All relays, and the faults of each direction. Two relays between the same two share them."""
+    """All relays, and the faults of each direction between two parties.
+
+    The two relays between two members, one for each side that connects, share the faults of both directions.
+    """
 
     def __init__(self, plan: Plan) -> None:
         self._rng = random.Random(f"links {plan.seed}")
@@ -20,31 +23,31 @@
         self._relays: dict[Link, Relay] = {}
 
     def add(self, client: str, server: str, address: Address) -> None:
-        """Create the relay by which one reaches another, which listens at an address."""
+        """Create the relay by which `client` reaches `server`, which listens at `address`."""
         forward = self._directions.setdefault((client, server), DirectionFaults())
         backward = self._directions.setdefault((server, client), DirectionFaults())
         self._relays[client, server] = Relay(address, forward, backward, self._rng)
 
     def port(self, client: str, server: str) -> int:
-        """The port on loopback at which one reaches another."""
+        """Return the port on loopback by which `client` reaches `server`."""
         return self._relays[client, server].port
 
     async def start(self) -> None:
-        """Listen at all relays; raises OSError."""
+        """Start all relays; raises OSError if a port cannot be bound."""
         for relay in self._relays.values():
             await relay.start()
 
     def close(self) -> None:
-        """End all connections, and release the ports."""
+        """Close all connections and release the ports."""
         for relay in self._relays.values():
             relay.close()
 
     def begin(self, fault: Fault) -> None:
-        """Begin a fault of links; others are ignored."""
+        """Begin a link fault; faults of other kinds are ignored."""
         self._apply(fault, active=True)
 
     def end(self, fault: Fault) -> None:
-        """End a fault of links; others are ignored."""
+        """End a link fault; faults of other kinds are ignored."""
         self._apply(fault, active=False)
 
     def _apply(self, fault: Fault, *, active: bool) -> None:
--- a/emberlatch/storm/member_log.py
+++ b/emberlatch/storm/member_log.py
@@ -1,4 +1,4 @@
-"""What the process of a member writes: its log on stderr, and the file of outcomes in its state folder."""
+"""Parsers for what a member process writes: its log on stderr and the outcome file in its state folder."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LoggedEvent:
-    """A log event by its name, with its fields. Anything logged as an error has one common name."""
+    """A log event: its name and its fields. All events at level error or critical are named ERROR_LOGGED."""
 
     name: str
     fields: Payload
 
     @property
     def is_text(self) -> bool:
-        """Whether it is a sentence for people: the names of events have no spaces."""
+        """Whether the name is a sentence for people; names of events have no spaces."""
         return " " in self.name
 
 
 def parse_log_line(line: bytes) -> LoggedEvent | None:
-    """The event of a line; None if the line is not a JSON log event."""
+    """Return the event of a log line, or None if the line is not a JSON log event."""
     try:
         fields = json.loads(line)
         name = str(fields.pop("event"))
@@ -40,18 +40,18 @@
 
 
 class OutcomeReader:
-    """Reads the outcomes that a gateway appends to a file, each once."""
+    """Reads the outcomes that a gateway appends to a file, and returns each of them once."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
         self._offset = 0  # in bytes
 
     def restart(self) -> None:
-        """The file is lost; the next one is read from its beginning."""
+        """Read from the beginning of the file next time, because the file was deleted."""
         self._offset = 0
 
     def read_new(self) -> list[Payload]:
-        """The outcomes that were written since the last call, in complete lines."""
+        """Return the outcomes in the complete lines that were written since the last call."""
         try:
             with self._path.open("rb") as file:
                 file.seek(self._offset)
@@ -66,5 +66,5 @@
                 outcome = json.loads(line)
                 outcomes.append({key: outcome[key] for key in ("id", "state", "ref")})
             except (ValueError, KeyError, TypeError):
-                continue  # torn by a kill, and written again
+                continue  # a line torn by a kill; the next process writes this outcome again
         return outcomes
--- a/emberlatch/storm/member_process.py
+++ b/emberlatch/storm/member_process.py
@@ -1,4 +1,4 @@
-"""One member of a storm: its processes one after another, its folder and its ports."""
+"""One member of a storm: its successive processes, its folder and its ports."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from emberlatch.storm.member_log import SERVING_EVENT, OutcomeReader, parse_log_line
 
 PROGRAM = ("-m", "emberlatch.storm.process")
-"""The arguments of Python that run the program of a member."""
+"""The command-line arguments with which Python runs a member's program."""
 MAX_LOG_LINE_BYTES = 1 << 20
 
 
 @dataclass(slots=True)
 class StartConditions:
-    """What the next process of a member starts with; `delay_s` holds for one start alone."""
+    """The conditions under which the next process of a member starts; `delay_s` is reset at each start."""
 
     wall_offset_s: float = 0.0
     clock_rate: float = 1.0
@@ -32,18 +32,20 @@
 
 
 class MemberProcess:
-    """Starts, signals and follows the process of one member, and records its events.
+    """Starts, signals and monitors the process of one member, and records its events.
 
-    The ports are reserved until `close`, so that no other process is given one while this one is down. Each
-    start is one incarnation, counted from 1; `exited` and `serving` concern the present one.
+    The ports are reserved until `close`, so that no other process gets one of them while this process is
+    down. Each start is one incarnation, counted from 1; `exited` and `serving` concern the current one.
     """
 
     def __init__(
         self, name: str, folder: Path, short_paths: Path, record: Recorder, program: Sequence[str] = PROGRAM
     ) -> None:
-        """Create the folder. `short_paths` is a folder in which the state folder gets a second, short path:
-        the process binds a Unix socket there, whose path may have 107 bytes, and `folder` may lie at any
-        depth."""
+        """Create the folder, and in `short_paths` a symbolic link to the state folder.
+
+        The process binds a Unix socket in its state folder. The path of such a socket is limited to 107
+        bytes, which the path of `folder` may exceed, so the process uses the link.
+        """
         self.name, self.folder, self._record, self._program = name, folder, record, program
         self._reservations = [reserve_port(), reserve_port()]
         self.port, self.fleet_port = (int(port.getsockname()[1]) for port in self._reservations)
@@ -72,7 +74,7 @@
         return self.folder / "inventory.csv"
 
     async def start(self) -> None:
-        """Start the next incarnation; returns before it serves."""
+        """Start the next incarnation, and return before it serves."""
         self.incarnation += 1
         self.exited.clear()
         self.serving.clear()
@@ -101,9 +103,10 @@
         self._record(RUNNER, kind, {"member": self.name, **payload})
 
     async def _follow(self, process: asyncio.subprocess.Process, incarnation: int) -> None:
-        """Keep and record what a process logs until it has exited."""
+        """Save and record the log of a process until the process has exited."""
         assert process.stderr is not None
-        last_text = ""  # no log event: how a process that cannot go on says why
+        # The last line that is no log event: a process that cannot continue writes the reason in such a line.
+        last_text = ""
         with (self.folder / "log").open("ab") as log:
             async for line in process.stderr:
                 log.write(line)
@@ -118,7 +121,7 @@
         self._record_own(EventKind.PROCESS_EXITED, life=incarnation, status=status, **reason)
 
     def _record_log_line(self, line: bytes) -> bool:
-        """Record the event of a line; returns whether it is one."""
+        """Record the event of a log line, and return whether the line is a log event."""
         event = parse_log_line(line)
         if event is None or event.is_text:
             return event is not None
@@ -134,7 +137,7 @@
             self._record(self.name, EventKind.OUTCOME, outcome)
 
     def send_signal(self, number: int) -> None:
-        """Send a signal to the process, if it runs."""
+        """Send a signal to the process if it is running."""
         if self._process is not None and self._process.returncode is None and not self.exited.is_set():
             self._process.send_signal(number)
 
@@ -146,7 +149,7 @@
             self._record_own(EventKind.SUSPENDED)
 
     def resume(self) -> None:
-        """Send SIGCONT to a process that is suspended."""
+        """Send SIGCONT to the process if it is suspended."""
         if self._suspended:
             self._suspended = False
             self.send_signal(signal.SIGCONT)
@@ -161,7 +164,7 @@
         await self.exited.wait()
 
     async def terminate(self, timeout_s: float) -> None:
-        """Send SIGTERM, and SIGKILL if the process has not exited in time."""
+        """Send SIGTERM, and SIGKILL if the process has not exited within `timeout_s`."""
         self.resume()
         if not self.exited.is_set():
             self._record_own(EventKind.TERMINATED)
@@ -172,14 +175,17 @@
             await self.kill()
 
     async def leave(self, timeout_s: float) -> None:
-        """Have it leave the fleet by the operators' command, which ends it; else as `terminate`."""
+        """Send the operators' command `leave`, which makes the process leave the fleet and exit.
+
+        Call `terminate` afterwards, which ends the process if the command failed.
+        """
         self._record_own(EventKind.TERMINATED)
         with contextlib.suppress(OSError, ValueError):
             await asyncio.to_thread(send_command, self.state_path, "leave", timeout_s)
         await self.terminate(timeout_s)
 
     def wipe(self) -> None:
-        """Empty the state folder, after the last outcomes were recorded."""
+        """Record the last outcomes, then empty the state folder."""
         self.record_outcomes()
         shutil.rmtree(self._state_folder, ignore_errors=True)
         self._state_folder.mkdir(exist_ok=True)
@@ -187,7 +193,7 @@
         self._record_own(EventKind.STATE_WIPED)
 
     async def close(self) -> None:
-        """Kill the process, record the rest, and release the ports; the folder stays."""
+        """Kill the process, record its remaining output and release the ports; the folder is not deleted."""
         await self.kill()
         if self._following is not None:
             await self._following
--- a/emberlatch/storm/membership_rules.py
+++ b/emberlatch/storm/membership_rules.py
@@ -21,7 +21,7 @@
 
 from emberlatch.storm.availability import MAX_CLOCK_DRIFT, Availability, LinkImpairments, Span
 from emberlatch.storm.breach import Breach
-from emberlatch.storm.history import RUNNER, TWIN_SUFFIX, EventKind, History, HistoryEvent
+from emberlatch.storm.history import DUPLICATE_SUFFIX, RUNNER, EventKind, History, HistoryEvent
 from emberlatch.storm.membership_views import MembershipViews
 from emberlatch.storm.plan import CLOCK_FAULTS, ENDPOINTS, LINK_FAULTS, Fault, FaultKind
 
@@ -80,7 +80,7 @@
 
 def base_name(name: str) -> str:
     """The name that a process goes by in the fleet: a second one has it from the first."""
-    return name.rstrip(TWIN_SUFFIX)
+    return name.rstrip(DUPLICATE_SUFFIX)
 
 
 def find_disturbances(history: History, without: str = "", include_mild: bool = True) -> list[Span]:
@@ -279,7 +279,7 @@
 
 
 def _twin_events(history: History, duplication: HistoryEvent, kind: EventKind) -> Iterator[HistoryEvent]:
-    twin = duplication.member + TWIN_SUFFIX
+    twin = duplication.member + DUPLICATE_SUFFIX
     return (event for event in history.of_kind(kind) if event.at >= duplication.at and event.member == twin)
 
 
--- a/emberlatch/storm/report.py
+++ b/emberlatch/storm/report.py
@@ -15,7 +15,7 @@
 
 QUANTILES = (50.0, 90.0, 99.0)
 REJECTED = "rejected"
-REJECTIONS = (429, 503)
+REJECTION_STATUSES = (429, 503)
 COLOURS = {"delivered": "tab:green", "refused": "tab:orange", "failed": "tab:red", REJECTED: "tab:gray"}
 COUNTED_EVENTS = (
     EventKind.FAULT_BEGAN,
@@ -44,7 +44,7 @@
         at, answer, outcome = message.submitted_at, answers.get(message.id), outcomes.get(message.id)
         if outcome is not None:
             yield SubmissionResult(at, outcome.payload["state"], outcome.at - at)
-        elif answer is not None and answer.payload["status"] in REJECTIONS:
+        elif answer is not None and answer.payload["status"] in REJECTION_STATUSES:
             yield SubmissionResult(at, REJECTED, answer.at - at)
 
 
--- a/emberlatch/storm/runner.py
+++ b/emberlatch/storm/runner.py
@@ -12,7 +12,7 @@
 from emberlatch.storm.client_load import DEADLINE_S, ClientLoad
 from emberlatch.storm.fault_player import FaultPlayer
 from emberlatch.storm.gateway_files import render_config, render_fleet_section, render_inventory
-from emberlatch.storm.history import RUNNER, TWIN_SUFFIX, EventKind, History, HistoryEvent, Payload
+from emberlatch.storm.history import DUPLICATE_SUFFIX, RUNNER, EventKind, History, HistoryEvent, Payload
 from emberlatch.storm.link_relays import LinkRelays
 from emberlatch.storm.member_process import PROGRAM, MemberProcess
 from emberlatch.storm.membership_views import MembershipViews
@@ -35,12 +35,12 @@
         self._began_at = self._loop.time()
         self._program = program
         self._short_paths = tempfile.TemporaryDirectory(prefix="storm-")
-        self._twin_numbers = itertools.count(1)
+        self._duplicate_numbers = itertools.count(1)
         self.partners = Partners(plan.member_names, plan.seed, self.record)
         self.members = {name: self._create_member(name, name) for name in plan.member_names}
         self._links = LinkRelays(plan)
         self._faults = FaultPlayer(
-            plan, self.members, self._links, self.partners, self.record, self._create_twin
+            plan, self.members, self._links, self.partners, self.record, self._create_duplicate
         )
 
     def record(self, source: str, kind: str, payload: Payload) -> None:
@@ -106,10 +106,10 @@
             fleet = render_fleet_section(name, process.fleet_port, ports)
         return render_config(process.port, process.state_path, fleet)
 
-    def _create_twin(self, member: MemberProcess) -> MemberProcess:
+    def _create_duplicate(self, member: MemberProcess) -> MemberProcess:
         """A second process of a member's name, on ports and a state folder of its own."""
-        folder = f"{member.name}-twin-{next(self._twin_numbers)}"
-        twin = self._create_member(f"{member.name}{TWIN_SUFFIX}", folder)
+        folder = f"{member.name}-twin-{next(self._duplicate_numbers)}"
+        twin = self._create_member(f"{member.name}{DUPLICATE_SUFFIX}", folder)
         twin.config_path.write_text(self._render_config(twin, member.name))
         twin.inventory_path.write_text(member.inventory_path.read_text())
         return twin
--- a/emberlatch/storm/virtual_fleet.py
+++ b/emberlatch/storm/virtual_fleet.py
@@ -18,7 +18,7 @@
 from emberlatch.faults.loop import VirtualLoop, close_loop
 from emberlatch.faults.process import Process, current_process
 from emberlatch.fleet import FleetService, FleetSettings, PartitionPolicy, ProcessEnvironment, QuotaShare
-from emberlatch.storm.history import RUNNER, TWIN_SUFFIX, EventKind, History, HistoryEvent
+from emberlatch.storm.history import DUPLICATE_SUFFIX, RUNNER, EventKind, History, HistoryEvent
 from emberlatch.storm.membership_rules import base_name
 from emberlatch.storm.plan import Fault, FaultKind, Plan
 from emberlatch.storm.virtual_network import FaultyNetwork
@@ -203,7 +203,7 @@
             case FaultKind.SLOW_START:
                 member.start_delay_s = fault.amount
             case FaultKind.DUPLICATE:
-                twin = VirtualMember(self, f"{member.name}{TWIN_SUFFIX}")
+                twin = VirtualMember(self, f"{member.name}{DUPLICATE_SUFFIX}")
                 self.record(RUNNER, EventKind.DUPLICATED, member=member.name)
                 twin.start()
                 call_later(self.plan.duration_s - fault.at, twin.kill)
