--- a/emberlatch/storm/availability.py
+++ b/emberlatch/storm/availability.py
@@ -13,7 +13,7 @@
 Span = tuple[float, float]
 """Begin and end of a time span, in seconds since the storm began; the end may be infinite."""
 
-MAX_CLOCK_DRIFT = 0.03  # largest relative rate error of a member's clock that the rules tolerate
+MAX_CLOCK_DRIFT = 0.03  # largest relative rate error of a member's clock in a plan; the rules allow for it
 
 
 class Availability:
--- a/emberlatch/storm/member_process.py
+++ b/emberlatch/storm/member_process.py
@@ -177,7 +177,7 @@
     async def leave(self, timeout_s: float) -> None:
         """Send the operators' command `leave`, which makes the process leave the fleet and exit.
 
-        Call `terminate` afterwards, which ends the process if the command failed.
+        If the command fails, the process is ended as `terminate` does.
         """
         self._record_own(EventKind.TERMINATED)
         with contextlib.suppress(OSError, ValueError):
--- a/emberlatch/storm/membership_rules.py
+++ b/emberlatch/storm/membership_rules.py
@@ -1,16 +1,18 @@
-"""The rules on membership, checked on the history of a storm. Pure.
+"""The rules on membership, checked on the history of a storm without I/O.
 
 | rule | breach |
 | --- | --- |
-| heals | after recovery a member does not see all others alive, or believes itself to be without a majority |
-| detects | a member that is down for long while nothing else happens is still believed to be there |
-| false death | a member that runs is believed unreachable while nothing happens, or little loss and delay |
-| stalled | a process that was suspended reports or decides anything before it reports the stall |
-| backwards | a member goes back to an earlier incarnation of a peer |
-| left | a member is believed to have left that was not asked to, or one that left to be unreachable |
+| heals | after recovery a member does not see all others alive, or believes that it lacks a majority |
+| detects | a member stays down without other disturbances, and a peer still believes it to be present |
+| false death | a running member is believed unreachable without a fault, or with mild link faults only |
+| stalled | a process that was suspended logs any other membership event before it logs the stall |
+| backwards | a member returns to an earlier incarnation of a peer |
+| left | a peer counts as having left without being asked to, or as unreachable although it left |
 | parts | the quota shares of all running members sum to more than 1 |
-| two of a name | of two processes with one name both go on, or the later one ends |
+| two of a name | of two processes with one name both continue to run, or the later one exits |
 | others' waits | a member calls an endpoint that asked another member to wait |
+
+"Quiet" in this module means: without any disturbance, as `find_disturbances` finds them.
 """
 
 from __future__ import annotations
@@ -43,25 +45,28 @@
     EventKind.RESUMED,
     EventKind.TERMINATED,
 )
-HEAL_LIMIT_S = 8.0  # from the last process's start after all faults until everybody sees everybody
-DETECTION_LIMIT_S = 10.0  # without any disturbance, also for members that distrust their own probes
-QUIET_S = 4.0  # without any disturbance before an event that counts as undisturbed
-QUIET_BEFORE_WAIT_S = 3.0
-NOTICED_SUSPENSION_S = 1.2  # a suspension that must be noticed as a stall
-WAIT_PROPAGATION_S = 0.2  # until all members know a wait that one was asked for
-WAIT_TOLERANCE_S = 0.02  # by which a call may come before the end of a wait
-IMPAIRMENT_BEFORE_WAIT_S = 2.0  # a link that was impaired so long before an answer excuses its reader
+HEAL_LIMIT_S = 8.0  # limit from the event RECOVERED until all members see each other alive
+# Limit of quiet time in which a member that is down must be detected, also by members that distrust their own
+# probes.
+DETECTION_LIMIT_S = 10.0
+QUIET_S = 4.0  # quiet time before an event that no disturbance can have caused
+QUIET_BEFORE_WAIT_S = 3.0  # quiet time before an answer whose wait all members must obey
+MIN_REPORTED_SUSPENSION_S = 1.2  # shortest suspension that a process must report as a stall
+WAIT_PROPAGATION_S = 0.2  # time until all members have learned of a wait that one member was asked for
+WAIT_TOLERANCE_S = 0.02  # time by which a call may precede the end of a wait
+IMPAIRMENT_BEFORE_WAIT_S = 2.0  # a link impairment within this time before an answer excuses later calls
 MAX_SHARE_SUM = 1.0 + 1e-4
-HALT_LIMIT_S = 6.0  # from the serving of the second process until one of the two has ended
-TWIN_KILL_MARGIN_S = 0.5  # before the faults are over: the runner may be killing the second process
-SIMULTANEOUS_S = 0.01  # events so close are consequences of one another
+HALT_LIMIT_S = 6.0  # limit from the second process's SERVING until one of the two has exited
+# Time before FAULTS_OVER in which exits are ignored, because the runner may be killing the second process.
+DUPLICATE_KILL_MARGIN_S = 0.5
+SIMULTANEOUS_S = 0.01  # events within this time of each other are assumed to have one cause
 MILD_FAULTS = (FaultKind.DELAY, FaultKind.LOSS, FaultKind.DISCONNECT)
 MAX_MILD_AMOUNT = 0.1  # seconds of delay, or probability of loss
 PRESENT_STATES = ("alive", "suspect")
 
 
 def check_membership(history: History) -> list[Breach]:
-    """All breaches of the rules on membership; none if the members did not form a fleet."""
+    """Return all breaches of the rules on membership; none if the members ran without a fleet."""
     if not any(history.of_kind(EventKind.INCARNATION_STARTED)):
         return []
     availability = Availability(history)
@@ -79,15 +84,15 @@
 
 
 def base_name(name: str) -> str:
-    """The name that a process goes by in the fleet: a second one has it from the first."""
+    """Return the name that a process has in the fleet, which a duplicate shares with the first process."""
     return name.rstrip(DUPLICATE_SUFFIX)
 
 
 def find_disturbances(history: History, without: str = "", include_mild: bool = True) -> list[Span]:
-    """Spans of faults between members and of processes, and moments at which processes started or ended.
+    """Return the spans of process faults and of link faults between members, and moments of process events.
 
-    `without` leaves out what happened to the process of one member; `include_mild` says whether faults count
-    that must not make any member unreachable.
+    `without` excludes the process faults and process events of one member; `include_mild` says whether to
+    include faults that are too mild to make any member unreachable.
     """
     spans = []
     for fault in history.plan.faults:
@@ -108,7 +113,7 @@
 
 
 def is_quiet(disturbances: list[Span], since: float, until: float) -> bool:
-    """Whether no disturbance overlaps a span."""
+    """Return whether no disturbance overlaps a span."""
     return not any(begin <= until and end >= since for begin, end in disturbances)
 
 
@@ -117,13 +122,13 @@
     due = history.last_time_of(EventKind.RECOVERED, math.inf) + HEAL_LIMIT_S
     completed_at = history.last_time_of(EventKind.COMPLETED, 0.0)
     if completed_at < due and not MembershipViews(history, completed_at).are_complete(names):
-        return  # the storm was over before it was due
+        return  # the storm was completed before the limit, so the members had less time than they may take
     views = MembershipViews(history, due)
     for name in names:
         unseen = views.unseen_by(name, names)
         if unseen or views.is_partitioned(name):
             missing = ", ".join(unseen) or "a majority"
-            text = f"{name} does not see {missing} {HEAL_LIMIT_S:g} s after all was healed"
+            text = f"{name} does not see {missing} {HEAL_LIMIT_S:g} s after the recovery"
             yield Breach("heals", due, (name, *unseen), text)
 
 
@@ -132,16 +137,15 @@
     duplicated = {event.member for event in history.of_kind(EventKind.DUPLICATED)}
     for name, downtimes in availability.downtimes.items():
         if name in duplicated:
-            continue  # the other process of that name is there
+            continue  # the other process with that name may still be alive
         for begin, end in downtimes:
-            if (since := _quiet_part(disturbances, begin, end)) is not None:
+            if (since := _find_quiet_start(disturbances, begin, end)) is not None:
                 yield from _check_detected(history, availability, name, begin, since)
 
 
-def _quiet_part(disturbances: list[Span], begin: float, end: float) -> float | None:
-    """From when on nothing happens for `DETECTION_LIMIT_S` within a downtime; None if something always
-    does."""
-    for since in sorted({begin, *(over for _, over in disturbances if begin <= over < end)}):
+def _find_quiet_start(disturbances: list[Span], begin: float, end: float) -> float | None:
+    """Return the first time in a downtime that begins `DETECTION_LIMIT_S` of quiet; None if there is none."""
+    for since in sorted({begin, *(span_end for _, span_end in disturbances if begin <= span_end < end)}):
         until = since + DETECTION_LIMIT_S
         later = [span for span in disturbances if span[1] > since + SIMULTANEOUS_S]
         if until < end and is_quiet(later, since + 2 * SIMULTANEOUS_S, until):
@@ -152,7 +156,7 @@
 def _check_detected(
     history: History, availability: Availability, name: str, down_since: float, since: float
 ) -> Iterator[Breach]:
-    """Everybody that ran all the time has noticed that a member is down."""
+    """Check that every member that ran all the time has noticed that the member `name` is down."""
     due = since + DETECTION_LIMIT_S
     views = MembershipViews(history, due)
     for observer in history.plan.member_names:
@@ -186,20 +190,20 @@
                 case EventKind.SUSPENDED:
                     suspended_at[name] = event.at
                 case EventKind.RESUMED:
-                    if event.at - suspended_at.pop(name, event.at) > NOTICED_SUSPENSION_S:
+                    if event.at - suspended_at.pop(name, event.at) > MIN_REPORTED_SUSPENSION_S:
                         must_report.add(name)
                 case EventKind.KILLED | EventKind.PROCESS_EXITED:
                     must_report.discard(name)
         elif event.source in must_report:
             if event.kind in FLEET_EVENTS:
-                text = f"{event.source} reports {event.kind} {event.payload} before the stall that it had"
+                text = f"{event.source} logs {event.kind} {event.payload} before it logs the stall"
                 yield Breach("stalled", event.at, (event.source,), text)
             if event.kind in (*FLEET_EVENTS, EventKind.STALL_DETECTED, EventKind.INCARNATION_STARTED):
                 must_report.discard(event.source)
 
 
 def _check_incarnations(history: History) -> Iterator[Breach]:
-    known: dict[tuple[str, str], int] = {}  # by observer and peer
+    known: dict[tuple[str, str], int] = {}  # incarnation numbers by observer and peer
     for event in history.of_kind(EventKind.INCARNATION_STARTED, EventKind.PEER_STATE):
         if event.kind == EventKind.INCARNATION_STARTED:
             known = {pair: number for pair, number in known.items() if pair[0] != event.source}
@@ -221,19 +225,19 @@
             continue
         state = event.payload["state"]
         if state == "left" and name not in terminated_at:
-            text = f"{event.source} believes that {name} left"
+            text = f"{event.source} believes that {name} left, which was not asked to leave"
             yield Breach("left", event.at, (event.source, name), text)
         elif state == "unreachable" and (left_at := terminated_at.get(name)) is not None:
             if not _must_be_known_as_left(history, availability, event, left_at):
                 continue
-            text = f"{event.source} believes {name} to be unreachable, which left at {left_at:.3f}"
+            text = f"{event.source} believes {name}, which left at {left_at:.3f}, to be unreachable"
             yield Breach("left", event.at, (event.source, name), text)
 
 
 def _must_be_known_as_left(
     history: History, availability: Availability, event: HistoryEvent, terminated_at: float
 ) -> bool:
-    """Whether a member that was asked to leave is still down, and nothing kept others from learning it."""
+    """Return whether a member that was asked to leave is still down, and no disturbance hid its departure."""
     if availability.extend_deadline(event.member, terminated_at, 0.0) < event.at:
         return False
     disturbances = find_disturbances(history, without=event.member)
@@ -247,7 +251,8 @@
             shares[event.source] = event.payload["part"]
             if sum(shares.values()) > MAX_SHARE_SUM:
                 text = ", ".join(f"{name} {share:.3f}" for name, share in sorted(shares.items()))
-                yield Breach("parts", event.at, (event.source,), f"the shares are {text}")
+                text = f"the shares sum to {sum(shares.values()):.4f}, expected at most 1: {text}"
+                yield Breach("parts", event.at, (event.source,), text)
         elif event.source == RUNNER and event.kind == EventKind.PROCESS_EXITED:
             shares.pop(event.member, None)
 
@@ -258,34 +263,37 @@
     for duplication in history.of_kind(EventKind.DUPLICATED):
         name, at = duplication.member, duplication.at
         if name in checked or availability.was_down(name, at - QUIET_S, at):
-            continue  # the first second process is still there, or there is no earlier one
+            continue  # an earlier duplicate may still be running, or the first process was down
         checked.add(name)
-        # However long the second one took to start: what counts is when both serve.
-        serving = (event.at for event in _twin_events(history, duplication, EventKind.SERVING))
+        # The limit begins when both processes serve, however long the second one took to start.
+        serving = (event.at for event in _duplicate_events(history, duplication, EventKind.SERVING))
         due = next(serving, at) + HALT_LIMIT_S
-        until = min(due, faults_over_at - TWIN_KILL_MARGIN_S)
+        until = min(due, faults_over_at - DUPLICATE_KILL_MARGIN_S)
         if not is_quiet(_disturbances_of_pair(history, duplication), at - QUIET_S, until):
             continue
-        ended = [
+        exited = [
             event.member
             for event in history.of_kind(EventKind.PROCESS_EXITED)
             if at < event.at < until and base_name(event.member) == name
         ]
-        # Who ended is checked however soon the storm ends; that nobody did, only once it was due.
-        if ended != [name] and (ended or due <= faults_over_at):
-            who = ", ".join(ended) or "nobody"
-            text = f"of {name} and its twin of {at:.3f} the earlier one is to stop; {who} did"
+        # An exit of the wrong process is always a breach; a missing exit only if the limit has passed.
+        if exited != [name] and (exited or due <= faults_over_at):
+            exited_names = ", ".join(exited) or "none"
+            text = f"a second {name} started at {at:.3f}: the earlier one must exit; exited: {exited_names}"
             yield Breach("two of a name", until, (name,), text)
 
 
-def _twin_events(history: History, duplication: HistoryEvent, kind: EventKind) -> Iterator[HistoryEvent]:
-    twin = duplication.member + DUPLICATE_SUFFIX
-    return (event for event in history.of_kind(kind) if event.at >= duplication.at and event.member == twin)
+def _duplicate_events(history: History, duplication: HistoryEvent, kind: EventKind) -> Iterator[HistoryEvent]:
+    name = duplication.member + DUPLICATE_SUFFIX
+    return (event for event in history.of_kind(kind) if event.at >= duplication.at and event.member == name)
 
 
 def _disturbances_of_pair(history: History, duplication: HistoryEvent) -> list[Span]:
-    """Faults of links, and what else happened to the two processes of one name."""
-    expected = [duplication, *list(_twin_events(history, duplication, EventKind.PROCESS_STARTED))[:1]]
+    """Return the spans of all link faults, and the moments of process events of the two processes.
+
+    The duplication and the first start of the duplicate are not disturbances.
+    """
+    expected = [duplication, *list(_duplicate_events(history, duplication, EventKind.PROCESS_STARTED))[:1]]
     kinds = (
         EventKind.KILLED,
         EventKind.TERMINATED,
@@ -305,7 +313,7 @@
 
 def _check_shared_waits(history: History) -> Iterator[Breach]:
     impairments, disturbances = LinkImpairments(history), find_disturbances(history)
-    # By endpoint: since and until when it asked for no calls, and which member.
+    # By endpoint: the begin and the end of the wait that it asked for, and the member that it asked.
     waits: dict[str, tuple[float, float, str]] = defaultdict(lambda: (0.0, 0.0, ""))
     for event in history.of_kind(EventKind.CALL_ANSWERED, EventKind.CALL_STARTED):
         member, endpoint = event.member, event.source
--- a/emberlatch/storm/membership_views.py
+++ b/emberlatch/storm/membership_views.py
@@ -1,4 +1,4 @@
-"""What each member believes of each other member, from the history of a storm. Pure."""
+"""What each member believes of each other member, computed from the history of a storm without I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class MembershipViews:
-    """The beliefs of all members at one moment, by the events that they logged until then."""
+    """The beliefs of all members at one moment, computed from the events that they had logged by then."""
 
     def __init__(self, history: History, until: float = math.inf) -> None:
         """`until` is in seconds since the storm began; the history must be in order up to it."""
@@ -29,17 +29,17 @@
                     self._partition_causes[event.source] = ""
 
     def state_of(self, peer: str, observer: str) -> str:
-        """The state in which an observer believes a peer to be; `joining` if it has not logged any."""
+        """Return the state of a peer as the observer last logged it; `joining` if it has logged none."""
         return self._states.get(observer, {}).get(peer, "joining")
 
     def is_partitioned(self, observer: str) -> bool:
-        """Whether an observer believes to be without a majority."""
+        """Return whether an observer believes that it lacks a majority."""
         return bool(self._partition_causes.get(observer, "joining"))
 
     def unseen_by(self, observer: str, members: tuple[str, ...]) -> list[str]:
-        """The other members that an observer does not believe to be alive."""
+        """Return the other members that an observer does not believe to be alive."""
         return [peer for peer in members if peer != observer and self.state_of(peer, observer) != "alive"]
 
     def are_complete(self, members: tuple[str, ...]) -> bool:
-        """Whether each member sees all the others alive, and a majority."""
+        """Return whether each member sees all others alive and has a majority."""
         return not any(self.is_partitioned(name) or self.unseen_by(name, members) for name in members)
--- a/emberlatch/storm/message_rules.py
+++ b/emberlatch/storm/message_rules.py
@@ -1,17 +1,17 @@
-"""The rules on messages, checked on the history of a storm. Pure.
+"""The rules on messages, checked on the history of a storm without I/O.
 
 | rule | breach |
 | --- | --- |
-| lost | a message that was answered 202 has no outcome within its time, and its member was not down |
+| lost | a message that was answered with 202 has no outcome by its deadline, and its member was not down |
 | two ends | a message has more than one outcome |
 | twice | a message took effect more often than its class allows |
-| untrue | an outcome is false: delivered and never ran, or refused and ran in a class without repeats |
+| untrue | a message is delivered without having taken effect, or is unsafe and refused after it took effect |
 | waits | a member calls an endpoint that asked it to wait |
 | leases | a member has more calls in flight than slots, or three quarters of the slots at one partner |
-| crashed | a process ended by itself with a status that is not 0 |
+| crashed | a process exited by itself with a status that is not 0 |
 
-A member is excused while it is suspended or down and until `RESTART_GRACE_S` after it serves again; one whose
-state folder was wiped, for all messages that it accepted before.
+A deadline is extended while the member is suspended or down, until `RESTART_GRACE_S` after it serves again.
+A message is exempt if its member's state folder was wiped after the member accepted the message.
 """
 
 from __future__ import annotations
@@ -26,19 +26,25 @@
 from emberlatch.storm.client_load import CLASS_EFFECTS
 from emberlatch.storm.history import REQUEST, EventKind, History, HistoryEvent
 
-OUTCOME_GRACE_S = 0.3 + 0.5  # after the deadline of a message: the rule's own, and the runner's polling
-WAIT_PROPAGATION_S = 0.15  # until a member must have read an answer that asks it to wait
-WAIT_TOLERANCE_S = 0.02  # by which a call may come before the end of a wait
-IMPAIRMENT_BEFORE_WAIT_S = 2.0  # a link that was impaired so long before an answer excuses its reader
+# Time after a message's deadline until its outcome is due: 0.3 s that the rule allows and 0.5 s for the
+# runner's polling.
+OUTCOME_GRACE_S = 0.3 + 0.5
+WAIT_PROPAGATION_S = 0.15  # time in which a member must have read an answer that asks it to wait
+WAIT_TOLERANCE_S = 0.02  # time by which a call may precede the end of a wait
+IMPAIRMENT_BEFORE_WAIT_S = 2.0  # a link impairment within this time before an answer excuses later calls
 MEMBER_SLOTS = 16
-MAX_PARTNER_SHARE = 3 / 4  # of the slots of a member
-ABANDONED_CALL_S = 8.0  # after an impairment: calls that the endpoint still counts may have been abandoned
-RECENT_DOWNTIME_S = 1.0
+MAX_PARTNER_SHARE = 3 / 4  # share of a member's slots that its calls to one partner must not reach
+# Time after a link impairment in which the member may have abandoned calls that the endpoint still counts.
+ABANDONED_CALL_S = 8.0
+RECENT_DOWNTIME_S = 1.0  # time after a downtime in which the calls of a member are not counted
 
 
 @dataclass(slots=True)
 class SubmittedMessage:
-    """A message as its client submitted it; `accepted_at` is when its client read 202, infinite if never."""
+    """A message as its client submitted it.
+
+    `accepted_at` is the time at which the client read the status 202, infinite if it never did.
+    """
 
     id: str
     request: int
@@ -51,12 +57,12 @@
 
     @property
     def effect_name(self) -> str:
-        """By what partners count effects: the idempotency key, or the id of a message without one."""
+        """The name by which partners count effects: the idempotency key, or else the message's id."""
         return self.key or self.id
 
 
 def submitted_messages(history: History) -> Iterator[SubmittedMessage]:
-    """All messages that were submitted, accepted or not."""
+    """Return all submitted messages, accepted or not."""
     messages: dict[str, SubmittedMessage] = {}
     for event in history.of_kind(EventKind.SUBMITTED, EventKind.SUBMISSION_ANSWERED):
         payload = event.payload
@@ -76,14 +82,14 @@
 
 
 def count_unresolved(history: History) -> int:
-    """The number of messages that were accepted and have no outcome, whether excused or not."""
+    """Return the number of accepted messages without an outcome, also where no rule requires one."""
     answers = history.of_kind(EventKind.SUBMISSION_ANSWERED)
     accepted = {answer.payload["id"] for answer in answers if answer.payload["status"] == 202}
     return len(accepted - {event.payload["id"] for event in history.of_kind(EventKind.OUTCOME)})
 
 
 def check_messages(history: History) -> list[Breach]:
-    """All breaches of the rules on messages."""
+    """Return all breaches of the rules on messages."""
     availability, impairments = Availability(history), LinkImpairments(history)
     return [
         *_check_outcomes(history, availability),
@@ -112,12 +118,12 @@
         due = message.deadline + OUTCOME_GRACE_S + MAX_CLOCK_DRIFT * (message.deadline - message.accepted_at)
         due = availability.extend_deadline(message.member, due)
         if (own[0].at if own else math.inf) > due and completed_at > due:
-            text = f"{message.id}, taken at {message.accepted_at:.3f}, had no end by {due:.3f}"
+            text = f"{message.id}, accepted at {message.accepted_at:.3f}, had no outcome by {due:.3f}"
             yield Breach("lost", min(due, completed_at), (message.member,), text)
 
 
 def _count_effects(history: History) -> dict[str, int]:
-    """How often each message took effect, by `SubmittedMessage.effect_name`."""
+    """Return the number of effects of each message, by `SubmittedMessage.effect_name`."""
     effects: dict[str, int] = defaultdict(int)
     for event in history.of_kind(EventKind.EFFECTS):
         effects[event.payload["name"]] += event.payload["times"]
@@ -139,8 +145,8 @@
             case "unsafe":
                 by_request[message.request] += times
                 if by_request[message.request] > 1:
-                    text = f"{name} ran {times} times, its request {message.request} more than once"
-                    yield Breach("twice", at, subjects, text)
+                    in_all = f"its request {message.request} took effect {by_request[message.request]} times"
+                    yield Breach("twice", at, subjects, f"{name} took effect {times} times, {in_all}")
             case "keyed" if times > 1:
                 yield Breach("twice", at, subjects, f"{name} took effect {times} times")
 
@@ -152,15 +158,17 @@
         message, state = messages[event.payload["id"]], event.payload["state"]
         times, subjects = effects[message.effect_name], (event.source,)
         if state == "delivered" and not times:
-            yield Breach("untrue", event.at, subjects, f"{message.id} was reported delivered, and never ran")
+            text = f"{message.id} was reported as delivered, and never took effect"
+            yield Breach("untrue", event.at, subjects, text)
         if state == "refused" and times and CLASS_EFFECTS[message.message_class] == "unsafe":
-            yield Breach("untrue", event.at, subjects, f"{message.id} was refused, and ran")
+            text = f"{message.id} was reported as refused, and took effect {times} times"
+            yield Breach("untrue", event.at, subjects, text)
 
 
 def _check_waits(
     history: History, availability: Availability, impairments: LinkImpairments
 ) -> Iterator[Breach]:
-    waits: dict[tuple[str, str], tuple[float, float]] = {}  # by endpoint and member: since and until when
+    waits: dict[tuple[str, str], tuple[float, float]] = {}  # begin and end of waits, by endpoint and member
     for event in history.of_kind(EventKind.CALL_ANSWERED, EventKind.CALL_STARTED):
         member, endpoint = event.member, event.source
         if event.kind == EventKind.CALL_ANSWERED:
@@ -183,7 +191,7 @@
 def _check_leases(
     history: History, availability: Availability, impairments: LinkImpairments
 ) -> Iterator[Breach]:
-    in_flight: dict[str, dict[int, str]] = defaultdict(dict)  # by member and number of the call: the endpoint
+    in_flight: dict[str, dict[int, str]] = defaultdict(dict)  # endpoints by member and number of the call
     kinds = (EventKind.CALL_STARTED, EventKind.CALL_ANSWERED, EventKind.CALL_DISCONNECTED)
     for event in history.of_kind(*kinds):
         member, endpoint, number = event.member, event.source, event.payload["number"]
@@ -201,13 +209,16 @@
         at_partner = sum(name[:2] == partner for name in calls.values())
         if len(calls) > MEMBER_SLOTS or at_partner >= MEMBER_SLOTS * MAX_PARTNER_SHARE:
             counts = f"{len(calls)} calls in flight, {at_partner} of them to {partner}"
-            text = f"{member} has {counts}, on {MEMBER_SLOTS} slots"
-            yield Breach("leases", event.at, (member, endpoint), text)
+            limits = f"{MEMBER_SLOTS} calls, and fewer than {MEMBER_SLOTS * MAX_PARTNER_SHARE:g} to a partner"
+            yield Breach("leases", event.at, (member, endpoint), f"{member} has {counts}; allowed: {limits}")
 
 
 def _check_exits(history: History) -> Iterator[Breach]:
-    """A status below 0 is a signal, which the runner sent; 0 is an end that was asked for, or a name that
-    was given up."""
+    """Check that no process exited with a status above 0.
+
+    A status below 0 is a signal that the runner sent. A process exits with 0 if it was asked to, or because
+    another process has its name.
+    """
     for event in history.of_kind(EventKind.PROCESS_EXITED):
         if (status := event.payload.get("status", 0)) > 0:
             text = f"{event.member} ended by itself with status {status}: {event.payload.get('text', '')}"
