--- a/emberlatch/storm/partners.py
+++ b/emberlatch/storm/partners.py
@@ -1,5 +1,7 @@
-"""The partners of a storm: stand-in endpoints, each with a listener for every member, so that it is known
-which member calls."""
+"""The partners of a storm: stand-in endpoints.
+
+Each endpoint has a listener for every member, so that the listener identifies the calling member.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +23,7 @@
 from emberlatch.storm.history import EventKind, Payload, Recorder
 from emberlatch.storm.plan import ENDPOINTS
 
-P1_CALLS_PER_S = 24.0  # that an endpoint of the first partner accepts from all members together
+P1_CALLS_PER_S = 24.0  # rate limit of each endpoint of the first partner, for all members together
 WARM_UP_S = 3.0
 BEHAVIOURS = {
     "p1": Behaviour(
@@ -44,28 +46,31 @@
 
 
 class _MemberListener:
-    """An endpoint as one member reaches it; records that member's calls. Reserves its port until `stop`."""
+    """The listener of an endpoint for one member; records the member's calls.
+
+    The listener's port is reserved until `stop`.
+    """
 
     def __init__(self, endpoint: Endpoint, member: str) -> None:
         self.endpoint, self.member = endpoint, member
         self._reservation = reserve_port()
         self.server = PartnerServer(endpoint.model, self, self._reservation)
-        self._call_numbers: dict[int, int] = {}  # of the endpoint, by those of the server
+        self._call_numbers: dict[int, int] = {}  # the endpoint's numbers of calls, by the server's numbers
 
     def on_call(self, number: int, process: str, messages: list[Message]) -> None:
-        """A call has begun."""
+        """Record that a call has begun."""
         own_number = self._call_numbers[number] = next(self.endpoint.call_numbers)
         ids, keys = [message.id for message in messages], [message.key for message in messages]
         self._record(EventKind.CALL_STARTED, {"number": own_number, "ids": ids, "keys": keys})
 
     def on_answer(self, number: int, outcome: CallOutcome) -> None:
-        """A call was answered."""
+        """Record that a call was answered."""
         own_number = self._call_numbers.pop(number)
         answer = {"number": own_number, "status": outcome.status, "wait": outcome.retry_after}
         self._record(EventKind.CALL_ANSWERED, answer)
 
     def on_disconnect(self, number: int) -> None:
-        """The member disconnected before a call was answered."""
+        """Record that the member disconnected before a call was answered."""
         self._record(EventKind.CALL_DISCONNECTED, {"number": self._call_numbers.pop(number)})
 
     def _record(self, kind: EventKind, payload: Payload) -> None:
@@ -78,11 +83,12 @@
 
 
 class Endpoint:
-    """One endpoint: one model with a listener for each member."""
+    """One endpoint: a model that is shared by the listeners for all members."""
 
     def __init__(self, name: str, members: Iterable[str], seed: int, record: Recorder) -> None:
         self.name, self.record = name, record
-        self.keys = IdempotencyKeys(IDEMPOTENCY_WINDOW_S)  # a partner has one endpoint in each wing
+        # A partner's endpoints in one wing share such keys; here a partner has one endpoint in each wing.
+        self.keys = IdempotencyKeys(IDEMPOTENCY_WINDOW_S)
         self.model = EndpointModel(BEHAVIOURS[name[:2]], self.keys, seed=seed)
         self.call_numbers = itertools.count(1)
         self.listeners = {member: _MemberListener(self, member) for member in members}
@@ -97,7 +103,7 @@
             await listener.stop()
 
     async def set_condition(self, condition: Condition) -> None:
-        """Change how it behaves from now on, to all members."""
+        """Set the condition in which the endpoint serves all members from now on."""
         for listener in self.listeners.values():
             await listener.server.set_condition(condition)
 
@@ -110,7 +116,7 @@
         self.endpoints = {name: Endpoint(name, names, seed, record) for name in ENDPOINTS}
 
     async def start(self) -> None:
-        """Listen at all endpoints; raises OSError."""
+        """Listen at all endpoints; raises OSError if a port cannot be bound."""
         await asyncio.gather(*(endpoint.start() for endpoint in self.endpoints.values()))
 
     async def stop(self) -> None:
@@ -119,11 +125,11 @@
             await endpoint.stop()
 
     async def set_condition(self, name: str, condition: Condition) -> None:
-        """Change how one endpoint behaves from now on."""
+        """Set the condition of one endpoint from now on."""
         await self.endpoints[name].set_condition(condition)
 
     def record_effects(self) -> None:
-        """Record how often each message took effect in all."""
+        """Record how often each message took effect, per endpoint, over the storm until now."""
         for endpoint in self.endpoints.values():
             for name, times in endpoint.keys.effects.items():
                 self._record(endpoint.name, EventKind.EFFECTS, {"name": name, "times": times})
--- a/emberlatch/storm/plan.py
+++ b/emberlatch/storm/plan.py
@@ -1,6 +1,6 @@
-"""Fault plans of a storm, as data: read from TOML, or drawn from a seed (`plan_generator`).
+"""Plans of storms: read from TOML, or generated from a seed (`plan_generator`).
 
-Real processes (`runner`) and the simulated fleet (`virtual_fleet`) play the same plans.
+The same plan can be played on real processes (`runner`) or in a simulation (`virtual_fleet`).
 
     seed = 7
     members = 5
@@ -14,10 +14,10 @@
     to = ["f2", "f3", "f4"]
     both = true
 
-Times are seconds from the start. `whom` names members (`f0`...), or endpoints of partners (`p1-east`); a
-fault of links also has `to`, members or endpoints, and holds for data sent from `whom` to `to`, with `both`
-also in the opposite direction. The fields of `Plan` and `Fault` have other names than the keys of the file;
-`rename` maps them.
+Times are in seconds from the start of the storm. `whom` lists members (`f0`...) or endpoints of partners
+(`p1-east`). A link fault also has `to`, which lists members or endpoints; it affects data sent from `whom` to
+`to`, and with `both` also data in the opposite direction. Some fields of `Plan` and `Fault` have other names
+than the keys of the file; `rename` maps them.
 """
 
 from __future__ import annotations
@@ -39,45 +39,45 @@
 class FaultKind(StrEnum):
     """The kinds of faults, by their names in plan files."""
 
-    # Of processes.
+    # Faults of processes.
     KILL = "kill"
-    """SIGKILL; started again after `amount` seconds, or at the end of the storm if that is 0."""
+    """SIGKILL; the process is restarted after `amount` seconds, or at the end of the storm if that is 0."""
     SUSPEND = "stop"
     """SIGSTOP, and SIGCONT at the end of the fault."""
     TERMINATE = "term"
-    """SIGTERM, and started again."""
+    """SIGTERM; the process is restarted when it has exited."""
     LEAVE = "leave"
-    """Asked to leave the fleet, and started again."""
+    """The process is asked to leave the fleet, and is restarted when it has exited."""
     WIPE = "wipe"
-    """Killed, and started on an empty state folder after `amount` seconds."""
+    """The process is killed, and is restarted on an empty state folder after `amount` seconds."""
     DUPLICATE = "twin"
-    """A second process with the name of the member, on a state folder of its own."""
+    """A second process is started with the name of the member, on a state folder of its own."""
     SLOW_START = "slow-start"
     """The next start takes `amount` seconds longer."""
     GARBAGE = "rubbish"
     """Unknown clients send invalid data to the member's fleet port."""
 
-    # Of links, each direction by itself.
+    # Faults of links; each direction is impaired by itself.
     PARTITION = "cut"
-    """Nothing is delivered until the end; then all that was sent arrives, in order."""
+    """Nothing is delivered until the fault ends; then all data that was sent arrives in order."""
     DELAY = "delay"
-    """Delivered later by `amount` seconds, drawn up to twice that."""
+    """Data is delivered late, by a time drawn for each chunk from `amount` to twice `amount` seconds."""
     LOSS = "stalls"
-    """Each chunk waits for a retransmission with probability `amount`, repeatedly."""
+    """Each chunk is lost with probability `amount`, also when it is retransmitted, and arrives later."""
     THROTTLE = "throttle"
-    """`amount` bytes a second."""
+    """`amount` bytes per second are forwarded."""
     BLACKHOLE = "mute"
-    """New connections are accepted, and nothing is forwarded on them."""
+    """New connections are accepted, but nothing is forwarded on them until the fault ends."""
     DISCONNECT = "break"
     """The connection ends in the middle of the next chunk."""
 
-    # Of clocks: from the next start of the process on, or from the beginning if `at` is 0.
+    # Faults of clocks; they take effect at the next start of the process, or at its first start if `at` is 0.
     WALL_OFFSET = "wall"
     """The wall clock is off by `amount` seconds."""
     CLOCK_RATE = "rate"
-    """The monotonic clock runs at `amount` of the true rate."""
+    """The monotonic clock runs at `amount` times the true rate."""
 
-    # Of a partner's endpoint; see `emberlatch.standins`.
+    # Conditions of a partner's endpoint; see `emberlatch.standins`.
     ENDPOINT_HANG = "hang"
     ENDPOINT_SLOW = "slow"
     ENDPOINT_RESET = "reset"
@@ -136,7 +136,7 @@
 
 
 class PlanError(ValueError):
-    """A plan that cannot be played; the text names the key and the values that are valid."""
+    """Raised for an invalid plan; the text names the key and the valid values."""
 
 
 class Fault(
@@ -163,11 +163,11 @@
 
     @property
     def end(self) -> float:
-        """When it is over; for a fault without an end, when it began."""
+        """The time at which the fault ends; for a fault without an end, the time at which it begins."""
         return max(self.at, self.until)
 
     def directions(self) -> Iterator[tuple[str, str]]:
-        """The pairs of sender and receiver that a fault of links concerns."""
+        """Return the pairs of sender and receiver that a link fault affects."""
         for sender in self.subjects:
             for receiver in self.destinations:
                 if sender != receiver:
@@ -195,14 +195,14 @@
         "fleet_enabled": "fleet",
     },
 ):
-    """A storm. Its seed decides the traffic and the behaviour of the partners; its faults are listed."""
+    """The plan of a storm. The seed determines the traffic and the partners' behaviour, not the faults."""
 
     seed: int
     member_count: int = 3
     duration_s: float = 20.0
-    messages_per_s: float = 12.0  # submitted to all members together
+    messages_per_s: float = 12.0  # rate of submissions to all members together
     faults: tuple[Fault, ...] = ()
-    fleet_enabled: bool = True  # members know each other; otherwise each runs alone
+    fleet_enabled: bool = True  # whether the members form a fleet; otherwise each runs alone
 
     @property
     def member_names(self) -> tuple[str, ...]:
@@ -210,11 +210,11 @@
         return tuple(f"f{number}" for number in range(self.member_count))
 
     def faults_of(self, *kinds: str) -> list[Fault]:
-        """The faults of some kinds, in the order of the plan."""
+        """Return the faults of the given kinds, in the order of the plan."""
         return [fault for fault in self.faults if fault.kind in kinds]
 
     def to_toml(self) -> str:
-        """The plan as the text of a plan file."""
+        """Return the text of a plan file with this plan."""
         head = (
             f"seed = {self.seed}\n"
             f"members = {self.member_count}\n"
@@ -234,7 +234,7 @@
 
 
 def parse_plan(text: str) -> Plan:
-    """Read the text of a plan file; raises PlanError."""
+    """Parse the text of a plan file; raises PlanError if the text or the plan is invalid."""
     try:
         plan = msgspec.convert(tomllib.loads(text), Plan, strict=False)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
@@ -243,12 +243,13 @@
 
 
 def validate_plan(plan: Plan) -> Plan:
-    """Return the plan if it can be played; raises PlanError."""
+    """Return the plan if it is valid; raises PlanError if not."""
     if not 1 <= plan.member_count <= MAX_MEMBERS:
-        raise PlanError(f"members: 1 to {MAX_MEMBERS}")
+        raise PlanError(f"members: expected 1 to {MAX_MEMBERS}, got {plan.member_count}")
     if not 0 < plan.duration_s <= MAX_DURATION_S or not 0 <= plan.messages_per_s <= MAX_MESSAGES_PER_S:
         raise PlanError(
-            f"seconds: over 0, at most {MAX_DURATION_S}; rate: 0 to {MAX_MESSAGES_PER_S}",
+            f"seconds: expected more than 0 and at most {MAX_DURATION_S}, got {plan.duration_s:g}; "
+            f"rate: expected 0 to {MAX_MESSAGES_PER_S}, got {plan.messages_per_s:g}",
         )
     for number, fault in enumerate(plan.faults):
         if problem := _find_problem(plan, fault):
@@ -257,22 +258,31 @@
 
 
 def _find_problem(plan: Plan, fault: Fault) -> str:
-    """The key of a fault that is invalid, and the values that are valid; empty if all are."""
+    """Return the first invalid key of a fault with the valid values; empty if the fault is valid."""
     if fault.kind not in FAULT_KINDS:
-        return f"what: {fault.kind!r} is no fault; known are {', '.join(FAULT_KINDS)}"
+        return f"what: {fault.kind!r} is no fault; expected one of {', '.join(FAULT_KINDS)}"
     members = plan.member_names
     known = set(ENDPOINTS) if fault.kind in ENDPOINT_FAULTS else set(members)
     if not fault.subjects or set(fault.subjects) - known:
-        return f"whom: names of {', '.join(sorted(known))}"
+        found = ", ".join(fault.subjects) or "none"
+        return f"whom: expected names of {', '.join(sorted(known))}; got {found}"
     if (fault.kind in LINK_FAULTS) != bool(fault.destinations):
-        return "to: a fault of links has it, and no other"
+        found = f"{fault.kind} with {len(fault.destinations)} names"
+        return f"to: required by {', '.join(LINK_FAULTS)}, invalid for all others; got {found}"
     if set(fault.destinations) - {*members, *ENDPOINTS}:
-        return f"to: names of {', '.join([*members, *ENDPOINTS])}"
+        found = ", ".join(fault.destinations)
+        return f"to: expected names of {', '.join([*members, *ENDPOINTS])}; got {found}"
     if not 0 <= fault.at <= plan.duration_s or (fault.until and fault.until < fault.at):
-        return "at: from 0 to the plan's seconds, and not after until"
+        found = f"at {fault.at:g}, until {fault.until:g}"
+        return f"at: expected 0 to {plan.duration_s:g} (the plan's seconds), and not after until; got {found}"
     if (fault.kind in LASTING_FAULTS) != bool(fault.until):
-        return f"until: {', '.join(LASTING_FAULTS)} have it, and no other"
+        found = f"{fault.kind} with until {fault.until:g}"
+        return f"until: required by {', '.join(LASTING_FAULTS)}, invalid for all others; got {found}"
     amount_optional = fault.kind in FAULTS_WITH_OPTIONAL_AMOUNT
     if (fault.kind in FAULTS_WITH_AMOUNT) != bool(fault.amount) and not amount_optional:
-        return f"amount: {', '.join(FAULTS_WITH_AMOUNT)} need it, kill and wipe may have it, and no other"
+        required = ", ".join(FAULTS_WITH_AMOUNT)
+        return (
+            f"amount: required by {required}, optional for {', '.join(FAULTS_WITH_OPTIONAL_AMOUNT)}, "
+            f"invalid for all others; got {fault.kind} with amount {fault.amount:g}"
+        )
     return ""
--- a/emberlatch/storm/plan_generator.py
+++ b/emberlatch/storm/plan_generator.py
@@ -1,6 +1,7 @@
-"""Generates the plan of a storm from a seed: three to eight members, and faults that overlap.
+"""Generates the plan of a storm from a seed: three to eight members, and faults that may overlap.
 
-One seed is one plan for good: the order of the draws is part of what a seed means.
+A seed must give the same plan in every version of the program, so the order of the random draws must not
+change.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
     validate_plan,
 )
 
-FAULT_FREE_S = 1.0  # at the beginning and at the end of a storm
-MIN_FAULT_FREE_TAIL_S = 2.0  # from the latest begin of a fault to the fault-free end
+FAULT_FREE_S = 1.0  # duration of the fault-free spans at the beginning and at the end of a storm
+MIN_FAULT_FREE_TAIL_S = 2.0  # shortest time from the begin of a fault to the fault-free span at the end
 PARTITION_SHAPES = ("halves", "bridge", "alone", "ring", "one way")
 
 
 @dataclass(frozen=True, slots=True)
 class _FaultSlot:
-    """Where faults are generated: a span of the storm, in seconds, and the members."""
+    """The span of a storm for which one fault or several are generated, in seconds, and the members."""
 
     rng: random.Random
     members: list[str]
@@ -35,14 +36,14 @@
     until: float
 
     def draw_members(self) -> tuple[str, ...]:
-        """One member, or several at once, now and then all."""
+        """Draw one member or several; most draws include at most half of the members."""
         rng, count = self.rng, len(self.members)
-        most = count if rng.random() < 0.15 else max(1, count // 2)
-        return tuple(sorted(rng.sample(self.members, rng.randint(1, most) if rng.random() < 0.4 else 1)))
+        maximum = count if rng.random() < 0.15 else max(1, count // 2)
+        return tuple(sorted(rng.sample(self.members, rng.randint(1, maximum) if rng.random() < 0.4 else 1)))
 
 
 def generate_plan(seed: int, members: int = 0, seconds: float = 20.0) -> Plan:
-    """The plan of a seed, with that many members; 0 lets the seed decide."""
+    """Generate the plan of a seed; with 0 `members` their number is drawn from the seed."""
     rng = random.Random(f"storm {seed}")
     count = members or rng.choice((3, 3, 4, 5, 5, 6, 8))
     names = [f"f{number}" for number in range(count)]
@@ -73,7 +74,7 @@
         case FaultKind.SUSPEND:
             end = round(at + rng.choice((0.3, 1.0, 2.0, 6.0)), 2)
             return [Fault(at, kind, subjects, until=min(slot.until, end))]
-        case FaultKind.DUPLICATE:  # the first name: it dials all the others
+        case FaultKind.DUPLICATE:  # of the first member, which dials all the others
             return [Fault(at, kind, (slot.members[0],))]
         case FaultKind.TERMINATE:
             return [Fault(at, kind, subjects)]
@@ -90,11 +91,11 @@
 
 
 def _partition_faults(slot: _FaultSlot) -> list[Fault]:
-    """The members partitioned in one of several shapes, once or repeatedly."""
+    """Partition the members in a drawn shape, once or repeatedly."""
     rng, at, until = slot.rng, slot.at, slot.until
     pairs, bidirectional = _draw_partition(rng, rng.sample(slot.members, len(slot.members)))
     spans = [(at, until)]
-    if rng.random() < 0.25:  # it flaps
+    if rng.random() < 0.25:  # a partition that begins and ends four times
         step = (until - at) / 8
         spans = [(round(at + 2 * n * step, 2), round(at + (2 * n + 1) * step, 2)) for n in range(4)]
     return [
@@ -115,7 +116,10 @@
 def _draw_partition(
     rng: random.Random, shuffled: list[str]
 ) -> tuple[list[tuple[list[str], list[str]]], bool]:
-    """Pairs of sides that do not reach each other, and whether that holds in both directions."""
+    """Return pairs of sides that cannot reach each other, and whether both directions are blocked.
+
+    If only one direction is blocked, the first side of a pair cannot reach the second.
+    """
     size = len(shuffled)
     one_half, other_half = shuffled[: size // 2], shuffled[size // 2 :]
     match rng.choice(PARTITION_SHAPES):
@@ -123,11 +127,11 @@
             return [(one_half, other_half)], True
         case "alone":
             return [(shuffled[:1], shuffled[1:])], True
-        case "bridge":  # the last one reaches both sides
+        case "bridge":  # the last member reaches both sides
             return [(one_half, other_half[:-1])], True
         case "one way":
             return [(shuffled[:1], shuffled[1 : 1 + rng.randint(1, size - 1)])], False
-        case _:  # a ring: each reaches its two neighbours alone
+        case _:  # a ring: each member reaches only its two neighbours
             return [
                 ([shuffled[a]], [shuffled[b]])
                 for a, b in itertools.combinations(range(size), 2)
@@ -153,7 +157,7 @@
     amounts = {
         FaultKind.DELAY: rng.choice((0.02, 0.1, 0.4)),  # seconds
         FaultKind.LOSS: rng.choice((0.05, 0.2)),  # probability
-        FaultKind.THROTTLE: 4000.0,  # bytes a second
+        FaultKind.THROTTLE: 4000.0,  # bytes per second
     }
     return [
         Fault(
@@ -184,5 +188,5 @@
         return [Fault(0.0, FaultKind.CLOCK_RATE, subjects, amount=rng.choice((0.98, 1.02)))]
     return [
         Fault(0.0, FaultKind.WALL_OFFSET, subjects, amount=rng.choice((-3600.0, 3600.0))),
-        Fault(slot.at, FaultKind.KILL, subjects, amount=0.3),  # from the next start on
+        Fault(slot.at, FaultKind.KILL, subjects, amount=0.3),  # the restarted process has the offset too
     ]
--- a/emberlatch/storm/relay.py
+++ b/emberlatch/storm/relay.py
@@ -1,8 +1,8 @@
-"""A TCP relay between two parties that delays, holds back, throttles or breaks what it forwards.
+"""A TCP relay between two parties that delays, withholds or throttles data, or disconnects the parties.
 
-Nothing that it has read is lost, as with TCP: what a partition or a loss holds back arrives later, in order.
-What a real network does and a relay on loopback cannot: a connection through a partition is accepted, and
-then nothing arrives on it.
+While a connection is open, no data on it is lost, as with TCP: data that a partition or a loss withholds
+arrives later, in order. Unlike a real network, the relay accepts a connection through a partition, and then
+delivers no data on it.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from emberlatch.standins import reserve_port
 
 Address = tuple[str, int]
-MAX_CHUNK_BYTES = 16 * 1024  # that are forwarded together
-MAX_QUEUED_CHUNKS = 64  # that a direction holds before it stops reading
-FIRST_RETRANSMIT_S = 0.2  # the wait for a lost chunk, doubled each time that it is lost again
-MAX_RETRANSMIT_S = 1.6
+MAX_CHUNK_BYTES = 16 * 1024  # largest chunk that is read at once
+MAX_QUEUED_CHUNKS = 64  # chunks of one direction that are queued before the relay stops reading
+FIRST_RETRANSMIT_S = 0.2  # time until a lost chunk is sent again; doubled for each further loss
+MAX_RETRANSMIT_S = 1.6  # longest time between two retransmissions; after it the chunk is no longer lost
 
 
 def draw_retransmit_delay(rng: random.Random, loss: float) -> float:
-    """Seconds by which a chunk is late that is lost with this probability each time it is sent."""
+    """Draw the delay of a chunk, in seconds, that is lost with probability `loss` each time it is sent."""
     delay_s, wait_s = 0.0, FIRST_RETRANSMIT_S
     while loss and rng.random() < loss and wait_s <= MAX_RETRANSMIT_S:
         delay_s, wait_s = delay_s + wait_s, wait_s * 2
@@ -31,19 +31,19 @@
 
 @dataclass(slots=True)
 class DirectionFaults:
-    """The faults of one direction at present; `open` is clear while it is partitioned."""
+    """The current faults of one direction; the event `open` is clear while the direction is partitioned."""
 
-    delay_s: float = 0.0  # drawn from this to twice this for each chunk
+    delay_s: float = 0.0  # least delay of a chunk; each delay is drawn from this value to twice this value
     loss: float = 0.0  # probability that a chunk is lost, each time that it is sent
-    bytes_per_s: float = 0.0  # 0: unlimited
-    disconnects: bool = False  # half of the next chunk is sent, and its connection ends
+    bytes_per_s: float = 0.0  # 0 means unlimited
+    disconnects: bool = False  # whether to forward half of the next chunk and then end its connection
     open: asyncio.Event = field(default_factory=asyncio.Event)
 
     def __post_init__(self) -> None:
         self.open.set()
 
     def draw_delay(self, rng: random.Random) -> float:
-        """Seconds by which the next chunk is late."""
+        """Draw the delay of the next chunk, in seconds."""
         delay_s = self.delay_s * rng.uniform(1.0, 2.0) if self.delay_s else 0.0
         return delay_s + draw_retransmit_delay(rng, self.loss)
 
@@ -60,9 +60,9 @@
     def __init__(
         self, destination: Address, forward: DirectionFaults, backward: DirectionFaults, rng: random.Random
     ) -> None:
-        """`forward` concerns data to the destination, `backward` data from it."""
+        """`forward` has the faults of data to the destination, `backward` those of data from it."""
         self.destination, self.forward, self.backward, self._rng = destination, forward, backward, rng
-        self.forwarding = asyncio.Event()  # clear: connections are accepted, and none is forwarded
+        self.forwarding = asyncio.Event()  # while it is clear, new connections are accepted but not forwarded
         self.forwarding.set()
         self._reservation = reserve_port()
         self.port: int = self._reservation.getsockname()[1]
@@ -70,18 +70,18 @@
         self._connections: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen, if it does not yet."""
+        """Listen, unless the relay already does."""
         if self._server is None:
             self._server = await asyncio.start_server(self._accept, "127.0.0.1", self.port, reuse_port=True)
 
     def stop_listening(self) -> None:
-        """Have new connections refused; those that are open go on."""
+        """Stop listening, so that new connections are refused; open connections are not affected."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     def close(self) -> None:
-        """End all connections, and release the port."""
+        """Close all connections and release the port."""
         self.stop_listening()
         for task in self._connections:
             task.cancel()
@@ -101,11 +101,15 @@
 
     async def _forward_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await self.forwarding.wait()
-        far_reader, far_writer = await asyncio.open_connection(*self.destination)
+        destination_reader, destination_writer = await asyncio.open_connection(*self.destination)
         try:
             directions = [
-                asyncio.ensure_future(_forward_direction(reader, far_writer, self.forward, self._rng)),
-                asyncio.ensure_future(_forward_direction(far_reader, writer, self.backward, self._rng)),
+                asyncio.ensure_future(
+                    _forward_direction(reader, destination_writer, self.forward, self._rng)
+                ),
+                asyncio.ensure_future(
+                    _forward_direction(destination_reader, writer, self.backward, self._rng)
+                ),
             ]
             try:
                 await asyncio.wait(directions, return_when=asyncio.FIRST_EXCEPTION)
@@ -114,14 +118,14 @@
                     direction.cancel()
                 await asyncio.gather(*directions, return_exceptions=True)
         finally:
-            far_writer.transport.abort()
+            destination_writer.transport.abort()
 
 
 @dataclass(frozen=True, slots=True)
 class _Chunk:
-    """What was read at once: `data` is None at the end of the stream, empty where the connection broke."""
+    """The result of one read: `data` is None at the end of the stream, empty if the connection broke."""
 
-    due: float  # on the loop's clock
+    due: float  # earliest time at which the chunk is forwarded, on the loop's clock
     data: bytes | None
 
 
@@ -145,7 +149,7 @@
 async def _forward_direction(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, faults: DirectionFaults, rng: random.Random
 ) -> None:
-    """Forward one direction until the end of its stream; raises OSError where the connection breaks."""
+    """Forward one direction until the end of its stream; raises OSError if the connection breaks."""
     loop = asyncio.get_running_loop()
     queue: asyncio.Queue[_Chunk] = asyncio.Queue(MAX_QUEUED_CHUNKS)
     reading = asyncio.ensure_future(_read_chunks(reader, queue, faults, rng))
