--- a/emberlatch/storm/report.py
+++ b/emberlatch/storm/report.py
@@ -1,5 +1,5 @@
 """Reports of a storm for people: a table of outcomes, the events around a breach, and a chart with the faults
-on its axis."""
+below the messages."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmissionResult:
-    """When a message was submitted, its state in the end, and after how many seconds it had it."""
+    """The time at which a message was submitted, its final state, and the seconds until it had that state."""
 
     at: float
     state: str
@@ -37,7 +37,7 @@
 
 
 def submission_results(history: History) -> Iterator[SubmissionResult]:
-    """The results of all submissions but those without an outcome or an answer."""
+    """Return the results of all submissions that have an outcome or were rejected."""
     outcomes = {event.payload["id"]: event for event in history.of_kind(EventKind.OUTCOME)}
     answers = {event.payload["id"]: event for event in history.of_kind(EventKind.SUBMISSION_ANSWERED)}
     for message in submitted_messages(history):
@@ -49,7 +49,10 @@
 
 
 def render_table(history: History) -> str:
-    """Outcomes with the quantiles of their times in ms, and the counts of faults; 80 columns."""
+    """Return a table of outcomes with quantiles of their times in ms, and of the counts of faults.
+
+    A line has at most 80 columns.
+    """
     from hdrh.histogram import HdrHistogram
 
     histograms: dict[str, HdrHistogram] = {}
@@ -60,7 +63,8 @@
     for state, histogram in sorted(histograms.items()):
         quantiles = " ".join(f"{histogram.get_value_at_percentile(q):>9}" for q in QUANTILES)
         lines.append(f"{state:<12} {histogram.get_total_count():>9} {quantiles}")
-    completed_at = history.last_time_of(EventKind.COMPLETED, float("inf"))  # then all are killed
+    # The runner kills all processes after COMPLETED; these events are not counted.
+    completed_at = history.last_time_of(EventKind.COMPLETED, float("inf"))
     counts = Counter(
         event.kind for event in history.events if event.source == RUNNER and event.at < completed_at
     )
@@ -69,7 +73,7 @@
 
 
 def events_around(history: History, breach: Breach, margin_s: float = BREACH_MARGIN_S) -> list[HistoryEvent]:
-    """The events around a breach, of its members and endpoints and of the runner."""
+    """Return the events within `margin_s` of a breach that concern its subjects or come from the runner."""
     begin = bisect.bisect_left([event.at for event in history.events], breach.at - margin_s)
     sources = {*breach.subjects, RUNNER}
     found = []
@@ -82,14 +86,14 @@
 
 
 def render_breach(history: History, breach: Breach) -> str:
-    """A breach with the seed, the plan and the events around it, by process."""
+    """Return the text of a breach, the plan, and the events around the breach, grouped by source."""
     lines = [str(breach), "", history.plan.to_toml(), "around it:"]
     by_source = sorted(events_around(history, breach), key=lambda event: (event.source, event.at))
     return "\n".join([*lines, *(f"  {event}" for event in by_source)])
 
 
 def save_chart(history: History, path: Path) -> None:
-    """Draw messages by outcome over time, a second a bar, with the faults below: PNG, SVG or PDF."""
+    """Draw the messages of each second by outcome, and the faults below them, to a PNG, SVG or PDF file."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/emberlatch/storm/runner.py
+++ b/emberlatch/storm/runner.py
@@ -1,4 +1,4 @@
-"""Plays a plan on real processes of the program, over relays on loopback, and records the history."""
+"""Plays a plan on real processes of the program, linked by relays on loopback, and records the history."""
 
 from __future__ import annotations
 
@@ -20,13 +20,16 @@
 from emberlatch.storm.partners import Partners
 from emberlatch.storm.plan import ENDPOINTS, Plan
 
-START_TIMEOUT_S = 30.0  # in which a process must serve
-POLL_INTERVAL_S = 0.05  # between looks at the files of outcomes
-COMPLETION_TIMEOUT_S = DEADLINE_S + 3.0  # after the storm, in which all outcomes must come
+START_TIMEOUT_S = 30.0  # limit from the start of a process until it serves
+POLL_INTERVAL_S = 0.05  # time between two reads of the outcome files
+COMPLETION_TIMEOUT_S = DEADLINE_S + 3.0  # limit from the recovery until all messages have outcomes
 
 
 class StormRunner:
-    """One storm in a folder that it creates. `program` is the arguments of Python that run each member."""
+    """Plays one storm in the folder `folder`, which must not exist yet.
+
+    `program` contains the command-line arguments with which Python runs each member.
+    """
 
     def __init__(self, plan: Plan, folder: Path, program: Sequence[str] = PROGRAM) -> None:
         self.plan, self.folder = plan, folder
@@ -44,7 +47,7 @@
         )
 
     def record(self, source: str, kind: str, payload: Payload) -> None:
-        """Add an event at this moment."""
+        """Add an event with the current time to the history."""
         at = round(self._loop.time() - self._began_at, 4)
         self.history.events.append(HistoryEvent(at, source, kind, payload))
 
@@ -54,7 +57,7 @@
     async def run(self) -> History:
         """Play the plan, recover, wait for all outcomes, and end all processes.
 
-        Raises TimeoutError if the processes do not serve in `START_TIMEOUT_S`.
+        Raises TimeoutError if the processes do not serve within `START_TIMEOUT_S`.
         """
         await self.partners.start()
         polling: asyncio.Task[None] | None = None
@@ -98,7 +101,7 @@
             member.config_path.write_text(self._render_config(member, name))
 
     def _render_config(self, process: MemberProcess, name: str) -> str:
-        """The configuration of a process that is the member `name`."""
+        """Return the configuration of a process that runs as the member `name`."""
         fleet = ""
         if self.plan.fleet_enabled:
             ports = {other: self._links.port(name, other) for other in self.members if other != name}
@@ -107,23 +110,23 @@
         return render_config(process.port, process.state_path, fleet)
 
     def _create_duplicate(self, member: MemberProcess) -> MemberProcess:
-        """A second process of a member's name, on ports and a state folder of its own."""
+        """Create a second process with a member's name, with its own ports and its own state folder."""
         folder = f"{member.name}-twin-{next(self._duplicate_numbers)}"
-        twin = self._create_member(f"{member.name}{DUPLICATE_SUFFIX}", folder)
-        twin.config_path.write_text(self._render_config(twin, member.name))
-        twin.inventory_path.write_text(member.inventory_path.read_text())
-        return twin
+        duplicate = self._create_member(f"{member.name}{DUPLICATE_SUFFIX}", folder)
+        duplicate.config_path.write_text(self._render_config(duplicate, member.name))
+        duplicate.inventory_path.write_text(member.inventory_path.read_text())
+        return duplicate
 
     async def _start_members(self) -> None:
         await asyncio.gather(*(member.start() for member in self.members.values()))
         async with asyncio.timeout(START_TIMEOUT_S):
             await asyncio.gather(*(member.serving.wait() for member in self.members.values()))
-        # The storm begins: what was recorded until now lies before 0.
+        # The storm begins now, so the events recorded until now get times of at most 0.
         self._began_at = self._loop.time()
         self.history.rebase(self.history.events[-1].at if self.history.events else 0.0)
 
     async def _storm(self) -> None:
-        """Play the faults and the traffic, then recover."""
+        """Play the faults and the traffic, recover all members, and wait for the outcomes."""
         ports = {name: member.port for name, member in self.members.items()}
         load = ClientLoad(self.plan.messages_per_s, self.plan.seed, ports, self.record)
         traffic = asyncio.create_task(load.run(self.plan.duration_s))
@@ -138,7 +141,7 @@
         self._record_own(EventKind.COMPLETED)
 
     async def _recover(self, member: MemberProcess) -> None:
-        """Have a member run, and wait until it serves; not longer than `START_TIMEOUT_S`."""
+        """Resume or restart a member, and wait until it serves, for at most `START_TIMEOUT_S`."""
         member.resume()
         if member.exited.is_set():
             await member.start()
@@ -147,11 +150,14 @@
                 await member.serving.wait()
 
     async def _complete(self) -> None:
-        """Wait until every accepted message has its outcome and the members see each other."""
+        """Wait until every accepted message has an outcome and the members see each other alive.
+
+        Return after `COMPLETION_TIMEOUT_S` in any case.
+        """
         deadline = self._loop.time() + COMPLETION_TIMEOUT_S
         while self._loop.time() < deadline:
             for member in self.members.values():
-                if member.exited.is_set():  # it was still ending when all was recovered
+                if member.exited.is_set():  # the process was still shutting down at the recovery
                     await self._recover(member)
             if not count_unresolved(self.history) and self._is_fleet_complete():
                 return
--- a/emberlatch/storm/virtual_fleet.py
+++ b/emberlatch/storm/virtual_fleet.py
@@ -1,9 +1,9 @@
-"""Plays a plan in a simulation: the real links and membership of a fleet on a virtual clock and network.
+"""Plays a plan in a simulation: the real code of links and membership on a virtual clock and network.
 
-Many seeds a second, and fleets larger than a machine could run as processes. There are no messages and no
-partners; what only a kernel shows (half-open connections, buffers, SIGSTOP between two system calls) is left
-to real processes (`runner`). A blackholed link is as a partitioned one here, and a wall clock that is off is
-nothing to a fleet, which never reads it.
+The simulation plays many seeds per second, and fleets larger than one machine could run as processes. It has
+no messages and no partners. Effects that only a kernel has (half-open connections, buffers, SIGSTOP between
+two system calls) occur only on real processes (`runner`). A blackholed link behaves like a partitioned one
+here. Faults of the wall clock have no effect, because the code of the fleet never reads the wall clock.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 from emberlatch.storm.virtual_network import FaultyNetwork
 
 FLEET_PORT = 7000
-START_RANGE_S = (0.4, 0.7)  # until a process runs, drawn
-LEAVE_S = 0.3  # from the command to leave until a process has exited
-FORMATION_S = 1.5  # before the storm, in which the members find each other
-RECOVERY_MARGIN_S = 0.1
-COMPLETION_S = 12.0  # after the storm, in which the members must recover
+START_RANGE_S = (0.4, 0.7)  # range from which the duration of a process's start is drawn
+LEAVE_S = 0.3  # time from the command to leave until the process exits
+FORMATION_S = 1.5  # time before the storm in which the members find each other
+RECOVERY_MARGIN_S = 0.1  # time added to the longest start before RECOVERED is recorded
+COMPLETION_S = 12.0  # time from RECOVERED to COMPLETED, in which the members must see each other again
 
 
 class VirtualMember:
-    """One member: its disk outlives its processes. `host` is its address in the network."""
+    """One member, whose disk outlives its processes. `host` is its address in the simulated network."""
 
     def __init__(self, fleet: VirtualFleet, name: str) -> None:
         self._fleet, self.name, self.host = fleet, name, name
@@ -42,14 +42,14 @@
 
     @property
     def is_alive(self) -> bool:
-        """Whether a process runs, or is about to."""
+        """Whether the member has a process that is running or starting."""
         return self._process is not None and self._process.alive
 
     def _record_own(self, kind: EventKind, **payload: object) -> None:
         self._fleet.record(RUNNER, kind, member=self.name, **payload)
 
     def start(self) -> None:
-        """Start a process on the disk as it is, unless one is alive; it takes a while until it runs."""
+        """Start a process on the current disk, unless one is alive; it runs after a drawn delay."""
         if self.is_alive:
             return
         self.incarnation += 1
@@ -61,7 +61,7 @@
         self._fleet.network.call_later(delay_s, self._run_in, process, self._boot())
 
     def _run_in(self, process: Process, work: Coroutine[object, object, None]) -> None:
-        """Run a coroutine as part of a process, if that is alive."""
+        """Run a coroutine as part of a process if the process is alive, otherwise close the coroutine."""
         if not process.alive:
             work.close()
             return
@@ -87,7 +87,7 @@
         self._record_own(EventKind.SERVING, life=self.incarnation)
 
     def kill(self) -> None:
-        """End the process at once, as SIGKILL does."""
+        """Kill the process immediately, as SIGKILL does."""
         if self._process is not None and self._process.alive:
             self._record_own(EventKind.KILLED)
             self._process.kill()
@@ -105,7 +105,7 @@
             self._process.resume(self._fleet.loop)
 
     def leave(self) -> None:
-        """Have the process leave the fleet and exit, as SIGTERM does."""
+        """Make the process leave the fleet and exit, as SIGTERM does."""
         process, service = self._process, self._service
         if process is None or not process.alive or service is None:
             return
@@ -118,25 +118,25 @@
         self.disk.files.clear()
         self._record_own(EventKind.STATE_WIPED)
 
-    # What its fleet service reports.
+    # Callbacks of the member's fleet service.
 
     def on_quota_share(self, share: QuotaShare) -> None:
-        """Nothing to do: the log events tell it."""
+        """Do nothing: the share is recorded from the log events."""
 
     def on_endpoint_hold(self, target: str, seconds: float) -> None:
-        """Nothing to do: there are no partners."""
+        """Do nothing: the simulation has no partners."""
 
     def on_endpoint_report(self, target: str, phase: int) -> None:
-        """Nothing to do: there are no inventories."""
+        """Do nothing: the simulation has no inventories."""
 
     def on_halt(self, reason: str) -> None:
-        """End the process: another one has its name."""
+        """End the process, because another process has its name."""
         assert self._process is not None
         self._fleet.network.call_later(0.0, self._process.kill)
 
 
 class VirtualFleet:
-    """One simulated storm."""
+    """Plays one storm in a simulation."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan, self.loop = plan, VirtualLoop()
@@ -147,12 +147,12 @@
         self.network.began_at = self.loop.time()
 
     def record(self, source: str, kind: str, /, **payload: object) -> None:
-        """Add an event at this moment."""
+        """Add an event with the current virtual time to the history."""
         at = round(self.loop.time() - self.network.began_at, 4)
         self.history.events.append(HistoryEvent(at, source, kind, payload))
 
     async def run(self) -> None:
-        """Start all members, play the plan, recover, and wait until all should be as before."""
+        """Start all members, play the plan, recover the members, and give them `COMPLETION_S` to heal."""
         for fault in self.plan.faults_of(FaultKind.CLOCK_RATE):
             for name in fault.subjects:
                 self.members[name].clock_rate = fault.amount
@@ -203,14 +203,14 @@
             case FaultKind.SLOW_START:
                 member.start_delay_s = fault.amount
             case FaultKind.DUPLICATE:
-                twin = VirtualMember(self, f"{member.name}{DUPLICATE_SUFFIX}")
+                duplicate = VirtualMember(self, f"{member.name}{DUPLICATE_SUFFIX}")
                 self.record(RUNNER, EventKind.DUPLICATED, member=member.name)
-                twin.start()
-                call_later(self.plan.duration_s - fault.at, twin.kill)
+                duplicate.start()
+                call_later(self.plan.duration_s - fault.at, duplicate.kill)
 
 
 def play_virtually(plan: Plan) -> History:
-    """Play a plan in a simulation, and return its history; exceptions are events of it."""
+    """Play a plan in a simulation, and return its history; unhandled exceptions are recorded as FAILURE."""
     fleet = VirtualFleet(plan)
     try:
         fleet.loop.run_until_complete(fleet.run())
--- a/emberlatch/storm/virtual_network.py
+++ b/emberlatch/storm/virtual_network.py
@@ -1,4 +1,4 @@
-"""The simulated network of a virtual storm: faults of the plan impair each direction by itself."""
+"""The simulated network of a virtual storm, in which faults impair each direction of a link separately."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from emberlatch.storm.plan import Fault, FaultKind, Plan
 from emberlatch.storm.relay import draw_retransmit_delay
 
-PACKET_BYTES = 100  # for a throttled direction
+PACKET_BYTES = 100  # size of a packet that is assumed in a throttled direction
 DELAYING_FAULTS = (
     FaultKind.PARTITION,
     FaultKind.BLACKHOLE,
@@ -23,7 +23,10 @@
 
 
 class FaultyNetwork(Network):
-    """A network on the virtual clock. `began_at` is when the storm began, on the loop's clock."""
+    """A network on the virtual clock, with the link faults of a plan.
+
+    `began_at` is the loop time at which the storm began.
+    """
 
     def __init__(self, loop: VirtualLoop, plan: Plan) -> None:
         super().__init__(loop, plan.seed)
@@ -35,7 +38,7 @@
         self.began_at = 0.0
 
     def packet_delay(self, sender: Process | None, receiver: Process | Address | None) -> float:
-        """Seconds until a packet arrives; through a partition it does once that is over."""
+        """Draw the seconds until a packet arrives; in a partition it arrives when the partition has ended."""
         delay_s = self.draw_latency()
         if sender is None or receiver is None:
             return delay_s
