--- a/emberlatch/storm/history.py
+++ b/emberlatch/storm/history.py
@@ -15,7 +15,7 @@
 | a member | any event that it logs, by its name: `FleetEvent` and others | as logged |
 | the runner | events of a process: PROCESS_STARTED to DUPLICATED | member, life (the incarnation), status |
 | the runner | FAULT_BEGAN, FAULT_ENDED | text |
-| the runner | FAULTS_OVER, RECOVERED, COMPLETED | |
+| the runner | ALL_FAULTS_ENDED, RECOVERED, COMPLETED | |
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
 
     FAULT_BEGAN = "fault"
     FAULT_ENDED = "over"
-    FAULTS_OVER = "calm"
+    ALL_FAULTS_ENDED = "calm"
     RECOVERED = "healed"
     COMPLETED = "settled"
     FAILURE = "failure"
--- a/emberlatch/storm/member_log.py
+++ b/emberlatch/storm/member_log.py
@@ -44,7 +44,7 @@
 
     def __init__(self, path: Path) -> None:
         self._path = path
-        self._offset = 0  # in bytes
+        self._offset = 0  # position in the file, in bytes
 
     def restart(self) -> None:
         """Read from the beginning of the file next time, because the file was deleted."""
--- a/emberlatch/storm/member_process.py
+++ b/emberlatch/storm/member_process.py
@@ -56,7 +56,7 @@
         self.exited.set()
         self._suspended = False
         self._process: asyncio.subprocess.Process | None = None
-        self._following: asyncio.Task[None] | None = None
+        self._log_task: asyncio.Task[None] | None = None
         self._state_folder = folder / "state"
         self._state_folder.mkdir(parents=True)
         self.state_path = short_paths / folder.name
@@ -80,8 +80,8 @@
         self.serving.clear()
         self._process = await self._spawn()
         delay_s, self.next_start.delay_s = self.next_start.delay_s, 0.0
-        self._record_own(EventKind.PROCESS_STARTED, life=self.incarnation, late=delay_s)
-        self._following = asyncio.create_task(self._follow(self._process, self.incarnation))
+        self._record_process_event(EventKind.PROCESS_STARTED, life=self.incarnation, late=delay_s)
+        self._log_task = asyncio.create_task(self._record_log_until_exit(self._process, self.incarnation))
 
     async def _spawn(self) -> asyncio.subprocess.Process:
         conditions = self.next_start
@@ -99,10 +99,10 @@
             limit=MAX_LOG_LINE_BYTES,
         )
 
-    def _record_own(self, kind: EventKind, **payload: object) -> None:
+    def _record_process_event(self, kind: EventKind, **payload: object) -> None:
         self._record(RUNNER, kind, {"member": self.name, **payload})
 
-    async def _follow(self, process: asyncio.subprocess.Process, incarnation: int) -> None:
+    async def _record_log_until_exit(self, process: asyncio.subprocess.Process, incarnation: int) -> None:
         """Save and record the log of a process until the process has exited."""
         assert process.stderr is not None
         # The last line that is no log event: a process that cannot continue writes the reason in such a line.
@@ -118,7 +118,7 @@
             self.serving.clear()
             self.exited.set()
         reason = {"text": last_text} if status > 0 else {}
-        self._record_own(EventKind.PROCESS_EXITED, life=incarnation, status=status, **reason)
+        self._record_process_event(EventKind.PROCESS_EXITED, life=incarnation, status=status, **reason)
 
     def _record_log_line(self, line: bytes) -> bool:
         """Record the event of a log line, and return whether the line is a log event."""
@@ -127,7 +127,7 @@
             return event is not None
         if event.name == SERVING_EVENT:
             self.serving.set()
-            self._record_own(EventKind.SERVING, life=self.incarnation)
+            self._record_process_event(EventKind.SERVING, life=self.incarnation)
         self._record(self.name, event.name, event.fields)
         return True
 
@@ -146,20 +146,20 @@
         if not self.exited.is_set():
             self.send_signal(signal.SIGSTOP)
             self._suspended = True
-            self._record_own(EventKind.SUSPENDED)
+            self._record_process_event(EventKind.SUSPENDED)
 
     def resume(self) -> None:
         """Send SIGCONT to the process if it is suspended."""
         if self._suspended:
             self._suspended = False
             self.send_signal(signal.SIGCONT)
-            self._record_own(EventKind.RESUMED)
+            self._record_process_event(EventKind.RESUMED)
 
     async def kill(self) -> None:
         """Send SIGKILL, and wait until the process has exited."""
         self._suspended = False
         if not self.exited.is_set():
-            self._record_own(EventKind.KILLED)
+            self._record_process_event(EventKind.KILLED)
         self.send_signal(signal.SIGKILL)
         await self.exited.wait()
 
@@ -167,7 +167,7 @@
         """Send SIGTERM, and SIGKILL if the process has not exited within `timeout_s`."""
         self.resume()
         if not self.exited.is_set():
-            self._record_own(EventKind.TERMINATED)
+            self._record_process_event(EventKind.TERMINATED)
         self.send_signal(signal.SIGTERM)
         try:
             await asyncio.wait_for(self.exited.wait(), timeout_s)
@@ -179,7 +179,7 @@
 
         If the command fails, the process is ended as `terminate` does.
         """
-        self._record_own(EventKind.TERMINATED)
+        self._record_process_event(EventKind.TERMINATED)
         with contextlib.suppress(OSError, ValueError):
             await asyncio.to_thread(send_command, self.state_path, "leave", timeout_s)
         await self.terminate(timeout_s)
@@ -190,13 +190,13 @@
         shutil.rmtree(self._state_folder, ignore_errors=True)
         self._state_folder.mkdir(exist_ok=True)
         self._outcomes.restart()
-        self._record_own(EventKind.STATE_WIPED)
+        self._record_process_event(EventKind.STATE_WIPED)
 
     async def close(self) -> None:
         """Kill the process, record its remaining output and release the ports; the folder is not deleted."""
         await self.kill()
-        if self._following is not None:
-            await self._following
+        if self._log_task is not None:
+            await self._log_task
         self.record_outcomes()
         for reservation in self._reservations:
             reservation.close()
--- a/emberlatch/storm/membership_rules.py
+++ b/emberlatch/storm/membership_rules.py
@@ -12,7 +12,7 @@
 | two of a name | of two processes with one name both continue to run, or the later one exits |
 | others' waits | a member calls an endpoint that asked another member to wait |
 
-"Quiet" in this module means: without any disturbance, as `find_disturbances` finds them.
+"Quiet" in this module means: without any of the disturbances that `find_disturbances` returns.
 """
 
 from __future__ import annotations
@@ -45,11 +45,12 @@
     EventKind.RESUMED,
     EventKind.TERMINATED,
 )
-HEAL_LIMIT_S = 8.0  # limit from the event RECOVERED until all members see each other alive
+# Limit from RECOVERED, when the last process serves again, until all members see each other alive.
+HEAL_LIMIT_S = 8.0
 # Limit of quiet time in which a member that is down must be detected, also by members that distrust their own
 # probes.
 DETECTION_LIMIT_S = 10.0
-QUIET_S = 4.0  # quiet time before an event that no disturbance can have caused
+QUIET_S = 4.0  # quiet time before an event after which no earlier disturbance counts as its cause
 QUIET_BEFORE_WAIT_S = 3.0  # quiet time before an answer whose wait all members must obey
 MIN_REPORTED_SUSPENSION_S = 1.2  # shortest suspension that a process must report as a stall
 WAIT_PROPAGATION_S = 0.2  # time until all members have learned of a wait that one member was asked for
@@ -57,7 +58,7 @@
 IMPAIRMENT_BEFORE_WAIT_S = 2.0  # a link impairment within this time before an answer excuses later calls
 MAX_SHARE_SUM = 1.0 + 1e-4
 HALT_LIMIT_S = 6.0  # limit from the second process's SERVING until one of the two has exited
-# Time before FAULTS_OVER in which exits are ignored, because the runner may be killing the second process.
+# Time before ALL_FAULTS_ENDED in which exits are ignored: the runner may be killing the second process.
 DUPLICATE_KILL_MARGIN_S = 0.5
 SIMULTANEOUS_S = 0.01  # events within this time of each other are assumed to have one cause
 MILD_FAULTS = (FaultKind.DELAY, FaultKind.LOSS, FaultKind.DISCONNECT)
@@ -258,7 +259,7 @@
 
 
 def _check_duplicates(history: History, availability: Availability) -> Iterator[Breach]:
-    faults_over_at = history.last_time_of(EventKind.FAULTS_OVER, math.inf)
+    all_faults_ended_at = history.last_time_of(EventKind.ALL_FAULTS_ENDED, math.inf)
     checked: set[str] = set()
     for duplication in history.of_kind(EventKind.DUPLICATED):
         name, at = duplication.member, duplication.at
@@ -268,7 +269,7 @@
         # The limit begins when both processes serve, however long the second one took to start.
         serving = (event.at for event in _duplicate_events(history, duplication, EventKind.SERVING))
         due = next(serving, at) + HALT_LIMIT_S
-        until = min(due, faults_over_at - DUPLICATE_KILL_MARGIN_S)
+        until = min(due, all_faults_ended_at - DUPLICATE_KILL_MARGIN_S)
         if not is_quiet(_disturbances_of_pair(history, duplication), at - QUIET_S, until):
             continue
         exited = [
@@ -277,7 +278,7 @@
             if at < event.at < until and base_name(event.member) == name
         ]
         # An exit of the wrong process is always a breach; a missing exit only if the limit has passed.
-        if exited != [name] and (exited or due <= faults_over_at):
+        if exited != [name] and (exited or due <= all_faults_ended_at):
             exited_names = ", ".join(exited) or "none"
             text = f"a second {name} started at {at:.3f}: the earlier one must exit; exited: {exited_names}"
             yield Breach("two of a name", until, (name,), text)
--- a/emberlatch/storm/relay.py
+++ b/emberlatch/storm/relay.py
@@ -17,7 +17,7 @@
 Address = tuple[str, int]
 MAX_CHUNK_BYTES = 16 * 1024  # largest chunk that is read at once
 MAX_QUEUED_CHUNKS = 64  # chunks of one direction that are queued before the relay stops reading
-FIRST_RETRANSMIT_S = 0.2  # time until a lost chunk is sent again; doubled for each further loss
+FIRST_RETRANSMIT_S = 0.2  # time until a lost chunk is sent again; doubled for each additional loss
 MAX_RETRANSMIT_S = 1.6  # longest time between two retransmissions; after it the chunk is no longer lost
 
 
--- a/emberlatch/storm/runner.py
+++ b/emberlatch/storm/runner.py
@@ -51,7 +51,7 @@
         at = round(self._loop.time() - self._began_at, 4)
         self.history.events.append(HistoryEvent(at, source, kind, payload))
 
-    def _record_own(self, kind: EventKind) -> None:
+    def _record_runner_event(self, kind: EventKind) -> None:
         self.record(RUNNER, kind, {})
 
     async def run(self) -> History:
@@ -67,7 +67,7 @@
             self._faults.prepare()
             await self._start_members()
             polling = asyncio.create_task(self._poll_outcomes())
-            await self._storm()
+            await self._play_and_recover()
         finally:
             if polling is not None:
                 polling.cancel()
@@ -125,7 +125,7 @@
         self._began_at = self._loop.time()
         self.history.rebase(self.history.events[-1].at if self.history.events else 0.0)
 
-    async def _storm(self) -> None:
+    async def _play_and_recover(self) -> None:
         """Play the faults and the traffic, recover all members, and wait for the outcomes."""
         ports = {name: member.port for name, member in self.members.items()}
         load = ClientLoad(self.plan.messages_per_s, self.plan.seed, ports, self.record)
@@ -133,12 +133,12 @@
         self._faults.start(self._began_at)
         await asyncio.sleep(self.plan.duration_s)
         self._links.clear()
-        self._record_own(EventKind.FAULTS_OVER)
+        self._record_runner_event(EventKind.ALL_FAULTS_ENDED)
         await asyncio.gather(*(self._recover(member) for member in self.members.values()))
-        self._record_own(EventKind.RECOVERED)
+        self._record_runner_event(EventKind.RECOVERED)
         await traffic
-        await self._complete()
-        self._record_own(EventKind.COMPLETED)
+        await self._wait_for_completion()
+        self._record_runner_event(EventKind.COMPLETED)
 
     async def _recover(self, member: MemberProcess) -> None:
         """Resume or restart a member, and wait until it serves, for at most `START_TIMEOUT_S`."""
@@ -149,7 +149,7 @@
             async with asyncio.timeout(START_TIMEOUT_S):
                 await member.serving.wait()
 
-    async def _complete(self) -> None:
+    async def _wait_for_completion(self) -> None:
         """Wait until every accepted message has an outcome and the members see each other alive.
 
         Return after `COMPLETION_TIMEOUT_S` in any case.
--- a/emberlatch/storm/virtual_fleet.py
+++ b/emberlatch/storm/virtual_fleet.py
@@ -45,7 +45,7 @@
         """Whether the member has a process that is running or starting."""
         return self._process is not None and self._process.alive
 
-    def _record_own(self, kind: EventKind, **payload: object) -> None:
+    def _record_process_event(self, kind: EventKind, **payload: object) -> None:
         self._fleet.record(RUNNER, kind, member=self.name, **payload)
 
     def start(self) -> None:
@@ -55,8 +55,8 @@
         self.incarnation += 1
         self.disk.restart()
         process = self._process = Process(self.host)
-        process.on_death = lambda: self._record_own(EventKind.PROCESS_EXITED, life=self.incarnation)
-        self._record_own(EventKind.PROCESS_STARTED, life=self.incarnation)
+        process.on_death = lambda: self._record_process_event(EventKind.PROCESS_EXITED, life=self.incarnation)
+        self._record_process_event(EventKind.PROCESS_STARTED, life=self.incarnation)
         delay_s, self.start_delay_s = self._fleet.rng.uniform(*START_RANGE_S) + self.start_delay_s, 0.0
         self._fleet.network.call_later(delay_s, self._run_in, process, self._boot())
 
@@ -84,24 +84,24 @@
         )
         self._service = FleetService(settings, self.disk, self, environment)
         self._service.start()
-        self._record_own(EventKind.SERVING, life=self.incarnation)
+        self._record_process_event(EventKind.SERVING, life=self.incarnation)
 
     def kill(self) -> None:
         """Kill the process immediately, as SIGKILL does."""
         if self._process is not None and self._process.alive:
-            self._record_own(EventKind.KILLED)
+            self._record_process_event(EventKind.KILLED)
             self._process.kill()
 
     def suspend(self) -> None:
         """Suspend the process, as SIGSTOP does."""
         if self._process is not None and self._process.alive:
             self._process.suspend()
-            self._record_own(EventKind.SUSPENDED)
+            self._record_process_event(EventKind.SUSPENDED)
 
     def resume(self) -> None:
         """Resume a suspended process, as SIGCONT does."""
         if self._process is not None and self._process.suspended_callbacks is not None:
-            self._record_own(EventKind.RESUMED)
+            self._record_process_event(EventKind.RESUMED)
             self._process.resume(self._fleet.loop)
 
     def leave(self) -> None:
@@ -109,14 +109,14 @@
         process, service = self._process, self._service
         if process is None or not process.alive or service is None:
             return
-        self._record_own(EventKind.TERMINATED)
+        self._record_process_event(EventKind.TERMINATED)
         self._run_in(process, service.leave())
         self._fleet.network.call_later(LEAVE_S, process.kill)
 
     def wipe(self) -> None:
         """Empty the disk."""
         self.disk.files.clear()
-        self._record_own(EventKind.STATE_WIPED)
+        self._record_process_event(EventKind.STATE_WIPED)
 
     # Callbacks of the member's fleet service.
 
@@ -164,7 +164,7 @@
         for fault in self.plan.faults:
             self.network.call_later(fault.at, self._begin, fault)
         await asyncio.sleep(self.plan.duration_s)
-        self.record(RUNNER, EventKind.FAULTS_OVER)
+        self.record(RUNNER, EventKind.ALL_FAULTS_ENDED)
         for member in self.members.values():
             member.resume()
             member.start()
