--- a/tests/storm/planted.py
+++ b/tests/storm/planted.py
@@ -1,5 +1,7 @@
-"""The program with a bug planted, as a process of a storm: `python -m tests.storm.planted CONFIG --plant
-NAME`."""
+"""`python -m tests.storm.planted CONFIG --plant NAME`: a member of a storm whose program has a planted bug.
+
+Some bugs are also planted in simulated fleets. The function names of the bugs are test ids.
+"""
 
 from __future__ import annotations
 
@@ -21,45 +23,47 @@
 
 
 def forgets_intents() -> None:
-    """An attempt goes out before the journal knows of it."""
+    """Send attempts without recording them in the journal first."""
     update = Journal.update
 
-    def later(self: Journal, entry: Entry) -> None:
+    def skip_unknown_outcomes(self: Journal, entry: Entry) -> None:
         if entry.notice is not None or not entry.unknown_outcomes:
             update(self, entry)
 
-    Journal.update = later  # type: ignore[method-assign]
+    Journal.update = skip_unknown_outcomes  # type: ignore[method-assign]
 
 
 def forgets_messages() -> None:
-    """202 is answered though nothing is written."""
+    """Answer 202 without writing the message to the journal."""
     Journal.add = lambda self, entry: None  # type: ignore[method-assign]
 
 
 def hears_no_waits() -> None:
+    """Ignore the Retry-After of endpoints."""
     outcome = Engine.outcome
 
-    def deaf(self: Engine, told: api.Outcome) -> None:
-        outcome(self, replace(told, retry_after=0.0))
+    def without_retry_after(self: Engine, reported: api.Outcome) -> None:
+        outcome(self, replace(reported, retry_after=0.0))
 
     PooledCarrier._set_retry_after = lambda self, target, retry_after_s: None  # type: ignore[method-assign]
-    Engine.outcome = deaf  # type: ignore[assignment,method-assign]
+    Engine.outcome = without_retry_after  # type: ignore[assignment,method-assign]
 
 
 def passes_no_waits_on() -> None:
-    """What one member was told stays with it."""
+    """Do not share the waits that one member was asked for with the other members."""
     FleetService.share_endpoint_hold = lambda self, target, seconds: None  # type: ignore[method-assign]
 
 
 def never_halts(patch: Callable[..., None]) -> None:
+    """Do not exit when another process with the same name is found."""
     patch(identity, "Halt", lambda reason: LogEvent("stays", {}))  # type: ignore[arg-type]
 
 
 def the_later_one_halts(patch: Callable[..., None]) -> None:
-    """The later process gives its name up while it joins, and the earlier one never does."""
+    """Make the later of two processes with one name exit while it joins, instead of the earlier one."""
     on_update = OwnIdentity.on_update
 
-    def backwards(self: OwnIdentity, now: float, update: MemberUpdate) -> None:
+    def halt_while_joining(self: OwnIdentity, now: float, update: MemberUpdate) -> None:
         if update.run_id == self.run_id or generation_of(update.incarnation) < self.generation:
             on_update(self, now, update)
         elif now < self.joined_at and not self.is_halted:
@@ -67,21 +71,22 @@
             self._outbox.log(FleetEvent.HALTED, why="it was there before")
             self._outbox.add(Halt(""))
 
-    patch(OwnIdentity, "on_update", backwards)
+    patch(OwnIdentity, "on_update", halt_while_joining)
 
 
-def twins_cannot_start() -> None:
-    """The second process of a name gives up at its start."""
+def duplicates_cannot_start() -> None:
+    """Exit with an error at the start of a second process with a member's name."""
     if any("-twin-" in argument for argument in sys.argv):
         raise SystemExit("state: in use")
 
 
-PLANTED = (forgets_intents, forgets_messages, hears_no_waits, passes_no_waits_on, twins_cannot_start)
+PLANTED = (forgets_intents, forgets_messages, hears_no_waits, passes_no_waits_on, duplicates_cannot_start)
 BUGS: dict[str, Callable[[], None]] = {bug.__name__: bug for bug in PLANTED}
 BUGS |= {bug.__name__: partial(bug, setattr) for bug in (never_halts, the_later_one_halts)}
 
 
 def prepare(name: str) -> None:
+    """Plant the bug of that name."""
     BUGS[name]()
 
 
@@ -90,7 +95,7 @@
 
 
 def program(name: str) -> tuple[str, ...]:
-    """What a rig is told to run."""
+    """Return the arguments of Python that run the program with a bug."""
     return ("-m", "tests.storm.planted", f"--plant={name}")
 
 
--- a/tests/storm/test_message_rules.py
+++ b/tests/storm/test_message_rules.py
@@ -1,4 +1,4 @@
-"""The checkers on histories made by hand: a sound one passes, and each rule has one that it rejects."""
+"""The rules on messages, on hand-written histories: a valid one has no breach, and each rule rejects one."""
 
 from __future__ import annotations
 
@@ -44,12 +44,12 @@
     return [(at, member, "end", {"id": name, "state": state, "ref": 1})]
 
 
-def runner_event(at: float, what: str, member: str = "f0") -> Events:
-    return [(at, "rig", what, {"member": member, "life": 1})]
+def runner_event(at: float, kind: str, member: str = "f0") -> Events:
+    return [(at, "rig", kind, {"member": member, "life": 1})]
 
 
 COMPLETED: Events = [(40.0, "rig", "settled", {})]
-SOUND = (
+VALID = (
     submitted(1.0, "a") + call(1.1, 1, "a") + answer(1.2, 1) + outcome(1.3, "a") + effects("a") + COMPLETED
 )
 
@@ -58,14 +58,14 @@
     return [breach.rule for breach in check_history(history(events, *faults))]
 
 
-def test_a_sound_history_has_no_breach() -> None:
-    assert rules(SOUND) == []
+def test_a_valid_history_has_no_breach() -> None:
+    assert rules(VALID) == []
 
 
 BROKEN: dict[str, tuple[str, Events]] = {
     "no end": ("lost", submitted(1.0, "a") + COMPLETED),
     "a late end": ("lost", submitted(1.0, "a") + outcome(9.0, "a", "failed") + COMPLETED),
-    "an end of each of two": ("two ends", SOUND + outcome(2.0, "a", "failed", "f1")),
+    "an end of each of two": ("two ends", VALID + outcome(2.0, "a", "failed", "f1")),
     "an unsafe message runs twice": (
         "twice",
         submitted(1.0, "a") + outcome(2.0, "a") + effects("a", 2) + COMPLETED,
@@ -93,57 +93,57 @@
         "untrue",
         submitted(1.0, "a") + outcome(2.0, "a", "refused") + effects("a") + COMPLETED,
     ),
-    "a call within a wait": ("waits", SOUND + answer(2.0, 7, 429, 2.0) + call(3.0, 8, "z") + answer(3.1, 8)),
+    "a call within a wait": ("waits", VALID + answer(2.0, 7, 429, 2.0) + call(3.0, 8, "z") + answer(3.1, 8)),
     "a process that cannot go on": (
         "crashed",
-        [*SOUND, (2.0, "rig", "dead", {"member": "f0'", "life": 1, "status": 2, "text": "state: in use"})],
+        [*VALID, (2.0, "rig", "dead", {"member": "f0'", "life": 1, "status": 2, "text": "state: in use"})],
     ),
     "three quarters at one partner": (
         "leases",
-        SOUND + [f for n in range(12) for f in call(5.0, n, f"m{n}")],
+        VALID + [item for number in range(12) for item in call(5.0, number, f"m{number}")],
     ),
 }
 
 
 @pytest.mark.parametrize("name", BROKEN)
-def test_each_rule_rejects_a_history(name: str) -> None:
+def test_a_history_that_breaks_a_rule_has_a_breach_of_that_rule(name: str) -> None:
     rule, events = BROKEN[name]
     assert rule in rules(events)
 
 
 @pytest.mark.parametrize("status", [0, -9, -15])
-def test_a_process_that_was_asked_to_end_has_not_crashed(status: int) -> None:
-    assert rules([*SOUND, (2.0, "rig", "dead", {"member": "f0'", "life": 1, "status": status})]) == []
+def test_a_process_that_exits_with_0_or_by_a_signal_has_not_crashed(status: int) -> None:
+    assert rules([*VALID, (2.0, "rig", "dead", {"member": "f0'", "life": 1, "status": status})]) == []
 
 
-def test_a_member_that_is_away_is_excused_until_a_little_after_its_return() -> None:
-    away = runner_event(1.5, "killed") + runner_event(1.5, "dead") + runner_event(8.0, "up")
-    assert rules(submitted(1.0, "a") + away + outcome(9.0, "a", "failed") + COMPLETED) == []
-    assert rules(submitted(1.0, "a") + away + outcome(9.9, "a", "failed") + COMPLETED) == ["lost"]
-    stopped = runner_event(6.0, "stopped") + runner_event(12.0, "continued")
-    assert rules(submitted(1.0, "a") + stopped + outcome(13.0, "a", "failed") + COMPLETED) == []
+def test_a_deadline_is_extended_while_the_member_is_down_and_for_a_grace_period() -> None:
+    downtime = runner_event(1.5, "killed") + runner_event(1.5, "dead") + runner_event(8.0, "up")
+    assert rules(submitted(1.0, "a") + downtime + outcome(9.0, "a", "failed") + COMPLETED) == []
+    assert rules(submitted(1.0, "a") + downtime + outcome(9.9, "a", "failed") + COMPLETED) == ["lost"]
+    suspension = runner_event(6.0, "stopped") + runner_event(12.0, "continued")
+    assert rules(submitted(1.0, "a") + suspension + outcome(13.0, "a", "failed") + COMPLETED) == []
 
 
-def test_what_a_wiped_folder_contained_is_excused_and_nothing_later() -> None:
-    wiped = runner_event(1.5, "killed") + runner_event(1.6, "emptied") + runner_event(2.0, "up")
-    assert rules(submitted(1.0, "a") + wiped + COMPLETED) == []
-    assert rules(submitted(3.0, "a") + wiped + COMPLETED) == ["lost"]
+def test_only_messages_accepted_before_a_wipe_need_no_outcome() -> None:
+    wipe = runner_event(1.5, "killed") + runner_event(1.6, "emptied") + runner_event(2.0, "up")
+    assert rules(submitted(1.0, "a") + wipe + COMPLETED) == []
+    assert rules(submitted(3.0, "a") + wipe + COMPLETED) == ["lost"]
 
 
-def test_a_wait_is_excused_where_the_link_was_impaired_or_the_member_restarted() -> None:
-    events = SOUND + answer(2.0, 7, 429, 2.0) + call(3.0, 8, "z") + answer(3.1, 8)
-    late = Fault(1.0, "delay", ("f0",), until=4.0, destinations=("p1-east",), amount=0.5)
-    assert rules(events, late) == []
+def test_a_call_within_a_wait_is_allowed_only_after_a_link_impairment_or_a_restart() -> None:
+    events = VALID + answer(2.0, 7, 429, 2.0) + call(3.0, 8, "z") + answer(3.1, 8)
+    delay = Fault(1.0, "delay", ("f0",), until=4.0, destinations=("p1-east",), amount=0.5)
+    assert rules(events, delay) == []
     assert rules(events + runner_event(2.2, "killed") + runner_event(2.5, "up")) == []
-    elsewhere = Fault(1.0, "delay", ("f1",), until=4.0, destinations=("p1-east",), amount=0.5)
-    assert rules(events, elsewhere) == ["waits"]
-
-
-def test_a_history_is_judged_again_from_its_file(tmp_path: Path) -> None:
-    kept = history(submitted(1.0, "a") + COMPLETED)
-    kept.save(tmp_path / "1.jsonl")
-    again = read_history(tmp_path / "1.jsonl")
-    assert again == kept and check_history(again) == check_history(kept) != []
-    assert count_unresolved(again) == 1
-    two = history(SOUND + outcome(2.0, "a", "failed", "f1"))
-    assert [event.kind for event in events_around(two, check_history(two)[0])] == ["end"]
+    delay_of_other_link = Fault(1.0, "delay", ("f1",), until=4.0, destinations=("p1-east",), amount=0.5)
+    assert rules(events, delay_of_other_link) == ["waits"]
+
+
+def test_a_saved_history_is_read_back_with_the_same_breaches(tmp_path: Path) -> None:
+    saved = history(submitted(1.0, "a") + COMPLETED)
+    saved.save(tmp_path / "1.jsonl")
+    loaded = read_history(tmp_path / "1.jsonl")
+    assert loaded == saved and check_history(loaded) == check_history(saved) != []
+    assert count_unresolved(loaded) == 1
+    two_outcomes = history(VALID + outcome(2.0, "a", "failed", "f1"))
+    assert [event.kind for event in events_around(two_outcomes, check_history(two_outcomes)[0])] == ["end"]
--- a/tests/storm/test_plan.py
+++ b/tests/storm/test_plan.py
@@ -1,4 +1,4 @@
-"""Plans: written and read again, generated, and rejected with the key that is invalid."""
+"""Plans: written and parsed, generated, and rejected with the invalid key."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 @pytest.mark.parametrize("seed", range(0, 200, 10))
-def test_a_drawn_plan_is_the_same_after_it_was_written(seed: int) -> None:
+def test_a_generated_plan_is_equal_when_parsed_and_when_generated_again(seed: int) -> None:
     plan = generate_plan(seed)
     assert parse_plan(plan.to_toml()) == plan == generate_plan(seed)
 
 
-def test_draws_reach_every_kind_of_fault_that_is_drawn() -> None:
+def test_generated_plans_contain_faults_of_each_expected_kind() -> None:
     kinds = {fault.kind for seed in range(300) for fault in generate_plan(seed).faults}
     assert kinds >= {"kill", "stop", "term", "wipe", "cut", "delay", "stalls", "throttle", "mute", "break"}
     assert kinds >= {"wall", "rate", "hang", "slow", "reset", "error", "full", "shut"}
 
 
-def test_a_fault_of_links_concerns_each_direction_of_each_pair() -> None:
+def test_a_bidirectional_link_fault_affects_both_directions_of_each_pair() -> None:
     fault = Fault(1.0, "cut", ("f0", "f1"), until=2.0, destinations=("f1", "f2"), bidirectional=True)
     assert set(fault.directions()) == {
         ("f0", "f1"), ("f1", "f0"), ("f0", "f2"), ("f2", "f0"), ("f1", "f2"), ("f2", "f1"),
@@ -39,12 +39,12 @@
         ('at = "soon"\nwhat = "kill"\nwhom = ["f0"]', r"fault\[0\].at"),
     ],
 )
-def test_a_bad_fault_is_named(fault: str, problem: str) -> None:
+def test_an_invalid_fault_is_rejected_with_its_key_or_kind(fault: str, problem: str) -> None:
     with pytest.raises(PlanError, match=problem):
         parse_plan(f"seed = 1\n[[fault]]\n{fault}\n")
 
 
-def test_bounds_of_a_plan() -> None:
+def test_an_invalid_plan_is_rejected_and_member_names_follow_the_count() -> None:
     for text in ("seed = 1\nmembers = 99", "seed = 1\nseconds = 0", "members = 3", "seed = ["):
         with pytest.raises(PlanError):
             parse_plan(text)
--- a/tests/storm/test_relay.py
+++ b/tests/storm/test_relay.py
@@ -1,4 +1,4 @@
-"""What a relay does to what passes, on real sockets."""
+"""How a relay impairs the data that it forwards, on real sockets."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from emberlatch.storm.relay import DirectionFaults, Relay
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-SILENCE_S = 0.3  # seconds in which nothing must come
+NO_DATA_S = 0.3  # time in which no data must arrive
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
@@ -20,7 +20,7 @@
 
 
 class Destination:
-    """The other side: hands out each connection that arrives."""
+    """The server behind the relay; queues each connection that it accepts."""
 
     def __init__(self) -> None:
         self.connections: asyncio.Queue[Streams] = asyncio.Queue()
@@ -47,18 +47,18 @@
     return client, await destination.connections.get()
 
 
-async def read_to_the_end(reader: asyncio.StreamReader, received: bytearray) -> None:
+async def read_until_error(reader: asyncio.StreamReader, received: bytearray) -> None:
     while True:
         received += await reader.readexactly(1)
 
 
-async def is_silent(reader: asyncio.StreamReader) -> bool:
+async def receives_nothing(reader: asyncio.StreamReader) -> bool:
     with pytest.raises(TimeoutError):
-        await asyncio.wait_for(reader.read(10), SILENCE_S)
+        await asyncio.wait_for(reader.read(10), NO_DATA_S)
     return True
 
 
-def test_a_partition_of_one_direction_holds_data_back_and_delivers_it_in_order() -> None:
+def test_a_partition_of_one_direction_delays_data_and_then_delivers_it_in_order() -> None:
     async def test() -> None:
         async with relay_to_destination() as (relay, destination):
             client, server_side = await connect(relay, destination)
@@ -66,7 +66,7 @@
             client[1].write(b"one")
             server_side[1].write(b"back")
             assert await client[0].readexactly(4) == b"back"
-            assert await is_silent(server_side[0])
+            assert await receives_nothing(server_side[0])
             client[1].write(b"two")
             relay.forward.open.set()
             assert await server_side[0].readexactly(6) == b"onetwo"
@@ -82,20 +82,20 @@
             client[1].write(b"0123456789")
             received = bytearray()
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                await read_to_the_end(server_side[0], received)
+                await read_until_error(server_side[0], received)
             assert received == b"01234"
             assert await client[0].read(1) == b""
 
     run(test)
 
 
-def test_a_blackhole_accepts_and_forwards_nothing_until_it_is_over() -> None:
+def test_a_blackhole_accepts_connections_and_forwards_nothing_until_it_ends() -> None:
     async def test() -> None:
         async with relay_to_destination() as (relay, destination):
             relay.forwarding.clear()
             client = await asyncio.open_connection("127.0.0.1", relay.port)
             client[1].write(b"hello")
-            assert await is_silent(client[0]) and destination.connections.empty()
+            assert await receives_nothing(client[0]) and destination.connections.empty()
             relay.forwarding.set()
             server_side = await destination.connections.get()
             assert await server_side[0].readexactly(5) == b"hello"
@@ -103,7 +103,7 @@
     run(test)
 
 
-def test_a_delay_and_a_throttle_keep_the_order() -> None:
+def test_delay_loss_and_throttle_keep_the_order_of_data() -> None:
     async def test() -> None:
         async with relay_to_destination() as (relay, destination):
             client, server_side = await connect(relay, destination)
--- a/tests/storm/test_virtual_fleet.py
+++ b/tests/storm/test_virtual_fleet.py
@@ -1,5 +1,4 @@
-"""Fleets of the real code in the virtual world: drawn seeds break nothing, and planted bugs are caught by
-draws."""
+"""Simulated fleets of the real code: generated plans cause no breach, and planted bugs cause breaches."""
 
 from __future__ import annotations
 
@@ -28,49 +27,54 @@
 from tests.storm.planted import never_halts, the_later_one_halts
 
 
-def broken(history: History) -> list[str]:
-    return [str(found) for found in check_history(history)] + [str(f) for f in history.of_kind("failure")]
+def breaches_and_failures(history: History) -> list[str]:
+    return [str(breach) for breach in check_history(history)] + [
+        str(event) for event in history.of_kind("failure")
+    ]
 
 
 @pytest.mark.parametrize("first", range(0, 120, 20))
-def test_drawn_seeds_break_nothing(first: int) -> None:
+def test_generated_plans_cause_no_breach(first: int) -> None:
     for seed in range(first, first + 20):
-        assert broken(play_virtually(generate_plan(seed))) == [], seed
+        assert breaches_and_failures(play_virtually(generate_plan(seed))) == [], seed
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_a_fleet_of_forty_breaks_nothing(seed: int) -> None:
-    assert broken(play_virtually(generate_plan(seed, 40, 10.0))) == []
+def test_a_fleet_of_40_has_no_breach(seed: int) -> None:
+    assert breaches_and_failures(play_virtually(generate_plan(seed, 40, 10.0))) == []
 
 
-def test_a_seed_is_one_history() -> None:
+def test_the_same_seed_gives_the_same_history() -> None:
     assert play_virtually(generate_plan(7)).events == play_virtually(generate_plan(7)).events
 
 
 PLANS = sorted((ROOT / "tests/plans/storm").glob("*.toml"))
-"""The hard cases, each a plan that is played here and on real processes (`test_storms`)."""
+"""Plans of difficult cases; they are played here in the simulation and in `test_storms` on real processes."""
 
 
 @pytest.mark.parametrize("path", PLANS, ids=lambda path: path.stem)
-def test_hard_cases_break_nothing(path: Path) -> None:
+def test_a_plan_file_causes_no_breach_and_isolates_only_the_expected_members(path: Path) -> None:
     history = play_virtually(parse_plan(path.read_text()))
-    assert broken(history) == []
-    cut = {event.source for event in history.of_kind("cut") if event.payload["why"] == "no majority"}
-    apart = {"three-and-two": {"f0", "f1"}, "middle-of-four": {"f0", "f1", "f2", "f3"}}
-    if path.stem in (*apart, "bridge", "one-way", "stopped-for-0.3s", "rubbish"):
-        assert cut == apart.get(path.stem, set())
+    assert breaches_and_failures(history) == []
+    isolated = {event.source for event in history.of_kind("cut") if event.payload["why"] == "no majority"}
+    expected = {"three-and-two": {"f0", "f1"}, "middle-of-four": {"f0", "f1", "f2", "f3"}}
+    if path.stem in (*expected, "bridge", "one-way", "stopped-for-0.3s", "rubbish"):
+        assert isolated == expected.get(path.stem, set())
 
 
-def test_a_member_stopped_for_20_seconds_comes_back() -> None:
+def test_a_member_suspended_for_20_seconds_recovers_and_reports_the_stall() -> None:
     history = play_virtually(Plan(3, 5, 24.0, faults=(Fault(2.0, "stop", ("f1",), until=22.0),)))
-    assert broken(history) == [] and any(event.source == "f1" for event in history.of_kind("stalled"))
+    assert breaches_and_failures(history) == [] and any(
+        event.source == "f1" for event in history.of_kind("stalled")
+    )
 
 
-# Planted bugs: each is caught by some of the drawn seeds, by the rule that is named.
+# Planted bugs. Each breaks one of its rules in BUGS in the storm of at least one of the generated plans. The
+# function names are test ids.
 
 
 def no_incarnation(patch: Callable[..., None]) -> None:
-    """What is said of us is not answered under a later incarnation."""
+    """Do not refute false updates about the member itself with a later incarnation."""
     advance = OwnIdentity._advance_to
     patch(OwnIdentity, "_advance_to", lambda self, inc: None if inc & 0xFFFFF else advance(self, inc))
 
@@ -88,38 +92,38 @@
 
 
 def takes_a_late_view(patch: Callable[..., None]) -> None:
-    """What is said of a member is believed whatever its incarnation."""
+    """Accept updates about a peer whatever their incarnation."""
     patch(Peer, "is_superseded_by", lambda self, update: update.state is not self.state)
 
 
 def forgets_who_left(patch: Callable[..., None]) -> None:
     set_state = PeerTransitions.set_state
 
-    def forget(self: PeerTransitions, now: float, peer: Peer, update: MemberUpdate) -> None:
+    def replace_left(self: PeerTransitions, now: float, peer: Peer, update: MemberUpdate) -> None:
         if update.state is MemberState.LEFT:
             update = MemberUpdate(update.name, MemberState.UNREACHABLE, update.incarnation, update.run_id)
         set_state(self, now, peer, update)
 
-    patch(PeerTransitions, "set_state", forget)
+    patch(PeerTransitions, "set_state", replace_left)
 
 
 def says_left_though_it_does_not(patch: Callable[..., None]) -> None:
-    """Whoever is unreachable is told to have left."""
+    """Treat every unreachable peer as one that has left."""
     set_state = PeerTransitions.set_state
 
-    def left(self: PeerTransitions, now: float, peer: Peer, update: MemberUpdate) -> None:
+    def replace_unreachable(self: PeerTransitions, now: float, peer: Peer, update: MemberUpdate) -> None:
         if update.state is MemberState.UNREACHABLE:
             update = MemberUpdate(update.name, MemberState.LEFT, update.incarnation, update.run_id)
         set_state(self, now, peer, update)
 
-    patch(PeerTransitions, "set_state", left)
+    patch(PeerTransitions, "set_state", replace_unreachable)
 
 
 def dials_once(patch: Callable[..., None]) -> None:
-    async def once(self: LinkManager, name: str) -> None:
+    async def connect_once(self: LinkManager, name: str) -> None:
         await self._connect(name)
 
-    patch(LinkManager, "_dial", once)
+    patch(LinkManager, "_dial", connect_once)
 
 
 def suspects_for_ever(patch: Callable[..., None]) -> None:
@@ -127,18 +131,18 @@
 
 
 def holds_itself_cut_off(patch: Callable[..., None]) -> None:
-    """Answers to its questions never end a cut."""
+    """Answers to probes never end an isolation that a stall caused."""
     review = PartitionDetector.review
 
-    def never(self: PartitionDetector, now: float) -> None:
+    def skip_after_stall(self: PartitionDetector, now: float) -> None:
         if self.reason is not IsolationReason.STALLED:
             review(self, now)
 
-    patch(PartitionDetector, "review", never)
+    patch(PartitionDetector, "review", skip_after_stall)
 
 
 def kills_at_the_first_silence(patch: Callable[..., None]) -> None:
-    """No suspicion: who did not answer one question is gone."""
+    """Declare a peer unreachable without a suspicion period, after one probe without an answer."""
     patch(Suspicion, "deadline", property(lambda self: self.started_at))
     patch(Suspicion, "in_final_probe", property(lambda self: True))
 
@@ -171,13 +175,13 @@
 
 
 @pytest.mark.parametrize("bug", BUGS, ids=lambda bug: bug.__name__)
-def test_a_planted_bug_is_caught_by_drawn_seeds(
+def test_a_planted_bug_is_a_breach_of_one_of_its_rules_within_60_seeds(
     bug: Callable[..., Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     bug(monkeypatch.setattr)
-    found: set[str] = set()
+    broken_rules: set[str] = set()
     for seed in range(60):
-        found |= {breach.rule for breach in check_history(play_virtually(generate_plan(seed)))}
-        if found & BUGS[bug]:
+        broken_rules |= {breach.rule for breach in check_history(play_virtually(generate_plan(seed)))}
+        if broken_rules & BUGS[bug]:
             return
-    pytest.fail(f"caught by {found or 'nothing'}")
+    pytest.fail(f"expected a breach of one of {sorted(BUGS[bug])}, got {sorted(broken_rules) or 'none'}")
