--- a/emberlatch/storm/availability.py
+++ b/emberlatch/storm/availability.py
@@ -11,7 +11,7 @@
 IMPAIRMENT_TAIL_S = 2.0  # time after the end of a link fault in which delayed data may still arrive
 
 Span = tuple[float, float]
-"""Begin and end of a time span, in seconds since the storm began; the end may be infinite."""
+"""Start and end of a time span, in seconds since the storm began; the end may be infinite."""
 
 MAX_CLOCK_DRIFT = 0.03  # largest relative rate error of a member's clock in a plan; the rules allow for it
 
--- a/emberlatch/storm/client_load.py
+++ b/emberlatch/storm/client_load.py
@@ -1,8 +1,9 @@
 """The clients of a storm: they submit messages to the members over real sockets.
 
-A client resubmits a rejected message to another member. It resubmits a message without an answer only if
-the message's class is `safe`. A keyed message must not be resubmitted: another member does not know in which
-wing and in which idempotency window the first copy was executed.
+A client submits a message to another member if the message was rejected or could not be sent. If a message
+was sent and no answer came, the client does so only if the effect of the message's class is `safe`. A keyed
+message must not be sent to another member then, because that member does not know in which wing and in which
+idempotency window the first copy was executed.
 """
 
 from __future__ import annotations
--- a/emberlatch/storm/membership_rules.py
+++ b/emberlatch/storm/membership_rules.py
@@ -314,7 +314,7 @@
 
 def _check_shared_waits(history: History) -> Iterator[Breach]:
     impairments, disturbances = LinkImpairments(history), find_disturbances(history)
-    # By endpoint: the begin and the end of the wait that it asked for, and the member that it asked.
+    # By endpoint: the start and the end of its wait that ends last, and the member that it asked to wait.
     waits: dict[str, tuple[float, float, str]] = defaultdict(lambda: (0.0, 0.0, ""))
     for event in history.of_kind(EventKind.CALL_ANSWERED, EventKind.CALL_STARTED):
         member, endpoint = event.member, event.source
--- a/emberlatch/storm/message_rules.py
+++ b/emberlatch/storm/message_rules.py
@@ -145,8 +145,11 @@
             case "unsafe":
                 by_request[message.request] += times
                 if by_request[message.request] > 1:
-                    in_all = f"its request {message.request} took effect {by_request[message.request]} times"
-                    yield Breach("twice", at, subjects, f"{name} took effect {times} times, {in_all}")
+                    text = (
+                        f"{name} took effect {times} times, "
+                        f"its request {message.request} took effect {by_request[message.request]} times"
+                    )
+                    yield Breach("twice", at, subjects, text)
             case "keyed" if times > 1:
                 yield Breach("twice", at, subjects, f"{name} took effect {times} times")
 
@@ -168,7 +171,7 @@
 def _check_waits(
     history: History, availability: Availability, impairments: LinkImpairments
 ) -> Iterator[Breach]:
-    waits: dict[tuple[str, str], tuple[float, float]] = {}  # begin and end of waits, by endpoint and member
+    waits: dict[tuple[str, str], tuple[float, float]] = {}  # start and end of waits, by endpoint and member
     for event in history.of_kind(EventKind.CALL_ANSWERED, EventKind.CALL_STARTED):
         member, endpoint = event.member, event.source
         if event.kind == EventKind.CALL_ANSWERED:
--- a/emberlatch/storm/plan_generator.py
+++ b/emberlatch/storm/plan_generator.py
@@ -22,7 +22,7 @@
 )
 
 FAULT_FREE_S = 1.0  # duration of the fault-free spans at the beginning and at the end of a storm
-MIN_FAULT_FREE_TAIL_S = 2.0  # shortest time from the begin of a fault to the fault-free span at the end
+MIN_FAULT_FREE_TAIL_S = 2.0  # shortest time from the start of a fault to the fault-free span at the end
 PARTITION_SHAPES = ("halves", "bridge", "alone", "ring", "one way")
 
 
@@ -74,7 +74,7 @@
         case FaultKind.SUSPEND:
             end = round(at + rng.choice((0.3, 1.0, 2.0, 6.0)), 2)
             return [Fault(at, kind, subjects, until=min(slot.until, end))]
-        case FaultKind.DUPLICATE:  # of the first member, which dials all the others
+        case FaultKind.DUPLICATE:  # always the first member, because it dials all the others
             return [Fault(at, kind, (slot.members[0],))]
         case FaultKind.TERMINATE:
             return [Fault(at, kind, subjects)]
