--- a/emberlatch/storm/message_rules.py
+++ b/emberlatch/storm/message_rules.py
@@ -161,11 +161,11 @@
         message, state = messages[event.payload["id"]], event.payload["state"]
         times, subjects = effects[message.effect_name], (event.source,)
         if state == "delivered" and not times:
-            text = f"{message.id} was reported as delivered, and never took effect"
-            yield Breach("untrue", event.at, subjects, text)
+            yield Breach("untrue", event.at, subjects, f"{message.id} is delivered, and never took effect")
         if state == "refused" and times and CLASS_EFFECTS[message.message_class] == "unsafe":
-            text = f"{message.id} was reported as refused, and took effect {times} times"
-            yield Breach("untrue", event.at, subjects, text)
+            yield Breach(
+                "untrue", event.at, subjects, f"{message.id} is refused, and took effect {times} times"
+            )
 
 
 def _check_waits(
