--- a/tests/simulation/test_control_plane.py
+++ b/tests/simulation/test_control_plane.py
@@ -159,7 +159,9 @@
             return state.RevisionStatus.CONFLICT
         return state.RevisionStatus.ABSENT
 
-    failures = failures_with(lambda: monkeypatch.setattr(ControlState, "status", status_of_newest_only))
+    failures = failures_with(
+        lambda: monkeypatch.setattr(ControlState, "revision_status", status_of_newest_only)
+    )
     assert "one text was confirmed and refused for good" in failures
 
 
