--- a/emberlatch/fleet/__init__.py
+++ b/emberlatch/fleet/__init__.py
@@ -2,7 +2,7 @@
 
 from emberlatch.fleet.environment import ProcessEnvironment
 from emberlatch.fleet.membership import ProtocolParameters
-from emberlatch.fleet.quota_shares import PartitionPolicy, QuotaShare, QuotaShareController
+from emberlatch.fleet.quota_shares import IsolationPolicy, QuotaShare, QuotaShareController
 from emberlatch.fleet.service import FleetObserver, FleetService
 from emberlatch.fleet.settings import FleetSettings
 from emberlatch.fleet.status import FleetStatus
@@ -12,7 +12,7 @@
     "FleetService",
     "FleetSettings",
     "FleetStatus",
-    "PartitionPolicy",
+    "IsolationPolicy",
     "ProcessEnvironment",
     "ProtocolParameters",
     "QuotaShare",
--- a/emberlatch/fleet/log_events.py
+++ b/emberlatch/fleet/log_events.py
@@ -13,7 +13,7 @@
 class FleetEvent(StrEnum):
     """An event of a member. The text below each event lists the fields that are logged with it."""
 
-    INCARNATION_STARTED = "life"
+    MEMBER_PROCESS_STARTED = "life"
     """This process has started: `life` (its generation), `fresh` (whether the state folder is new), `size`
     (of the fleet)."""
     LEAVING = "leaves"
@@ -29,22 +29,22 @@
 
     STALL_DETECTED = "stalled"
     """This process did not run for a while: `seconds`."""
-    PARTITIONED = "cut"
+    ISOLATED = "cut"
     """This member has become isolated: `why`, an `IsolationReason`. JOINING, with which a member starts,
     is not logged."""
     MAJORITY_REACHED = "majority"
     """This member is in contact with a majority: `was` (the `IsolationReason` until now), `seconds` (how long
     it was isolated)."""
-    QUOTA_SHARE = "standing"
+    QUOTA_SHARE_CHANGED = "standing"
     """This member's quota share has changed: `size` (of the fleet), `part` (the fraction of each rate limit),
     `closed` (the classes that are rejected), `cut` (an `IsolationReason`)."""
 
-    PEER_STATE = "member"
+    PEER_STATE_CHANGED = "member"
     """Another member has changed its state or generation: `member`, `state`, `was` (the state before),
     `incarnation`, `life` (its generation)."""
-    PEER_REACHED = "reached"
+    PEER_REACHED_DIRECTLY = "reached"
     """Another member answers direct probes again: `member`."""
-    PEER_UNREACHED = "unreached"
+    PEER_REACHED_INDIRECTLY = "unreached"
     """Another member answers only indirect probes: `member`."""
     LINK_REFUSED = "link_refused"
     """This process has closed a connection: `member` (empty if the other side is unknown), `why`."""
--- a/emberlatch/fleet/membership/__init__.py
+++ b/emberlatch/fleet/membership/__init__.py
@@ -5,9 +5,9 @@
 
 from emberlatch.fleet.membership.actions import Action, Halt, IncarnationChanged, LogEvent, SendFrame
 from emberlatch.fleet.membership.identity import ProcessIdentity
+from emberlatch.fleet.membership.isolation import IsolationReason
 from emberlatch.fleet.membership.machine import MembershipMachine
 from emberlatch.fleet.membership.parameters import ProtocolParameters
-from emberlatch.fleet.membership.partition import IsolationReason
 from emberlatch.fleet.membership.peers import Peer, first_incarnation, generation_of
 
 __all__ = [
--- a/emberlatch/fleet/membership/partition.py
+++ b/emberlatch/fleet/membership/isolation.py
@@ -19,7 +19,7 @@
     STALLED = "stalled"
 
 
-class PartitionDetector:
+class IsolationDetector:
     """Begins an isolation by the view of the peers, and ends it only by answers to pings sent after that.
 
     `reason` and `since` are why and when the isolation began, or NONE and when it ended. Times are in seconds
@@ -56,7 +56,7 @@
         """Begin an isolation, and discard the answers recorded so far."""
         self.reason, self.since = reason, now
         self._answered.clear()
-        self._outbox.log(FleetEvent.PARTITIONED, why=reason.value)
+        self._outbox.log(FleetEvent.ISOLATED, why=reason.value)
         self.review(now)
 
     def record_answer(self, now: float, name: str, pinged_at: float) -> None:
--- a/emberlatch/fleet/membership/machine.py
+++ b/emberlatch/fleet/membership/machine.py
@@ -26,9 +26,9 @@
 from emberlatch.fleet.membership.anti_entropy import AntiEntropy
 from emberlatch.fleet.membership.dissemination import Gossiper
 from emberlatch.fleet.membership.identity import OwnIdentity, ProcessIdentity
+from emberlatch.fleet.membership.isolation import IsolationDetector, IsolationReason
 from emberlatch.fleet.membership.local_health import LocalHealth
 from emberlatch.fleet.membership.parameters import ProtocolParameters
-from emberlatch.fleet.membership.partition import IsolationReason, PartitionDetector
 from emberlatch.fleet.membership.peers import PRESENT, generation_of, sample_names
 from emberlatch.fleet.membership.probing import Prober
 from emberlatch.fleet.membership.protocol_instance import ProtocolInstance
@@ -60,7 +60,7 @@
         self._rng, self._queue, self._outbox = instance.rng, instance.queue, instance.outbox
         self.peers, self.health = instance.peers, LocalHealth(self.parameters.max_health_score)
         self.identity = OwnIdentity(process, instance, self.health)
-        self.partition = PartitionDetector(instance, now)
+        self.partition = IsolationDetector(instance, now)
         self.prober = Prober(instance, self.partition, self.health, now)
         self._transitions = PeerTransitions(process.name, instance, self.partition, self.prober)
         self._gossiper = Gossiper(instance, now)
--- a/emberlatch/fleet/membership/probing.py
+++ b/emberlatch/fleet/membership/probing.py
@@ -6,8 +6,8 @@
 
 from emberlatch.fleet.frames import Ack, MemberState, Nack, Ping, PingRequest
 from emberlatch.fleet.log_events import FleetEvent
+from emberlatch.fleet.membership.isolation import IsolationDetector
 from emberlatch.fleet.membership.local_health import LocalHealth
-from emberlatch.fleet.membership.partition import PartitionDetector
 from emberlatch.fleet.membership.peers import ABSENT, PRESENT, Peer, sample_names
 from emberlatch.fleet.membership.protocol_instance import ProtocolInstance
 
@@ -60,7 +60,7 @@
     """
 
     def __init__(
-        self, instance: ProtocolInstance, partition: PartitionDetector, health: LocalHealth, now: float
+        self, instance: ProtocolInstance, partition: IsolationDetector, health: LocalHealth, now: float
     ) -> None:
         self._peers, self._queue, self._outbox = instance.peers, instance.queue, instance.outbox
         self._parameters, self._rng = instance.parameters, instance.rng
@@ -115,7 +115,7 @@
         peer = self._peers.get(ping.target)
         if peer is not None and peer.is_reached_directly != is_direct:
             peer.is_reached_directly = is_direct
-            event = FleetEvent.PEER_REACHED if is_direct else FleetEvent.PEER_UNREACHED
+            event = FleetEvent.PEER_REACHED_DIRECTLY if is_direct else FleetEvent.PEER_REACHED_INDIRECTLY
             self._outbox.log(event, member=peer.name)
         probe = self._probe
         if probe is not None and probe.target == ping.target and ping.sent_at >= probe.started_at:
--- a/emberlatch/fleet/membership/transitions.py
+++ b/emberlatch/fleet/membership/transitions.py
@@ -4,7 +4,7 @@
 
 from emberlatch.fleet.frames import MemberState, MemberUpdate
 from emberlatch.fleet.log_events import FleetEvent
-from emberlatch.fleet.membership.partition import PartitionDetector
+from emberlatch.fleet.membership.isolation import IsolationDetector
 from emberlatch.fleet.membership.peers import Peer
 from emberlatch.fleet.membership.probing import Prober
 from emberlatch.fleet.membership.protocol_instance import ProtocolInstance
@@ -15,7 +15,7 @@
     """Changes the states of the peers; no other part does. Times are in seconds on the machine's clock."""
 
     def __init__(
-        self, own_name: str, instance: ProtocolInstance, partition: PartitionDetector, prober: Prober
+        self, own_name: str, instance: ProtocolInstance, partition: IsolationDetector, prober: Prober
     ) -> None:
         self._own_name, self._partition, self._prober = own_name, partition, prober
         self._peers, self._queue, self._outbox = instance.peers, instance.queue, instance.outbox
@@ -86,7 +86,7 @@
 
     def _log_state(self, peer: Peer, old_state: MemberState) -> None:
         self._outbox.log(
-            FleetEvent.PEER_STATE,
+            FleetEvent.PEER_STATE_CHANGED,
             member=peer.name,
             state=peer.state.name.lower(),
             was=old_state.name.lower(),
--- a/emberlatch/fleet/quota_shares.py
+++ b/emberlatch/fleet/quota_shares.py
@@ -18,11 +18,13 @@
 ROUNDING_STEPS = 1e-6  # tolerance, in steps, so that rounding a time does not skip a step
 
 
-class PartitionPolicy(Enum):
+class IsolationPolicy(Enum):
     """The treatment of a class's messages while the member is isolated, as named in the configuration."""
 
-    OWN = "own"  # accepted; if any class has this policy, the member uses its full share for all classes
-    LEAST = "least"  # accepted; the member uses `ISOLATED_FRACTION` of its share unless another class has OWN
+    FULL_SHARE = "own"
+    """Accepted; if any class has this policy, the member uses its full share for all classes."""
+    REDUCED_SHARE = "least"
+    """Accepted; the member uses `ISOLATED_FRACTION` of its share unless another class has FULL_SHARE."""
     REFUSE = "refuse"  # rejected at once, with a retry-after time
 
 
@@ -41,7 +43,7 @@
     Times are in seconds on one monotonic clock.
     """
 
-    def __init__(self, policies: Mapping[str, PartitionPolicy], now: float) -> None:
+    def __init__(self, policies: Mapping[str, IsolationPolicy], now: float) -> None:
         """`policies` has the policy of each class by its name."""
         self._policies = dict(policies)
         self._fleet_size, self._is_isolated = 1, True
@@ -50,7 +52,7 @@
     @property
     def _isolated_fraction(self) -> float:
         """The fraction of its share that this member uses while it is isolated."""
-        return 1.0 if PartitionPolicy.OWN in self._policies.values() else ISOLATED_FRACTION
+        return 1.0 if IsolationPolicy.FULL_SHARE in self._policies.values() else ISOLATED_FRACTION
 
     def update(self, now: float, fleet_size: int, is_isolated: bool) -> None:
         """Apply a fleet size, and whether this member is isolated from the majority."""
@@ -74,7 +76,7 @@
     def share_at(self, now: float) -> QuotaShare:
         """Return the quota share and the closed classes at a time."""
         closed = frozenset(
-            name for name, policy in self._policies.items() if policy is PartitionPolicy.REFUSE
+            name for name, policy in self._policies.items() if policy is IsolationPolicy.REFUSE
         )
         fraction = self._used_fraction(now) / self._fleet_size
         return QuotaShare(self._fleet_size, fraction, closed if self._is_isolated else frozenset())
--- a/emberlatch/fleet/service.py
+++ b/emberlatch/fleet/service.py
@@ -86,7 +86,7 @@
         self._save_generation()
         generation, size = self.membership.identity.generation, self.membership.peers.fleet_size
         fresh = self.is_new_folder
-        self._log_event(FleetEvent.INCARNATION_STARTED, life=generation, fresh=fresh, size=size)
+        self._log_event(FleetEvent.MEMBER_PROCESS_STARTED, life=generation, fresh=fresh, size=size)
         self._links.start()
         self._run(self.membership.tick)
 
@@ -189,7 +189,7 @@
 
     def _report_share(self, share: QuotaShare) -> None:
         self._log_event(
-            FleetEvent.QUOTA_SHARE,
+            FleetEvent.QUOTA_SHARE_CHANGED,
             size=share.fleet_size,
             part=round(share.fraction, SHARE_DECIMALS),
             closed=sorted(share.closed_classes),
--- a/emberlatch/fleet/settings.py
+++ b/emberlatch/fleet/settings.py
@@ -7,7 +7,7 @@
 
 from emberlatch.engine import Address
 from emberlatch.fleet.membership import ProtocolParameters
-from emberlatch.fleet.quota_shares import PartitionPolicy
+from emberlatch.fleet.quota_shares import IsolationPolicy
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,5 +18,5 @@
     member_name: str
     listen_address: Address
     peer_addresses: Mapping[str, Address]  # by member name; excludes this member
-    policies: Mapping[str, PartitionPolicy]  # by class name
+    policies: Mapping[str, IsolationPolicy]  # by class name
     parameters: ProtocolParameters = field(default_factory=ProtocolParameters)
--- a/emberlatch/standalone/fleet_integration.py
+++ b/emberlatch/standalone/fleet_integration.py
@@ -15,7 +15,7 @@
 from emberlatch.config.fleet import Fleet as FleetTable
 from emberlatch.core import interface as api
 from emberlatch.engine import Address, Addresses, Machine
-from emberlatch.fleet import FleetService, FleetSettings, PartitionPolicy, ProcessEnvironment, QuotaShare
+from emberlatch.fleet import FleetService, FleetSettings, IsolationPolicy, ProcessEnvironment, QuotaShare
 from emberlatch.fleet.membership_change import membership_change_error
 from emberlatch.gateway_core import GatewayCore
 from emberlatch.standalone.answers import JsonObject
@@ -56,7 +56,7 @@
                 self._table.me,
                 self._table.listen_address,
                 _peer_addresses(self._table),
-                {name: PartitionPolicy(item.cut_off) for name, item in config.classes.items()},
+                {name: IsolationPolicy(item.cut_off) for name, item in config.classes.items()},
             ),
             machine.files(folder),
             self,
--- a/emberlatch/storm/membership_rules.py
+++ b/emberlatch/storm/membership_rules.py
@@ -26,13 +26,13 @@
 from emberlatch.storm.plan import CLOCK_FAULTS, ENDPOINTS, LINK_FAULTS, Fault, FaultKind
 
 FLEET_EVENTS = (
-    EventKind.PEER_STATE,
-    EventKind.PARTITIONED,
+    EventKind.PEER_STATE_CHANGED,
+    EventKind.ISOLATED,
     EventKind.MAJORITY_REACHED,
     EventKind.SUSPICION_REFUTED,
-    EventKind.QUOTA_SHARE,
-    EventKind.PEER_REACHED,
-    EventKind.PEER_UNREACHED,
+    EventKind.QUOTA_SHARE_CHANGED,
+    EventKind.PEER_REACHED_DIRECTLY,
+    EventKind.PEER_REACHED_INDIRECTLY,
 )
 PROCESS_EVENTS = (
     EventKind.PROCESS_STARTED,
@@ -62,7 +62,7 @@
 
 def check_membership(history: History) -> list[Breach]:
     """All breaches of the rules on membership; none if the members did not form a fleet."""
-    if not any(history.of_kind(EventKind.INCARNATION_STARTED)):
+    if not any(history.of_kind(EventKind.MEMBER_PROCESS_STARTED)):
         return []
     availability = Availability(history)
     return [
@@ -166,7 +166,7 @@
 def _check_false_deaths(history: History, availability: Availability) -> Iterator[Breach]:
     disturbances = find_disturbances(history, include_mild=False)
     completed_at = history.last_time_of(EventKind.COMPLETED, math.inf)
-    for event in history.of_kind(EventKind.PEER_STATE):
+    for event in history.of_kind(EventKind.PEER_STATE_CHANGED):
         if event.payload["state"] != "unreachable" or event.at > completed_at:
             continue
         since = event.at - QUIET_S
@@ -194,14 +194,14 @@
             if event.kind in FLEET_EVENTS:
                 text = f"{event.source} reports {event.kind} {event.payload} before the stall that it had"
                 yield Breach("stalled", event.at, (event.source,), text)
-            if event.kind in (*FLEET_EVENTS, EventKind.STALL_DETECTED, EventKind.INCARNATION_STARTED):
+            if event.kind in (*FLEET_EVENTS, EventKind.STALL_DETECTED, EventKind.MEMBER_PROCESS_STARTED):
                 must_report.discard(event.source)
 
 
 def _check_incarnations(history: History) -> Iterator[Breach]:
     known: dict[tuple[str, str], int] = {}  # by observer and peer
-    for event in history.of_kind(EventKind.INCARNATION_STARTED, EventKind.PEER_STATE):
-        if event.kind == EventKind.INCARNATION_STARTED:
+    for event in history.of_kind(EventKind.MEMBER_PROCESS_STARTED, EventKind.PEER_STATE_CHANGED):
+        if event.kind == EventKind.MEMBER_PROCESS_STARTED:
             known = {pair: number for pair, number in known.items() if pair[0] != event.source}
             continue
         pair, incarnation = (event.source, event.member), event.payload["incarnation"]
@@ -214,7 +214,7 @@
 
 def _check_departures(history: History, availability: Availability) -> Iterator[Breach]:
     terminated_at: dict[str, float] = {}
-    for event in history.of_kind(EventKind.TERMINATED, EventKind.PEER_STATE):
+    for event in history.of_kind(EventKind.TERMINATED, EventKind.PEER_STATE_CHANGED):
         name = event.member
         if event.kind == EventKind.TERMINATED:
             terminated_at[name] = event.at
@@ -243,7 +243,7 @@
 def _check_share_sums(history: History, availability: Availability) -> Iterator[Breach]:
     shares: dict[str, float] = {}
     for event in history.events:
-        if event.kind == EventKind.QUOTA_SHARE and event.source in availability.downtimes:
+        if event.kind == EventKind.QUOTA_SHARE_CHANGED and event.source in availability.downtimes:
             shares[event.source] = event.payload["part"]
             if sum(shares.values()) > MAX_SHARE_SUM:
                 text = ", ".join(f"{name} {share:.3f}" for name, share in sorted(shares.items()))
--- a/emberlatch/storm/membership_views.py
+++ b/emberlatch/storm/membership_views.py
@@ -18,12 +18,12 @@
             if event.at > until:
                 break
             match event.kind:
-                case EventKind.INCARNATION_STARTED:
+                case EventKind.MEMBER_PROCESS_STARTED:
                     self._states[event.source] = {}
                     self._partition_causes[event.source] = "joining"
-                case EventKind.PEER_STATE if event.source in self._states:
+                case EventKind.PEER_STATE_CHANGED if event.source in self._states:
                     self._states[event.source][event.member] = event.payload["state"]
-                case EventKind.PARTITIONED:
+                case EventKind.ISOLATED:
                     self._partition_causes[event.source] = event.payload["why"]
                 case EventKind.MAJORITY_REACHED:
                     self._partition_causes[event.source] = ""
--- a/emberlatch/storm/virtual_fleet.py
+++ b/emberlatch/storm/virtual_fleet.py
@@ -17,7 +17,7 @@
 from emberlatch.faults.disk import Disk
 from emberlatch.faults.loop import VirtualLoop, close_loop
 from emberlatch.faults.process import Process, current_process
-from emberlatch.fleet import FleetService, FleetSettings, PartitionPolicy, ProcessEnvironment, QuotaShare
+from emberlatch.fleet import FleetService, FleetSettings, IsolationPolicy, ProcessEnvironment, QuotaShare
 from emberlatch.storm.history import RUNNER, TWIN_SUFFIX, EventKind, History, HistoryEvent
 from emberlatch.storm.membership_rules import base_name
 from emberlatch.storm.plan import Fault, FaultKind, Plan
@@ -72,7 +72,7 @@
     async def _boot(self) -> None:
         fleet, clock_rate, me = self._fleet, self.clock_rate, base_name(self.name)
         others = {name: (name, FLEET_PORT) for name in fleet.plan.member_names if name != me}
-        policies = {"payout": PartitionPolicy.LEAST}
+        policies = {"payout": IsolationPolicy.REDUCED_SHARE}
         settings = FleetSettings("storm", me, (self.host, FLEET_PORT), others, policies)
         machine = Machine(lambda: 0.0, lambda: "one", fleet.network.listen, lambda _: self.disk)
         environment = ProcessEnvironment(
--- a/tests/fleet/test_log_events.py
+++ b/tests/fleet/test_log_events.py
@@ -15,18 +15,18 @@
 ROOT = Path(__file__).parent.parent.parent
 OPERATORS_PAGE = ROOT / "docs" / "operators" / "fleet.md"
 STORED_NAMES = {
-    FleetEvent.INCARNATION_STARTED: "life",
+    FleetEvent.MEMBER_PROCESS_STARTED: "life",
     FleetEvent.LEAVING: "leaves",
     FleetEvent.HALTED: "halted",
     FleetEvent.GENERATION_ADVANCED: "new_life",
     FleetEvent.SUSPICION_REFUTED: "refuted",
     FleetEvent.STALL_DETECTED: "stalled",
-    FleetEvent.PARTITIONED: "cut",
+    FleetEvent.ISOLATED: "cut",
     FleetEvent.MAJORITY_REACHED: "majority",
-    FleetEvent.QUOTA_SHARE: "standing",
-    FleetEvent.PEER_STATE: "member",
-    FleetEvent.PEER_REACHED: "reached",
-    FleetEvent.PEER_UNREACHED: "unreached",
+    FleetEvent.QUOTA_SHARE_CHANGED: "standing",
+    FleetEvent.PEER_STATE_CHANGED: "member",
+    FleetEvent.PEER_REACHED_DIRECTLY: "reached",
+    FleetEvent.PEER_REACHED_INDIRECTLY: "unreached",
     FleetEvent.LINK_REFUSED: "link_refused",
     FleetEvent.ENDPOINT_REPORTED: "told_of",
 }
--- a/tests/fleet/test_quota_shares.py
+++ b/tests/fleet/test_quota_shares.py
@@ -7,9 +7,9 @@
 import pytest
 
 from emberlatch.fleet.membership_change import membership_change_error
-from emberlatch.fleet.quota_shares import ISOLATED_FRACTION, RAMP_S, PartitionPolicy, QuotaShareController
+from emberlatch.fleet.quota_shares import ISOLATED_FRACTION, RAMP_S, IsolationPolicy, QuotaShareController
 
-POLICIES = {"payout": PartitionPolicy.REFUSE, "note": PartitionPolicy.LEAST}
+POLICIES = {"payout": IsolationPolicy.REFUSE, "note": IsolationPolicy.REDUCED_SHARE}
 
 
 def test_a_share_grows_from_the_isolated_fraction_to_the_full_share_within_a_second() -> None:
@@ -40,7 +40,7 @@
 
 
 def test_an_isolated_member_with_an_own_policy_class_keeps_its_full_share() -> None:
-    controller = QuotaShareController({"payout": PartitionPolicy.OWN}, 0.0)
+    controller = QuotaShareController({"payout": IsolationPolicy.FULL_SHARE}, 0.0)
     controller.update(0.0, 2, True)
     assert controller.share_at(0.0).fraction == 0.5 and controller.share_at(0.0).closed_classes == frozenset()
 
--- a/tests/fleet/test_service.py
+++ b/tests/fleet/test_service.py
@@ -15,7 +15,7 @@
 from emberlatch.fleet import (
     FleetService,
     FleetSettings,
-    PartitionPolicy,
+    IsolationPolicy,
     ProcessEnvironment,
     ProtocolParameters,
     QuotaShare,
@@ -101,7 +101,7 @@
         observer = RecordingObserver()
         peers = {other: ("127.0.0.1", at) for other, at in self.ports.items() if other != name}
         listen_address = ("127.0.0.1", port or self.ports[name])
-        policies = {"x": PartitionPolicy.REFUSE}
+        policies = {"x": IsolationPolicy.REFUSE}
         settings = FleetSettings(fleet, name, listen_address, peers, policies, PARAMETERS)
 
         def listen(address: tuple[str, int]) -> Any:
--- a/tests/storm/test_virtual_fleet.py
+++ b/tests/storm/test_virtual_fleet.py
@@ -18,7 +18,7 @@
     Peer,
 )
 from emberlatch.fleet.membership.identity import OwnIdentity
-from emberlatch.fleet.membership.partition import PartitionDetector
+from emberlatch.fleet.membership.isolation import IsolationDetector
 from emberlatch.fleet.membership.peers import PeerTable
 from emberlatch.fleet.membership.suspicion import Suspicion
 from emberlatch.fleet.membership.transitions import PeerTransitions
@@ -128,13 +128,13 @@
 
 def holds_itself_cut_off(patch: Callable[..., None]) -> None:
     """Answers to its questions never end a cut."""
-    review = PartitionDetector.review
+    review = IsolationDetector.review
 
-    def never(self: PartitionDetector, now: float) -> None:
+    def never(self: IsolationDetector, now: float) -> None:
         if self.reason is not IsolationReason.STALLED:
             review(self, now)
 
-    patch(PartitionDetector, "review", never)
+    patch(IsolationDetector, "review", never)
 
 
 def kills_at_the_first_silence(patch: Callable[..., None]) -> None:
