--- a/tests/as2/test_crypto_worker.py
+++ b/tests/as2/test_crypto_worker.py
@@ -22,7 +22,7 @@
 from tests.as2.parties import NOW
 from tests.as2.world import CONTENT, configuration, partner, running, until, write
 from tests.peers import free_port
-from tests.standalone.running_gateway import GatewayProcess, final_state, run, submit
+from tests.standalone.running_gateway import GatewayProcess, final_state, run_async_test, submit
 
 
 @asynccontextmanager
@@ -75,7 +75,7 @@
             with pytest.raises(KeyError):
                 await service.seal(CONTENT, Format(), "nobody", NOW)
 
-    run(test)
+    run_async_test(test)
 
 
 def test_request_fails_when_worker_is_killed_and_the_next_worker_serves(tmp_path: Path) -> None:
@@ -91,7 +91,7 @@
             sealed = await service.seal(CONTENT, Format(), "self", NOW)
             assert sealed.body and service.pid != before
 
-    run(test)
+    run_async_test(test)
 
 
 def test_payout_is_sent_by_the_next_worker_when_a_worker_is_killed(tmp_path: Path) -> None:
@@ -104,7 +104,7 @@
             assert await final_state(port, "m1") == "delivered"
             assert len(bank.received) == 1
 
-    run(test)
+    run_async_test(test)
 
 
 def test_worker_ends_when_gateway_is_killed_or_terminated(tmp_path: Path) -> None:
@@ -123,4 +123,4 @@
         with suppress(OSError):
             await bank.stop()
 
-    run(test)
+    run_async_test(test)
--- a/tests/as2/test_gateway.py
+++ b/tests/as2/test_gateway.py
@@ -27,7 +27,7 @@
 from tests.as2.parties import NOW, certificate, identity, key, trust
 from tests.as2.world import PEM, configuration, order, post, receipt, running, until
 from tests.peers import free_port
-from tests.standalone.running_gateway import final_state, message_state, run, submit
+from tests.standalone.running_gateway import final_state, message_state, run_async_test, submit
 
 LATE: dict[str, Any] = {"late_receipts": "true", "as2_receipts_at": '"http://127.0.0.1:{as2}/as2"'}
 ORDERS: dict[str, Any] = {"orders": '{class = "payout", destination = "river"}'}
@@ -51,7 +51,7 @@
             status = decode(await gateway.commands.status(), StatusAnswer)
             assert status.as2 is not None and status.as2.disputes == 0
 
-    run(test)
+    run_async_test(test)
 
 
 def test_asynchronous_receipt_delivers_message(tmp_path: Path) -> None:
@@ -67,7 +67,7 @@
             status = decode(await gateway.commands.status(), StatusAnswer)
             assert status.as2 is not None and status.as2.disputes == 0
 
-    run(test)
+    run_async_test(test)
 
 
 def test_request_with_malformed_or_duplicate_header_gets_400(tmp_path: Path) -> None:
@@ -80,7 +80,7 @@
                 assert b" 400 " in await reader.readline()
                 writer.close()
 
-    run(test)
+    run_async_test(test)
 
 
 @pytest.mark.parametrize("late", [False, True])
@@ -125,7 +125,7 @@
             kept = gateway.as2.evidence.receipt(dispute["receipts"][0])
             assert b"disposition-notification" in kept
 
-    run(test)
+    run_async_test(test)
 
 
 def test_repeated_attempts_send_identical_bytes(tmp_path: Path) -> None:
@@ -145,7 +145,7 @@
             assert await final_state(port, "m1") == "delivered"
             assert len(bodies) == 3 and len(set(bodies)) == 1
 
-    run(test)
+    run_async_test(test)
 
 
 def test_receipt_after_failure_keeps_final_state_and_causes_dispute(tmp_path: Path) -> None:
@@ -161,7 +161,7 @@
             assert dispute["disputes"] == ["ended failed, yet the partner processed it"]
             assert dispute["receipts"] and dispute["end"] == "failed"
 
-    run(test)
+    run_async_test(test)
 
 
 def test_receipt_between_attempts_delivers_message(tmp_path: Path) -> None:
@@ -190,7 +190,7 @@
             assert (await post(as2, ([*head, *sealed.headers], sealed.body)))[0] == 200
             assert await final_state(port, "m1") == "delivered"
 
-    run(test)
+    run_async_test(test)
 
 
 def test_unresponsive_partner_uses_no_more_than_its_leases(tmp_path: Path) -> None:
@@ -201,7 +201,7 @@
             await until(lambda: bool(bank.received))
             assert bank.open_connections <= 6  # three quarters of the 8 calls
 
-    run(test)
+    run_async_test(test)
 
 
 def tls_context(folder: Path) -> ssl.SSLContext:
@@ -234,7 +234,7 @@
             assert await final_state(port, "m2") == "refused"  # No message was sent.
             assert not bank.received
 
-    run(test)
+    run_async_test(test)
 
 
 def test_slow_tls_handshake_succeeds_and_endless_one_sends_no_message(tmp_path: Path) -> None:
@@ -269,7 +269,7 @@
             assert len(bank.received) == 1
             slow.close()
 
-    run(test)
+    run_async_test(test)
 
 
 # Received orders.
@@ -292,7 +292,7 @@
             assert receipt(headers, body).disposition.text == "unexpected-processing-error"
             assert gateway.engine.counters.totals()["accepted"] == 1
 
-    run(test)
+    run_async_test(test)
 
 
 def test_asynchronous_receipt_is_posted_until_it_is_accepted(tmp_path: Path) -> None:
@@ -320,7 +320,7 @@
             assert status == 400  # Receipts are posted only to the URL in the profile.
         server.close()
 
-    run(test)
+    run_async_test(test)
 
 
 @pytest.mark.parametrize(
@@ -342,7 +342,7 @@
             assert status == 200 and receipt(headers, body).disposition.text == expected
             assert not gateway.engine.messages.open and not list(gateway.as2._orders.states)  # type: ignore[union-attr]
 
-    run(test)
+    run_async_test(test)
 
 
 def test_message_between_unknown_parties_gets_no_receipt(tmp_path: Path) -> None:
@@ -353,7 +353,7 @@
             assert (await post(as2, order(AS2_From='"a')))[0] == 400
             assert (await post(as2, order(Message_ID="")))[0] == 400
 
-    run(test)
+    run_async_test(test)
 
 
 def test_unusual_encodings_of_orders_are_accepted(tmp_path: Path) -> None:
@@ -383,7 +383,7 @@
             writer.close()
             assert gateway.engine.counters.totals()["accepted"] == 2
 
-    run(test)
+    run_async_test(test)
 
 
 def test_repeated_order_is_recognized_after_restart(tmp_path: Path) -> None:
@@ -396,7 +396,7 @@
             assert (status, body) == (200, first) and not gateway.engine.messages.open
             assert not bank.received
 
-    run(test)
+    run_async_test(test)
 
 
 def test_order_is_deleted_after_retention(tmp_path: Path) -> None:
@@ -408,7 +408,7 @@
             gateway.as2.front._now = lambda: time.time() + 73 * 3600
             await until(lambda: gateway.as2 is not None and not gateway.as2._orders.states)
 
-    run(test)
+    run_async_test(test)
 
 
 @pytest.mark.parametrize(
@@ -430,7 +430,7 @@
             StandaloneGateway(load(path))
         gc.collect()
 
-    run(test)
+    run_async_test(test)
 
 
 def test_content_without_layers_is_sent_unchanged(tmp_path: Path) -> None:
@@ -442,4 +442,4 @@
             received = replace(bank.received[0]).opened
             assert received is not None and received.layers == () and received.content.content() == b"x"
 
-    run(test)
+    run_async_test(test)
--- a/tests/cli/test_as2.py
+++ b/tests/cli/test_as2.py
@@ -15,7 +15,7 @@
 from emberlatch.cli import main
 from emberlatch.standins.as2_script import ReceiptBehaviour, Script
 from tests.as2.world import configuration, order, running, until, write
-from tests.standalone.running_gateway import final_state, run, submit
+from tests.standalone.running_gateway import final_state, run_async_test, submit
 
 
 def call(*arguments: object) -> Result:
@@ -115,7 +115,7 @@
             assert said[2].stdout == "answered 429: refused\n"
             assert bank.received[0].opened is not None and bank.received[0].opened.content.body == b"a trial"
 
-    run(test)
+    run_async_test(test)
 
 
 def test_disputes_are_listed_and_exported_while_the_gateway_runs(tmp_path: Path) -> None:
@@ -138,4 +138,4 @@
             listed = await asyncio.to_thread(call, "as2", "disputes", path, "--json")
             assert json.loads(listed.stdout)[0]["message"] == "m1"
 
-    run(test)
+    run_async_test(test)
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -14,7 +14,15 @@
 
 from emberlatch.cli import main
 from tests.peers import ROOT, Peer, never_respond
-from tests.standalone.running_gateway import HEADER, gateway, row, run, save, submit, write_configuration
+from tests.standalone.running_gateway import (
+    HEADER,
+    inventory_row,
+    run_async_test,
+    running_gateway,
+    save_inventory,
+    submit,
+    write_configuration,
+)
 
 ROW = "m1,10.0.0.1:80,momo,rural-bank,east-wing,"
 
@@ -24,7 +32,7 @@
 
 
 def prepared(folder: Path, *rows: str) -> Path:
-    save(folder, *rows)
+    save_inventory(folder, *rows)
     return asyncio.run(write_configuration(folder))[0]
 
 
@@ -121,7 +129,10 @@
 
 def test_reload_and_status_ask_the_gateway_that_runs(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Peer(never_respond) as peer, gateway(tmp_path, row("m1", peer)) as (_, port):
+        async with (
+            Peer(never_respond) as peer,
+            running_gateway(tmp_path, inventory_row("m1", peer)) as (_, port),
+        ):
             path = tmp_path / "gateway.toml"
             assert await submit(port, "p1") == 202
             await peer.next()
@@ -131,16 +142,16 @@
             assert "1 messages held" in done.stdout and "momo" in done.stdout
             done = await asyncio.to_thread(call, "reload", path)
             assert (done.exit_code, done.stdout.split()[-1]) == (0, "before")
-            save(tmp_path, row("m1", peer), row("m2", peer))
+            save_inventory(tmp_path, inventory_row("m1", peer), inventory_row("m2", peer))
             done = await asyncio.to_thread(call, "reload", path)
             assert done.exit_code == 1 and f"address: {peer.address} is a duplicate" in done.stderr
-            save(tmp_path, row("m3", peer))
+            save_inventory(tmp_path, inventory_row("m3", peer))
             done = await asyncio.to_thread(call, "reload", path)
             assert done.exit_code == 0  # it is taken now, or was by a look of the gateway's own just before
             done = await asyncio.to_thread(call, "status", path, "--json")
             assert json.loads(done.stdout)["inventory"]["problems"] == []
 
-    run(test)
+    run_async_test(test)
 
 
 def test_without_a_gateway_reload_and_status_say_so(tmp_path: Path) -> None:
--- a/tests/standalone/running_gateway.py
+++ b/tests/standalone/running_gateway.py
@@ -20,18 +20,20 @@
 QUIET_PERIOD_S = 0.15
 
 
-def run(test: Callable[[], Awaitable[None]]) -> None:
+def run_async_test(test: Callable[[], Awaitable[None]]) -> None:
     async def limited() -> None:
         await asyncio.wait_for(test(), 60)
 
     asyncio.run(limited())
 
 
-def row(name: str, peer: Peer, partner: str = "momo", wing: str = "east-wing", phase: str = "") -> str:
+def inventory_row(
+    name: str, peer: Peer, partner: str = "momo", wing: str = "east-wing", phase: str = ""
+) -> str:
     return f"{name},{peer.address},{partner},rural-bank,{wing},{phase}"
 
 
-def save(folder: Path, *rows: str, name: str = "a.csv") -> None:
+def save_inventory(folder: Path, *rows: str, name: str = "a.csv") -> None:
     """Create or replace an inventory file atomically."""
     inventory = folder / "inventory"
     inventory.mkdir(exist_ok=True)
@@ -58,8 +60,10 @@
 
 
 @asynccontextmanager
-async def gateway(folder: Path, *rows: str, **more: str) -> AsyncIterator[tuple[StandaloneGateway, int]]:
-    save(folder, *rows)
+async def running_gateway(
+    folder: Path, *rows: str, **more: str
+) -> AsyncIterator[tuple[StandaloneGateway, int]]:
+    save_inventory(folder, *rows)
     path, port = await write_configuration(folder, **more)
     running = StandaloneGateway(load(path))
     await running.start()
@@ -137,7 +141,7 @@
 
 @asynccontextmanager
 async def gateway_process(folder: Path, *rows: str) -> AsyncIterator[GatewayProcess]:
-    save(folder, *rows)
+    save_inventory(folder, *rows)
     running = GatewayProcess(folder, *await write_configuration(folder))
     await running.start()
     try:
--- a/tests/standalone/test_control_socket.py
+++ b/tests/standalone/test_control_socket.py
@@ -12,12 +12,15 @@
 from emberlatch.standalone.answers import Command, StatusAnswer, decode
 from emberlatch.standalone.control_socket import SOCKET_NAME, ControlServer, send_command
 from tests.peers import Peer, accept, never_respond
-from tests.standalone.running_gateway import gateway, row, run, submit
+from tests.standalone.running_gateway import inventory_row, run_async_test, running_gateway, submit
 
 
 def test_only_its_owner_may_open_the_socket_and_status_shows_messages_in_flight(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Peer(never_respond) as peer, gateway(tmp_path, row("m1", peer)) as (_, port):
+        async with (
+            Peer(never_respond) as peer,
+            running_gateway(tmp_path, inventory_row("m1", peer)) as (_, port),
+        ):
             path = tmp_path / "state" / SOCKET_NAME
             assert stat.S_IMODE(path.stat().st_mode) == 0o600
             assert await submit(port, "p1") == 202
@@ -30,7 +33,7 @@
             assert (pool.partner, pool.leases) == ("momo", 1)
             assert pool.routes[0].endpoints[0].target.startswith("m1@east-wing/")
 
-    run(test)
+    run_async_test(test)
 
 
 @pytest.mark.parametrize(
@@ -38,7 +41,7 @@
 )
 def test_an_invalid_request_is_answered_with_the_known_commands(tmp_path: Path, request_line: bytes) -> None:
     async def test() -> None:
-        async with Peer(accept) as peer, gateway(tmp_path, row("m1", peer)):
+        async with Peer(accept) as peer, running_gateway(tmp_path, inventory_row("m1", peer)):
             reader, writer = await asyncio.open_unix_connection(tmp_path / "state" / SOCKET_NAME)
             writer.write(request_line)
             assert b"known are status, reload" in await reader.read()
@@ -49,7 +52,7 @@
             flood[1].close()
             assert "held" in await asyncio.to_thread(send_command, tmp_path / "state", "status")
 
-    run(test)
+    run_async_test(test)
 
 
 def test_after_a_failed_command_the_socket_answers_the_next_one(tmp_path: Path) -> None:
@@ -64,7 +67,7 @@
             assert "a defect" in str(answer["error"])
         control.stop()
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_socket_of_a_killed_process_is_replaced_and_a_too_long_path_is_an_error(tmp_path: Path) -> None:
@@ -79,4 +82,4 @@
         with pytest.raises(OSError, match="too long"):
             await ControlServer(deep, {}).start()
 
-    run(test)
+    run_async_test(test)
--- a/tests/standalone/test_fleet_integration.py
+++ b/tests/standalone/test_fleet_integration.py
@@ -9,7 +9,7 @@
 from emberlatch.fleet import QuotaShare
 from emberlatch.standalone import StandaloneGateway
 from tests.peers import free_port
-from tests.standalone.running_gateway import HEADER, run, submit
+from tests.standalone.running_gateway import HEADER, run_async_test, submit
 
 
 async def start_single_member_gateway(folder: Path, *rows: str) -> tuple[StandaloneGateway, int]:
@@ -56,7 +56,7 @@
         assert [name for name, _ in gateway.carrier.export_retry_after()] == [names["m1"]]
         await gateway.stop()
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_message_of_a_closed_class_is_rejected_with_429(tmp_path: Path) -> None:
@@ -70,4 +70,4 @@
         assert await submit(port, "p2", "m1-bank") == 202
         await gateway.stop()
 
-    run(test)
+    run_async_test(test)
--- a/tests/standalone/test_gateway.py
+++ b/tests/standalone/test_gateway.py
@@ -15,13 +15,13 @@
 from tests.peers import Exchange, Peer, accept, never_respond, request
 from tests.standalone.running_gateway import (
     final_state,
-    gateway,
     gateway_process,
+    inventory_row,
     logged_outcomes,
     message_state,
-    row,
-    run,
-    save,
+    run_async_test,
+    running_gateway,
+    save_inventory,
     submit,
     write_configuration,
 )
@@ -39,7 +39,7 @@
 
 def test_a_message_is_delivered_by_partner_name_and_its_outcome_can_be_queried(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Peer(accept) as peer, gateway(tmp_path, row("m1", peer)) as (_, port):
+        async with Peer(accept) as peer, running_gateway(tmp_path, inventory_row("m1", peer)) as (_, port):
             assert await submit(port, "p1") == 202
             assert (await peer.next()).headers["idempotency-key"] == "p1"
             assert await final_state(port, "p1") == "delivered"
@@ -47,18 +47,21 @@
             assert await submit(port, "p3", "nobody") == 400
             assert [(e["id"], e["state"]) for e in logged_outcomes(tmp_path)] == [("p1", "delivered")]
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_message_without_an_outcome_is_shown_as_in_flight(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Peer(never_respond) as peer, gateway(tmp_path, row("m1", peer)) as (_, port):
+        async with (
+            Peer(never_respond) as peer,
+            running_gateway(tmp_path, inventory_row("m1", peer)) as (_, port),
+        ):
             assert await submit(port, "p1", X_Timeout_Ms="600") == 202
             assert await message_state(port, "p1") == {"id": "p1", "state": "held"}
             assert await final_state(port, "p1") == "failed"  # the partner may have executed it
             assert [(e["id"], e["state"]) for e in logged_outcomes(tmp_path)] == [("p1", "failed")]
 
-    run(test)
+    run_async_test(test)
 
 
 def test_outcomes_are_sent_to_the_reports_url_if_one_is_configured(tmp_path: Path) -> None:
@@ -71,14 +74,14 @@
 
         async with Peer(accept) as peer, Peer(report) as receiver:
             url = f'"http://{receiver.address}/ends"'
-            async with gateway(tmp_path, row("m1", peer), reports=url) as (_, port):
+            async with running_gateway(tmp_path, inventory_row("m1", peer), reports=url) as (_, port):
                 assert await submit(port, "p1") == 202
                 assert await reports.get() == b'{"ref":"p1","result":"delivered"}\n'
                 assert (await receiver.next()).path == "/ends"
                 assert (await request(port, "GET", "/messages/p1"))[0] == 404
         assert not (tmp_path / "state" / "ends.jsonl").exists()
 
-    run(test)
+    run_async_test(test)
 
 
 def test_messages_to_a_removed_endpoint_have_one_outcome_each(tmp_path: Path) -> None:
@@ -92,12 +95,12 @@
             await exchange.answer(200)
 
         async with Peer(respond_late) as peer, Peer(accept) as other:
-            rows = row("m1", peer), row("o1", other, "other")
-            async with gateway(tmp_path, *rows) as (running, port):
+            rows = inventory_row("m1", peer), inventory_row("o1", other, "other")
+            async with running_gateway(tmp_path, *rows) as (running, port):
                 assert await submit(port, "out") == 202
                 await peer.next()
                 assert await submit(port, "waits", X_Timeout_Ms="1500") == 202
-                save(tmp_path, rows[1])
+                save_inventory(tmp_path, rows[1])
                 await wait_for_endpoints(running, 1)
                 assert await submit(port, "late", X_Timeout_Ms="700") in (202, 400, 429)
                 may_respond.set()
@@ -108,7 +111,7 @@
             logged = [e["id"] for e in logged_outcomes(tmp_path)]
             assert len(logged) == len(set(logged)) and {"out", "waits", "o"} <= set(logged)
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_retry_after_time_survives_the_removal_and_return_of_an_endpoint(tmp_path: Path) -> None:
@@ -123,20 +126,20 @@
 
     async def test() -> None:
         async with Peer(handle) as peer, Peer(accept) as other:
-            rows = row("m1", peer), row("o1", other, "other")
-            async with gateway(tmp_path, *rows) as (running, port):
+            rows = inventory_row("m1", peer), inventory_row("o1", other, "other")
+            async with running_gateway(tmp_path, *rows) as (running, port):
                 assert await submit(port, "p1") == 202
                 await peer.next()
-                save(tmp_path, rows[1])
+                save_inventory(tmp_path, rows[1])
                 await wait_for_endpoints(running, 1)
-                save(tmp_path, *rows)
+                save_inventory(tmp_path, *rows)
                 await wait_for_endpoints(running, 2)
                 assert await submit(port, "p2") == 202
                 await peer.next()
                 assert times[1] - times[0] >= 1.2
                 assert await final_state(port, "p2") in ("delivered", "refused")
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_drain_that_arrives_before_a_retry_prevents_it(tmp_path: Path) -> None:
@@ -146,29 +149,31 @@
         gateways: list[StandaloneGateway] = []
 
         async def handle(exchange: Exchange) -> None:
-            save(tmp_path, row("m1", peer, phase="draining"), row("o1", other, "other"))
+            save_inventory(
+                tmp_path, inventory_row("m1", peer, phase="draining"), inventory_row("o1", other, "other")
+            )
             await gateways[0].membership.reload()
             await exchange.answer(503)
 
         async with Peer(handle) as peer, Peer(accept) as other:
-            rows = row("m1", peer), row("o1", other, "other")
-            async with gateway(tmp_path, *rows) as (running, port):
+            rows = inventory_row("m1", peer), inventory_row("o1", other, "other")
+            async with running_gateway(tmp_path, *rows) as (running, port):
                 gateways.append(running)
                 assert await submit(port, "p1", X_Timeout_Ms="2000") == 202
                 assert await final_state(port, "p1") == "refused"
                 assert peer.exchanges.qsize() == 1  # no other call arrived
 
-    run(test)
+    run_async_test(test)
 
 
 def test_traffic_of_a_drained_endpoint_goes_to_the_partners_other_endpoint(tmp_path: Path) -> None:
     async def test() -> None:
         async with Peer(accept) as east, Peer(accept) as west:
-            rows = row("m1", east), row("m2", west, wing="west-wing")
-            async with gateway(tmp_path, *rows) as (running, port):
+            rows = inventory_row("m1", east), inventory_row("m2", west, wing="west-wing")
+            async with running_gateway(tmp_path, *rows) as (running, port):
                 assert await submit(port, "p1") == 202
                 await east.next()  # the wing without a fee is preferred
-                save(tmp_path, row("m1", east, phase="draining"), rows[1])
+                save_inventory(tmp_path, inventory_row("m1", east, phase="draining"), rows[1])
                 while not running.membership.inventory.endpoints[
                     b"m1@east-wing/" + partner_number(running)
                 ].draining:
@@ -178,7 +183,7 @@
                     assert (await west.next()).headers["x-request-id"] == f"q{n}"
                 assert east.exchanges.empty()
 
-    run(test)
+    run_async_test(test)
 
 
 def partner_number(running: StandaloneGateway) -> bytes:
@@ -189,10 +194,13 @@
     """A payout that may have been executed in the east wing is not sent to its address in the west wing."""
 
     async def test() -> None:
-        async with Peer(never_respond) as peer, gateway(tmp_path, row("m1", peer)) as (running, port):
+        async with (
+            Peer(never_respond) as peer,
+            running_gateway(tmp_path, inventory_row("m1", peer)) as (running, port),
+        ):
             assert await submit(port, "p1", X_Timeout_Ms="3000") == 202
             await peer.next()
-            save(tmp_path, row("m1", peer, wing="west-wing"))
+            save_inventory(tmp_path, inventory_row("m1", peer, wing="west-wing"))
             while running.membership.inventory.endpoints.keys() != {
                 b"m1@west-wing/" + partner_number(running)
             }:
@@ -203,15 +211,15 @@
             assert await final_state(port, "p1") == "failed"
             assert peer.exchanges.empty()
 
-    run(test)
+    run_async_test(test)
 
 
 def test_an_added_endpoint_starts_cold_with_little_traffic(tmp_path: Path) -> None:
     async def test() -> None:
         async with Peer(accept) as old, Peer(accept) as new:
-            rows = row("m1", old, "other"), row("n1", new)
-            async with gateway(tmp_path, rows[0]) as (running, port):
-                save(tmp_path, *rows)
+            rows = inventory_row("m1", old, "other"), inventory_row("n1", new)
+            async with running_gateway(tmp_path, rows[0]) as (running, port):
+                save_inventory(tmp_path, *rows)
                 await wait_for_endpoints(running, 2)
                 for n in range(30):
                     assert await submit(port, f"o{n}", "other") == 202
@@ -224,14 +232,17 @@
                 assert pools["momo"].routes[0].state == "returning"
                 assert new.exchanges.qsize() < 15
 
-    run(test)
+    run_async_test(test)
 
 
 def test_an_invalid_inventory_edit_is_reported_and_the_inventory_in_force_stays(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Peer(accept) as peer, gateway(tmp_path, row("m1", peer)) as (running, port):
+        async with (
+            Peer(accept) as peer,
+            running_gateway(tmp_path, inventory_row("m1", peer)) as (running, port),
+        ):
             digest = running.membership.inventory.digest
-            save(tmp_path, row("m1", peer, wing="north"))
+            save_inventory(tmp_path, inventory_row("m1", peer, wing="north"))
             answer = await running.commands.reload()
             assert answer.digest == digest and not answer.changed
             assert answer.problems == [
@@ -239,11 +250,11 @@
             ]
             assert await submit(port, "p1") == 202
             assert await final_state(port, "p1") == "delivered"
-            save(tmp_path, row("m2", peer))
+            save_inventory(tmp_path, inventory_row("m2", peer))
             answer = await running.commands.reload()
             assert answer.changed and not answer.problems
 
-    run(test)
+    run_async_test(test)
 
 
 def test_after_an_invalid_edit_and_a_kill_the_restart_uses_the_last_good_inventory(tmp_path: Path) -> None:
@@ -251,15 +262,15 @@
         async with (
             Peer(accept) as peer,
             Peer(accept) as later,
-            gateway_process(tmp_path, row("m1", peer)) as running,
+            gateway_process(tmp_path, inventory_row("m1", peer)) as running,
         ):
-            save(tmp_path, row("m1", later))
+            save_inventory(tmp_path, inventory_row("m1", later))
             while "1 changes, 1 endpoints" not in running.log():
                 await asyncio.sleep(0.02)
             digest = running.log().split("inventory set ")[-1].split()[0]
             while not (tmp_path / "state" / "inventory.jsonl").read_bytes().count(digest.encode()):
                 await asyncio.sleep(0.02)
-            save(tmp_path, row("m1", later), row("m1", peer, wing="west-wing"))
+            save_inventory(tmp_path, inventory_row("m1", later), inventory_row("m1", peer, wing="west-wing"))
             while "conflicts with east-wing" not in running.log():
                 await asyncio.sleep(0.02)
             await running.kill()
@@ -269,14 +280,17 @@
             await later.next()
             assert peer.exchanges.empty()
 
-    run(test)
+    run_async_test(test)
 
 
 def test_after_a_kill_during_a_call_the_message_is_repeated_with_its_key(tmp_path: Path) -> None:
     """The journal and the outcome log survive kills, and no outcome is logged twice."""
 
     async def test() -> None:
-        async with Peer(never_respond) as peer, gateway_process(tmp_path, row("m1", peer)) as running:
+        async with (
+            Peer(never_respond) as peer,
+            gateway_process(tmp_path, inventory_row("m1", peer)) as running,
+        ):
             assert await submit(running.port, "p1") == 202
             await peer.next()
             await running.kill()
@@ -290,12 +304,12 @@
             assert await message_state(running.port, "p1") is not None
             assert [e["id"] for e in logged_outcomes(tmp_path)] == ["p1"]
 
-    run(test)
+    run_async_test(test)
 
 
 def test_sighup_reloads_the_inventory_and_sigterm_stops_the_gateway(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Peer(accept) as peer, gateway_process(tmp_path, row("m1", peer)) as running:
+        async with Peer(accept) as peer, gateway_process(tmp_path, inventory_row("m1", peer)) as running:
             (tmp_path / "inventory" / "b.csv").write_text("id\n")  # not replaced atomically, and invalid
             running.process.send_signal(signal.SIGHUP)
             while "b.csv:1" not in running.log() and "b.csv" not in running.log():
@@ -303,16 +317,16 @@
             assert await running.kill(signal.SIGTERM) == 0
             assert not (tmp_path / "state" / "control.sock").exists()
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_second_gateway_on_a_state_folder_does_not_start(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Peer(accept) as peer, gateway(tmp_path, row("m1", peer)):
+        async with Peer(accept) as peer, running_gateway(tmp_path, inventory_row("m1", peer)):
             with pytest.raises(StartError, match="in use by another gateway"):
                 StandaloneGateway(load(tmp_path / "gateway.toml"))
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_gateway_without_an_inventory_does_not_start(tmp_path: Path) -> None:
@@ -324,16 +338,16 @@
         with pytest.raises(RefusedError, match="lists no endpoint"):
             StandaloneGateway(load(path))
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_descriptor_limit_above_that_of_the_process_is_rejected(tmp_path: Path) -> None:
     async def test() -> None:
         async with Peer(accept) as peer:
-            save(tmp_path, row("m1", peer))
+            save_inventory(tmp_path, inventory_row("m1", peer))
             path, _ = await write_configuration(tmp_path)
             path.write_text(path.read_text() + "sockets = 1000000\n")
             with pytest.raises(StartError, match=r"limits\.sockets: 1000000, but this process may open"):
                 StandaloneGateway(load(path))
 
-    run(test)
+    run_async_test(test)
