--- a/benchmarks/as2.py
+++ b/benchmarks/as2.py
@@ -25,20 +25,20 @@
 from typing import Any
 
 from emberlatch.as2 import lab, mdn, mime
-from emberlatch.as2.build import parties
+from emberlatch.as2.build import build_parties
 from emberlatch.as2.certificates import Identity, Trust
-from emberlatch.as2.crypto_service import CryptoService, Inline
+from emberlatch.as2.crypto_service import CryptoService, InlineCryptoService
 from emberlatch.as2.crypto_worker import CryptoWorker
-from emberlatch.as2.message import Format, Policy, seal, unseal
-from emberlatch.as2.profile import Own
+from emberlatch.as2.message import AcceptancePolicy, Layers, seal, unseal
+from emberlatch.as2.profile import OwnParty
 from emberlatch.config.as2 import As2, As2Partner
 
 SIZES = (256, 4 * 1024, 64 * 1024)
 FORMATS = {
-    "signed": Format("sha256", ""),
-    "signed, AES-256-CBC": Format("sha256", "aes256_cbc"),
-    "signed, AES-256-GCM": Format("sha256", "aes256_gcm"),
-    "compressed, signed, AES-256-CBC": Format("sha256", "aes256_cbc", True),
+    "signed": Layers("sha256", ""),
+    "signed, AES-256-CBC": Layers("sha256", "aes256_cbc"),
+    "signed, AES-256-GCM": Layers("sha256", "aes256_gcm"),
+    "compressed, signed, AES-256-CBC": Layers("sha256", "aes256_cbc", True),
 }
 
 
@@ -101,20 +101,22 @@
         content = _content(size)
         for name, layers in FORMATS.items():
             sealed = seal(content, layers, us, bank_trust, now)
-            outer, policy = mime.of(sealed.headers, sealed.body), Policy(signed=True)
+            outer, policy = mime.make_entity(sealed.headers, sealed.body), AcceptancePolicy(signed=True)
             receipt_content = mdn.build(
                 mdn.Mdn("a@b", mdn.PROCESSED, sealed.mic, sealed.digest, "bank", "taken")
             )
 
-            def seal_message(content: bytes = content, layers: Format = layers) -> None:
+            def seal_message(content: bytes = content, layers: Layers = layers) -> None:
                 seal(content, layers, us, bank_trust, now)
 
-            def unseal_message(outer: mime.Entity = outer, policy: Policy = policy) -> None:
+            def unseal_message(outer: mime.Entity = outer, policy: AcceptancePolicy = policy) -> None:
                 unseal(outer, bank, us_trust, policy, now)
 
-            def exchange_receipt(receipt_content: bytes = receipt_content, policy: Policy = policy) -> None:
-                answer = seal(receipt_content, Format("sha256", ""), bank, us_trust, now)
-                opened = unseal(mime.of(answer.headers, answer.body), us, bank_trust, policy, now)
+            def exchange_receipt(
+                receipt_content: bytes = receipt_content, policy: AcceptancePolicy = policy
+            ) -> None:
+                answer = seal(receipt_content, Layers("sha256", ""), bank, us_trust, now)
+                opened = unseal(mime.make_entity(answer.headers, answer.body), us, bank_trust, policy, now)
                 mdn.parse(opened.content)
 
             figures = [
@@ -155,17 +157,17 @@
         (folder / f"{name}.pem").write_bytes(both)
     profile = As2Partner(name="bank", certificates=["us.crt"], compress=True)  # who reads what it writes
     config = As2(name="us", certificates=["us.pem"], partners={"bank": profile})
-    profiles = parties(config, lambda name: folder / name)
+    profiles = build_parties(config, lambda name: folder / name)
     worker, content, now = CryptoWorker(config, folder, asyncio.create_task), _content(64 * 1024), time.time()
-    layers = profiles.partners["bank"].format
+    layers = profiles.partners["bank"].layers
     sealed = await worker.seal(content, layers, "bank", now)
-    outer = mime.of(sealed.headers, sealed.body)
+    outer = mime.make_entity(sealed.headers, sealed.body)
     print("stalls of the loop at 64 KiB, ms:")
-    for name, crypto in (("in the loop", Inline(profiles)), ("in the worker", worker)):
+    for name, crypto in (("in the loop", InlineCryptoService(profiles)), ("in the worker", worker)):
 
         async def both_ways(crypto: CryptoService = crypto) -> None:
             await crypto.seal(content, layers, "bank", now)
-            await crypto.unseal(outer, "bank", Policy(), now)
+            await crypto.unseal(outer, "bank", AcceptancePolicy(), now)
 
         delays = await _tick_delays(options.seconds, both_ways)
         worst, p99, median = (delays[at] * 1e3 for at in (0, len(delays) // 100, len(delays) // 2))
@@ -208,7 +210,7 @@
     asyncio.run(_measure_beside(options))
 
 
-_IDENTITIES: dict[str, Own] = {}
+_IDENTITIES: dict[str, OwnParty] = {}
 
 
 def _play_seeds(seeds: range) -> tuple[int, Counter[str], list[str]]:
@@ -217,7 +219,7 @@
     if not _IDENTITIES:
         for name in ("us", "bank", "fund", "stranger"):
             at = "http://127.0.0.1:4080/as2" if name == "us" else ""
-            _IDENTITIES[name] = Own("National Office" if name == "us" else name, _party(name)[0], at)
+            _IDENTITIES[name] = OwnParty("National Office" if name == "us" else name, _party(name)[0], at)
     outcome_counts: Counter[str] = Counter()
     breach_lines = []
     for seed in seeds:
@@ -249,14 +251,14 @@
 
 
 def _fuzz(seed: int, count: int) -> tuple[Counter[str], float, bytes]:
-    from tests.as2.hostile import drawn, parsers, take
+    from tests.as2.hostile import mutated_messages, open_input, run_cms_parsers
 
     verdicts: Counter[str] = Counter()
     slowest, worst = 0.0, b""
-    for raw in itertools.islice(drawn(seed), count):
+    for raw in itertools.islice(mutated_messages(seed), count):
         started_at = time.perf_counter()
-        verdicts[take(raw)] += 1
-        parsers(raw)
+        verdicts[open_input(raw)] += 1
+        run_cms_parsers(raw)
         if (took_s := time.perf_counter() - started_at) > slowest:
             slowest, worst = took_s, raw
     return verdicts, slowest, worst
--- a/benchmarks/as2gateway.py
+++ b/benchmarks/as2gateway.py
@@ -14,8 +14,8 @@
 
 from emberlatch.as2 import lab, mdn, mime, names
 from emberlatch.as2.certificates import Identity, Trust, read_certificates, read_identity
-from emberlatch.as2.message import Format, seal
-from emberlatch.as2.profile import Own, Partner
+from emberlatch.as2.message import Layers, seal
+from emberlatch.as2.profile import OwnParty, Partner
 from emberlatch.standins.as2_partner import As2Partner
 from emberlatch.standins.as2_script import DuplicateFilter, Script
 from emberlatch.standins.endpoint_model import Behaviour, CallOutcome, EndpointModel, Message
@@ -79,7 +79,7 @@
     identity = read_identity([folder / "bank.pem"])
     gateway_trust = Trust(tuple(read_certificates(folder / "us.crt")))
     partner = As2Partner(
-        Own("bank", identity),
+        OwnParty("bank", identity),
         Partner("us", "us", gateway_trust),
         DuplicateFilter(),
         Script,
@@ -178,7 +178,7 @@
 ) -> int:
     """One order after another; each goes out again over AS2."""
     content = mime.compose((("Content-Type", "application/octet-stream"),), b"order" * 200)
-    sealed = seal(content, Format("sha256", "aes256_cbc"), identity, gateway_trust, time.time())
+    sealed = seal(content, Layers("sha256", "aes256_cbc"), identity, gateway_trust, time.time())
     count = 0
     while time.perf_counter() < ends_at:
         headers = [
@@ -186,7 +186,7 @@
             ("AS2-To", names.quoted("us")),
             ("Message-ID", f"<{worker}.{count}@bank>"),
             ("Disposition-Notification-To", "bank"),
-            ("Disposition-Notification-Options", mdn.ASKED.format("sha-256")),
+            ("Disposition-Notification-Options", mdn.SIGNED_RECEIPT_OPTIONS.format("sha-256")),
             *sealed.headers,
         ]
         status = (await post("127.0.0.1", port, headers, sealed.body)).status
--- a/emberlatch/as2/build.py
+++ b/emberlatch/as2/build.py
@@ -18,8 +18,8 @@
     read_identity,
 )
 from emberlatch.as2.cms import normalized_digest
-from emberlatch.as2.message import Format, Policy
-from emberlatch.as2.profile import OrderDefaults, Own, Parties, Partner, Url
+from emberlatch.as2.message import AcceptancePolicy, Layers
+from emberlatch.as2.profile import OrderDefaults, OwnParty, Parties, Partner, Url
 from emberlatch.as2.settings import As2Settings
 from emberlatch.config.as2 import As2, As2Partner
 from emberlatch.net.http_connection import parse_address
@@ -33,7 +33,7 @@
         self.setting, self.reason = setting, reason
 
 
-def parties(config: As2, path: Callable[[str], Path]) -> Parties:
+def build_parties(config: As2, path: Callable[[str], Path]) -> Parties:
     """Build our own identity and all partners; raises ProfileError.
 
     `path` resolves a file name of the configuration.
@@ -42,7 +42,7 @@
         identity = read_identity([path(name) for name in config.certificates])
     except CertificateError as error:
         raise ProfileError("as2.certificates", error) from error
-    own = Own(config.name, identity, config.receipts_at or "")
+    own = OwnParty(config.name, identity, config.receipts_at or "")
     partners = {}
     for name, profile in config.partners.items():
         try:
@@ -81,10 +81,10 @@
         ),
         profile.path,
         tls,
-        Format(sign, encrypt, profile.compress),
+        Layers(sign, encrypt, profile.compress),
         profile.receipts == "signed",
         profile.late_receipts,
-        Policy(profile.require_signed, profile.require_encrypted, profile.sha1, profile.triple_des),
+        AcceptancePolicy(profile.require_signed, profile.require_encrypted, profile.sha1, profile.triple_des),
         _url(profile.receipts_to, tls) if profile.receipts_to is not None else None,
         order_defaults,
     )
@@ -115,10 +115,10 @@
     return Url((parts.hostname, parts.port), parts.path, tls if parts.scheme == "https" else None)
 
 
-def expiry(parties_: Parties, now: float) -> list[str]:
+def describe_expiring_certificates(parties: Parties, now: float) -> list[str]:
     """Describe the certificates that need renewal, one line each."""
-    identity: Identity = parties_.own.identity
+    identity: Identity = parties.own.identity
     lines = [f"our certificate {line}" for line in expiry_warnings([c for c, _ in identity.key_pairs], now)]
-    for partner in parties_.partners.values():
+    for partner in parties.partners.values():
         lines += [f"{partner.inventory_name}: {line}" for line in expiry_warnings(partner.trust.pinned, now)]
     return lines
--- a/emberlatch/as2/carrier.py
+++ b/emberlatch/as2/carrier.py
@@ -14,16 +14,16 @@
 
 from emberlatch.as2 import evaluation, mdn, mime, names
 from emberlatch.as2.certificates import CertificateError
+from emberlatch.as2.context import As2Context
 from emberlatch.as2.errors import As2Error
 from emberlatch.as2.evaluation import Expected, ProcessingStatus, Verdict
 from emberlatch.as2.evidence import Evidence
 from emberlatch.as2.ledger import Record
 from emberlatch.as2.mdn import Mdn
-from emberlatch.as2.message import MICALG_NAMES, Policy, Sealed
+from emberlatch.as2.message import MICALG_NAMES, AcceptancePolicy, Sealed
 from emberlatch.as2.mime import Entity
 from emberlatch.as2.ports import PartnerDirectory
-from emberlatch.as2.profile import Own, Partner
-from emberlatch.as2.station import Station
+from emberlatch.as2.profile import OwnParty, Partner
 from emberlatch.core.interface import Outcome, Result, Settings, Target
 from emberlatch.engine import Address, CallItem
 from emberlatch.gateway_core import GatewayCore
@@ -39,7 +39,7 @@
 """Limit of the cache of sealed messages, from which repeated attempts are sent."""
 MAX_ANSWER_BYTES = 128 * 1024  # limit of an HTTP answer, which may contain a receipt
 MAX_CAUSE_CHARACTERS = 120  # limit of an error's cause in the text of a dispute
-RECEIPT_POLICY = Policy(signed=False)
+RECEIPT_POLICY = AcceptancePolicy(signed=False)
 """The policy for opening receipts; `evaluation` decides whether a signature is required."""
 RESULT_OF_STATUS = {
     ProcessingStatus.PROCESSED: Result.OK,
@@ -96,7 +96,7 @@
         settings: Settings,
         max_connections: int,
         core: GatewayCore,
-        station: Station,
+        station: As2Context,
         directory: PartnerDirectory,
         evidence: Evidence,
     ) -> None:
@@ -150,7 +150,7 @@
             self._sealed.move_to_end(key)
             return cached
         sealed = await self._crypto.seal(
-            compose_content(item), partner.format, partner.inventory_name, self._now()
+            compose_content(item), partner.layers, partner.inventory_name, self._now()
         )
         if (other := self._sealed.setdefault(key, sealed)) is not sealed:
             return other  # A hedged request has sealed the message meanwhile: both send the same bytes.
@@ -188,7 +188,7 @@
             self._record(exchange.record, verdict)
         elif response.body.strip():
             verdict = await self._synchronous_receipt(exchange, response)
-        elif exchange.partner.late_receipts:
+        elif exchange.partner.asynchronous_receipts:
             # The receipt completes the call, see `_complete`.
             await call.wait_for(exchange.receipt_arrived, lambda: True)
             return
@@ -202,7 +202,7 @@
         call.complete_all(RESULT_OF_STATUS[verdict.status], processed, retry_after)
 
     async def _synchronous_receipt(self, exchange: _Exchange, response: Response) -> Verdict:
-        outer = mime.of(tuple(response.headers.items()), bytes(response.body))
+        outer = mime.make_entity(tuple(response.headers.items()), bytes(response.body))
         raw = _raw_receipt(outer)
         try:
             receipt, signed = await self._read(exchange.partner, outer)
@@ -268,7 +268,7 @@
 
 
 def request_headers(
-    own: Own, partner: Partner, address: Address, message_id: str, sealed: Sealed
+    own: OwnParty, partner: Partner, address: Address, message_id: str, sealed: Sealed
 ) -> list[tuple[str, str]]:
     """Return the HTTP headers of a message, including those that request its receipt."""
     headers = [
@@ -278,14 +278,19 @@
         ("AS2-To", names.quoted(partner.as2_name)),
         ("Message-ID", f"<{message_id}>"),
         ("Subject", "message"),
-        ("Disposition-Notification-To", own.receipts or own.host),
+        ("Disposition-Notification-To", own.receipt_url or own.host),
         ("EDIINT-Features", "AS2-Reliability"),
         *sealed.headers,
     ]
     if partner.signed_receipts:
-        headers.append(("Disposition-Notification-Options", mdn.ASKED.format(MICALG_NAMES[sealed.digest])))
-    if partner.late_receipts:
-        headers.append(("Receipt-Delivery-Option", own.receipts))
+        headers.append(
+            (
+                "Disposition-Notification-Options",
+                mdn.SIGNED_RECEIPT_OPTIONS.format(MICALG_NAMES[sealed.digest]),
+            )
+        )
+    if partner.asynchronous_receipts:
+        headers.append(("Receipt-Delivery-Option", own.receipt_url))
     return headers
 
 
@@ -318,5 +323,5 @@
 
 def _read_unverified(outer: Entity) -> Mdn:
     """Parse a receipt whose signature is invalid; raises As2Error if it can't be read."""
-    inner = mime.entity(mime.parts(outer)[0]) if outer.type == "multipart/signed" else outer
+    inner = mime.parse_entity(mime.parts(outer)[0]) if outer.type == "multipart/signed" else outer
     return mdn.parse(inner)
--- a/emberlatch/as2/certificates.py
+++ b/emberlatch/as2/certificates.py
@@ -44,7 +44,7 @@
     return certificate.fingerprint(hashes.SHA256()).hex()[:16]
 
 
-def described(certificate: x509.Certificate) -> str:
+def describe(certificate: x509.Certificate) -> str:
     """Describe a certificate in one line for operators."""
     until = certificate.not_valid_after_utc.strftime("%Y-%m-%d")
     return f"{certificate.subject.rfc4514_string()} ({fingerprint(certificate)}, until {until})"
@@ -56,12 +56,12 @@
     found = []
     for certificate in certificates:
         if expires_at(certificate) < now:
-            found.append(f"{described(certificate)} is over")
+            found.append(f"{describe(certificate)} is over")
         elif not is_valid(certificate, now):
-            found.append(f"{described(certificate)} does not hold yet")
+            found.append(f"{describe(certificate)} does not hold yet")
         elif expires_at(certificate) - now < EXPIRY_WARNING_S and last_expiry <= expires_at(certificate):
             days = int((expires_at(certificate) - now) / 86400)
-            found.append(f"{described(certificate)} ends in {days} days, and none follows")
+            found.append(f"{describe(certificate)} ends in {days} days, and none follows")
     return found
 
 
--- a/emberlatch/as2/station.py
+++ b/emberlatch/as2/context.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Station:
+class As2Context:
     """The shared context of all AS2 exchanges of a process, in both directions."""
 
     parties: Parties
--- a/emberlatch/as2/crypto_frames.py
+++ b/emberlatch/as2/crypto_frames.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import BinaryIO
 
-from emberlatch.as2.message import Format, Opened, Policy, Sealed
+from emberlatch.as2.message import AcceptancePolicy, Layers, Opened, Sealed
 from emberlatch.as2.mime import Entity
 from emberlatch.config.as2 import As2
 
@@ -35,7 +35,7 @@
     """The arguments of `CryptoService.seal`."""
 
     content: bytes
-    layers: Format
+    layers: Layers
     partner: str
     now: float
 
@@ -46,7 +46,7 @@
 
     outer: Entity
     partner: str
-    policy: Policy
+    policy: AcceptancePolicy
     now: float
 
 
--- a/emberlatch/as2/crypto_process.py
+++ b/emberlatch/as2/crypto_process.py
@@ -5,7 +5,7 @@
 import os
 import sys
 
-from emberlatch.as2.build import parties as read_parties
+from emberlatch.as2.build import build_parties
 from emberlatch.as2.crypto_frames import (
     READY,
     Request,
@@ -16,7 +16,7 @@
     frame,
     read_frames,
 )
-from emberlatch.as2.crypto_service import Inline
+from emberlatch.as2.crypto_service import InlineCryptoService
 from emberlatch.as2.message import Opened, Sealed
 
 NICE_INCREMENT = 5  # gives the gateway's event loop priority if both processes share a core
@@ -28,14 +28,14 @@
     frames = read_frames(sys.stdin.buffer)
     settings = next(frames)
     assert isinstance(settings, WorkerSettings)
-    service = Inline(read_parties(settings.config, lambda name: settings.folder / name))
+    service = InlineCryptoService(build_parties(settings.config, lambda name: settings.folder / name))
     _write(READY)
     for request in frames:
         assert isinstance(request, Request)
         _write(frame(Response(request.number, _result(service, request.work))))
 
 
-def _result(service: Inline, work: SealRequest | UnsealRequest) -> Sealed | Opened | Exception:
+def _result(service: InlineCryptoService, work: SealRequest | UnsealRequest) -> Sealed | Opened | Exception:
     try:
         match work:
             case SealRequest(content, layers, partner, now):
--- a/emberlatch/as2/crypto_service.py
+++ b/emberlatch/as2/crypto_service.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from emberlatch.as2.certificates import Trust
-from emberlatch.as2.message import Format, Opened, Policy, Sealed, seal, unseal
+from emberlatch.as2.message import AcceptancePolicy, Layers, Opened, Sealed, seal, unseal
 from emberlatch.as2.mime import Entity
 from emberlatch.as2.profile import Parties
 
@@ -22,38 +22,38 @@
 class CryptoService(Protocol):
     """Seals and opens messages. `partner` is a partner's inventory name, or empty for no recipient."""
 
-    async def seal(self, content: bytes, layers: Format, partner: str, now: float) -> Sealed:
+    async def seal(self, content: bytes, layers: Layers, partner: str, now: float) -> Sealed:
         """Seal as `message.seal` does; also raises CryptoServiceError."""
 
-    async def unseal(self, outer: Entity, partner: str, policy: Policy, now: float) -> Opened:
+    async def unseal(self, outer: Entity, partner: str, policy: AcceptancePolicy, now: float) -> Opened:
         """Open as `message.unseal` does; also raises CryptoServiceError."""
 
     def close(self) -> None:
         """Accept no more requests."""
 
 
-class Inline:
+class InlineCryptoService:
     """Seals and opens messages in the calling process, without suspending the coroutine."""
 
     def __init__(self, parties: Parties) -> None:
         self._parties = parties
 
-    async def seal(self, content: bytes, layers: Format, partner: str, now: float) -> Sealed:
+    async def seal(self, content: bytes, layers: Layers, partner: str, now: float) -> Sealed:
         """See `message.seal`."""
         return self.seal_now(content, layers, partner, now)
 
-    async def unseal(self, outer: Entity, partner: str, policy: Policy, now: float) -> Opened:
+    async def unseal(self, outer: Entity, partner: str, policy: AcceptancePolicy, now: float) -> Opened:
         """See `message.unseal`."""
         return self.unseal_now(outer, partner, policy, now)
 
     def close(self) -> None:
         """Do nothing: there is nothing to release."""
 
-    def seal_now(self, content: bytes, layers: Format, partner: str, now: float) -> Sealed:
+    def seal_now(self, content: bytes, layers: Layers, partner: str, now: float) -> Sealed:
         """Seal as `seal` does, without a coroutine."""
         trust = self._parties.partners[partner].trust if partner else NO_RECIPIENT
         return seal(content, layers, self._parties.own.identity, trust, now)
 
-    def unseal_now(self, outer: Entity, partner: str, policy: Policy, now: float) -> Opened:
+    def unseal_now(self, outer: Entity, partner: str, policy: AcceptancePolicy, now: float) -> Opened:
         """Open as `unseal` does, without a coroutine."""
         return unseal(outer, self._parties.own.identity, self._parties.partners[partner].trust, policy, now)
--- a/emberlatch/as2/crypto_worker.py
+++ b/emberlatch/as2/crypto_worker.py
@@ -25,7 +25,7 @@
     frame,
 )
 from emberlatch.as2.crypto_service import CryptoServiceError
-from emberlatch.as2.message import Format, Opened, Policy, Sealed
+from emberlatch.as2.message import AcceptancePolicy, Layers, Opened, Sealed
 from emberlatch.as2.mime import Entity
 from emberlatch.config.as2 import As2
 
@@ -52,13 +52,13 @@
         self._ready, self._closed = asyncio.Event(), False
         spawn(self._run())
 
-    async def seal(self, content: bytes, layers: Format, partner: str, now: float) -> Sealed:
+    async def seal(self, content: bytes, layers: Layers, partner: str, now: float) -> Sealed:
         """See `CryptoService.seal`."""
         result = await self._call(SealRequest(content, layers, partner, now))
         assert isinstance(result, Sealed)
         return result
 
-    async def unseal(self, outer: Entity, partner: str, policy: Policy, now: float) -> Opened:
+    async def unseal(self, outer: Entity, partner: str, policy: AcceptancePolicy, now: float) -> Opened:
         """See `CryptoService.unseal`."""
         result = await self._call(UnsealRequest(outer, partner, policy, now))
         assert isinstance(result, Opened)
--- a/emberlatch/as2/evaluation.py
+++ b/emberlatch/as2/evaluation.py
@@ -74,12 +74,12 @@
     if mdn.message_id != expected.message_id:
         return Verdict(ProcessingStatus.UNKNOWN, f"receipt for another message: {mdn.message_id[:80]}")
     if expected.signed and not signed:
-        return Verdict(ProcessingStatus.UNKNOWN, f"receipt without a signature: {mdn.disposition.plain}")
+        return Verdict(ProcessingStatus.UNKNOWN, f"receipt without a signature: {mdn.disposition.short_form}")
     if _is_rejection(mdn.disposition):
         return Verdict(ProcessingStatus.REJECTED)
     if mdn.disposition.type != "processed" or mdn.disposition.modifier not in ("", "warning"):
         # The ledger stores this text: it must not change.
-        return Verdict(ProcessingStatus.UNKNOWN, f"told {mdn.disposition.plain}")
+        return Verdict(ProcessingStatus.UNKNOWN, f"told {mdn.disposition.short_form}")
     if not mdn.digest:
         return Verdict(ProcessingStatus.UNKNOWN, "receipt without a MIC")
     if mdn.digest != expected.digest:
--- a/emberlatch/as2/explain.py
+++ b/emberlatch/as2/explain.py
@@ -1,6 +1,6 @@
 """Explains a captured message to operators, layer by layer: types, algorithms, signers and disposition.
 
-`outline` needs no keys; `opened` removes the layers with keys, as the gateway does.
+`describe_visible_layers` needs no keys; `describe_opened` removes the layers with keys, as the gateway does.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 from emberlatch.as2 import cms, compression, mdn, mime
 from emberlatch.as2.certificates import Identity, Trust
 from emberlatch.as2.errors import As2Error
-from emberlatch.as2.message import PKCS7_TYPES, Opened, Policy, unseal
+from emberlatch.as2.message import PKCS7_TYPES, AcceptancePolicy, Opened, unseal
 from emberlatch.as2.mime import Entity
 
 MAX_LAYERS = 8
 MAX_DECOMPRESSED_BYTES = 1 << 20
 
 
-def outline(outer: Entity) -> Iterator[str]:
+def describe_visible_layers(outer: Entity) -> Iterator[str]:
     """Describe the layers that are visible without keys, a line at a time."""
     for _ in range(MAX_LAYERS):
         yield f"{outer.type}, {len(outer.body)} bytes"
         if outer.type == "multipart/signed":
             found = mime.parts(outer)
             if len(found) > 1:
-                yield from _signature(mime.entity(found[1]).content())
-            outer = mime.entity(found[0])
+                yield from _signature(mime.parse_entity(found[1]).content())
+            outer = mime.parse_entity(found[0])
         elif outer.type in PKCS7_TYPES:
             der = outer.content()
             kind = cms.content_type(der)
             yield from _describe_pkcs7(kind, der)
             if kind != "compressed_data":
                 return
-            outer = mime.entity(compression.decompress(der, MAX_DECOMPRESSED_BYTES))
+            outer = mime.parse_entity(compression.decompress(der, MAX_DECOMPRESSED_BYTES))
         else:
             return
     yield "and more layers than are looked at"
@@ -72,10 +72,10 @@
     return f"{issuer}, serial {serial}"
 
 
-def opened(outer: Entity, identity: Identity, trust: Trust, now: float, sha1: bool) -> Iterator[str]:
+def describe_opened(outer: Entity, identity: Identity, trust: Trust, now: float, sha1: bool) -> Iterator[str]:
     """Open a message with our keys and a partner's certificates, and describe the content or the failure."""
     try:
-        found: Opened = unseal(outer, identity, trust, Policy(False, False, sha1, True), now)
+        found: Opened = unseal(outer, identity, trust, AcceptancePolicy(False, False, sha1, True), now)
     except As2Error as error:
         yield f"does not hold: {error.cause}"
         return
@@ -97,5 +97,5 @@
         yield f"a receipt that cannot be read: {error.cause}"
         return
     yield f"receipt for: <{receipt.message_id}>"
-    yield f"disposition: {receipt.disposition.plain}"
+    yield f"disposition: {receipt.disposition.short_form}"
     yield f"MIC received: {receipt.mic.hex() or 'none'}, {receipt.digest or 'no digest'}"
--- a/emberlatch/as2/front.py
+++ b/emberlatch/as2/front.py
@@ -17,6 +17,7 @@
 from dataclasses import dataclass
 
 from emberlatch.as2 import mdn, mime, names, orders
+from emberlatch.as2.context import As2Context
 from emberlatch.as2.crypto_service import CryptoServiceError
 from emberlatch.as2.errors import As2Error, Modifier
 from emberlatch.as2.mdn import Mdn
@@ -28,7 +29,6 @@
 from emberlatch.as2.ports import PartnerDirectory, ReceiptHandler
 from emberlatch.as2.profile import Partner
 from emberlatch.as2.receipt_sender import ReceiptSender
-from emberlatch.as2.station import Station
 from emberlatch.engine import Address, BadMessageError, Machine, Submission, Tasks
 from emberlatch.gateway_core import GatewayCore
 from emberlatch.net.message_api import parse_destination, parse_number
@@ -79,7 +79,7 @@
         self,
         listener: HttpListener,
         core: GatewayCore,
-        station: Station,
+        station: As2Context,
         directory: PartnerDirectory,
         order_log: OrderLog,
         receipt_handler: ReceiptHandler,
@@ -139,7 +139,7 @@
                 log.warning("message from %r to %r rejected: unknown AS2 name", sender[:60], own[:60])
                 reply.send(403)
                 return
-            outer = mime.of(tuple(headers.items()), bytes(received.body))
+            outer = mime.make_entity(tuple(headers.items()), bytes(received.body))
             async with self._unseals:
                 await self._handle(partner, outer, reply)
         except As2Error as error:
@@ -270,9 +270,9 @@
             return ReceiptRequest()
         signed, digest = mdn.receipt_options(outer.get("disposition-notification-options"))
         url = outer.get("receipt-delivery-option").strip()
-        if url and (partner.receipts is None or url != str(partner.receipts)):
+        if url and (partner.receipt_url is None or url != str(partner.receipt_url)):
             raise As2Error(
-                Modifier.UNEXPECTED, f"receipt requested at {url[:80]!r}, expected {partner.receipts}"
+                Modifier.UNEXPECTED, f"receipt requested at {url[:80]!r}, expected {partner.receipt_url}"
             )
         return ReceiptRequest(True, digest if signed else "", bool(url))
 
@@ -338,7 +338,7 @@
             return
         disposition = mdn.error_disposition(error.modifier)
         own_name = self._parties.own.name
-        receipt = Mdn(message_id, disposition, recipient=own_name, text=disposition.plain)
+        receipt = Mdn(message_id, disposition, recipient=own_name, text=disposition.short_form)
         sealed = await self._receipts.seal(receipt, receipt_request.digest, self._now())
         headers = self._receipts.headers(partner.inventory_name, message_id, sealed)
         reply.send(200, body=sealed.body, headers=headers)
@@ -357,4 +357,4 @@
     if outer.type != "multipart/signed":
         return False
     found = mime.parts(outer)
-    return bool(found) and mdn.is_receipt(mime.entity(found[0]))
+    return bool(found) and mdn.is_receipt(mime.parse_entity(found[0]))
--- a/emberlatch/as2/lab.py
+++ b/emberlatch/as2/lab.py
@@ -56,7 +56,7 @@
     """
     own = parties.own
     content = mime.compose((("Content-Type", "application/octet-stream"),), body)
-    sealed = seal(content, partner.format, own.identity, partner.trust, now)
+    sealed = seal(content, partner.layers, own.identity, partner.trust, now)
     message_id = f"{secrets.token_hex(12)}.trial@{own.host}"
     headers = request_headers(own, partner, address, message_id, sealed)
     connection = await connect(address, ANSWER_TIMEOUT_S, MAX_ANSWER_BYTES, partner.tls)
@@ -68,8 +68,12 @@
     if not 200 <= response.status < 300:
         return f"answered {response.status}: {evaluation.evaluate_status(response.status)}"
     if not response.body.strip():
-        return "a receipt will come later" if partner.late_receipts else "unknown: no receipt in the answer"
-    outer = mime.of(tuple(response.headers.items()), bytes(response.body))
+        return (
+            "a receipt will come later"
+            if partner.asynchronous_receipts
+            else "unknown: no receipt in the answer"
+        )
+    outer = mime.make_entity(tuple(response.headers.items()), bytes(response.body))
     try:
         opened = unseal(outer, own.identity, partner.trust, RECEIPT_POLICY, now)
         receipt = mdn.parse(opened.content)
@@ -79,4 +83,4 @@
     verdict = evaluation.evaluate_receipt(expected, receipt, bool(opened.signer))
     dispute = f": {verdict.dispute}" if verdict.dispute else ""
     answered = names.message_id(receipt.message_id)
-    return f"{verdict.status}{dispute} (disposition {receipt.disposition.plain}, {answered})"
+    return f"{verdict.status}{dispute} (disposition {receipt.disposition.short_form}, {answered})"
--- a/emberlatch/as2/mdn.py
+++ b/emberlatch/as2/mdn.py
@@ -16,7 +16,9 @@
 
 REPORT = "multipart/report"
 NOTIFICATION = "message/disposition-notification"
-ASKED = "signed-receipt-protocol=optional, pkcs7-signature; signed-receipt-micalg=optional, {}"
+SIGNED_RECEIPT_OPTIONS = (
+    "signed-receipt-protocol=optional, pkcs7-signature; signed-receipt-micalg=optional, {}"
+)
 """The Disposition-Notification-Options that request a signed receipt."""
 MAX_TEXT_CHARACTERS = 1024  # limit of the human-readable part of a receipt
 
@@ -42,7 +44,7 @@
         return f"automatic-action/MDN-sent-automatically; {self.type}{more}"
 
     @property
-    def plain(self) -> str:
+    def short_form(self) -> str:
         """The short form for operators and the ledger: `processed`, `failed/failure: unsupported format`."""
         return self.type + (f"/{self.modifier}: {self.text}" if self.modifier else "")
 
@@ -104,11 +106,11 @@
     """Parse a receipt without layers; raises MimeError."""
     if not is_receipt(content):
         raise MimeError(f"no receipt but {content.type[:60]!r}")
-    found = [mime.entity(part) for part in mime.parts(content)]
+    found = [mime.parse_entity(part) for part in mime.parts(content)]
     notification = next((part for part in found if part.type == NOTIFICATION), None)
     if notification is None:
         raise MimeError("a report without a disposition notification")
-    fields = mime.entity(notification.content().rstrip() + b"\r\n\r\n")
+    fields = mime.parse_entity(notification.content().rstrip() + b"\r\n\r\n")
     match = _DISPOSITION.fullmatch(re.sub(r"\s+", " ", fields.get("disposition").strip()))
     if match is None:
         raise MimeError(f"no disposition: {fields.get('disposition')[:60]!r}")
--- a/emberlatch/as2/message.py
+++ b/emberlatch/as2/message.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from emberlatch.as2 import cms, compression, mime
-from emberlatch.as2.certificates import Identity, Trust, described
+from emberlatch.as2.certificates import Identity, Trust, describe
 from emberlatch.as2.errors import As2Error, MimeError, Modifier
 from emberlatch.as2.mime import Entity
 
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Format:
+class Layers:
     """The layers of messages to a partner; an empty `sign` or `encrypt` means that there is no such layer."""
 
     sign: str = "sha256"  # digest
@@ -35,7 +35,7 @@
     compress: bool = False
 
 
-NO_LAYERS = Format("", "", False)
+NO_LAYERS = Layers("", "", False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Policy:
+class AcceptancePolicy:
     """What is accepted from a partner: the layers required, and the weak algorithms allowed."""
 
     signed: bool = True
@@ -74,7 +74,7 @@
         return cms.digest(name, self.mic_input), name
 
 
-def seal(content: bytes, layers: Format, identity: Identity, trust: Trust, now: float) -> Sealed:
+def seal(content: bytes, layers: Layers, identity: Identity, trust: Trust, now: float) -> Sealed:
     """Apply the layers to an entity in canonical form; raises CertificateError or As2Error.
 
     `now` is Unix time in seconds.
@@ -82,7 +82,7 @@
     inner, name = content, layers.sign or "sha256"
     if layers.compress:
         inner = _pkcs7("compressed-data", "smime.p7z", compression.compress(inner))
-    mic_input = content if layers.compress or layers.encrypt else mime.entity(content).body
+    mic_input = content if layers.compress or layers.encrypt else mime.parse_entity(content).body
     if layers.sign:
         mic_input, certificate_and_key = inner, identity.signing(now)
         signature = cms.sign(inner, *certificate_and_key, layers.sign, now)
@@ -91,7 +91,7 @@
         encrypted = cms.encrypt(inner, trust.recipient(now), layers.encrypt)
         kind = "authEnveloped-data" if layers.encrypt.endswith("gcm") else "enveloped-data"
         inner = _pkcs7(kind, "smime.p7m", encrypted)
-    entity = mime.entity(inner)
+    entity = mime.parse_entity(inner)
     return Sealed(entity.headers, entity.body, cms.digest(name, mic_input), name)
 
 
@@ -124,7 +124,7 @@
 class _Opening:
     """Removes the layers of one message and records them."""
 
-    def __init__(self, identity: Identity, trust: Trust, policy: Policy, now: float) -> None:
+    def __init__(self, identity: Identity, trust: Trust, policy: AcceptancePolicy, now: float) -> None:
         self.identity, self.trust, self.policy, self.now = identity, trust, policy, now
         self.layers: list[str] = []
         self.signed: cms.Signed | None = None
@@ -158,26 +158,26 @@
         if kind == "signed_data":
             self._add_signature(cms.verify(der, None, self.trust, self.now, self.policy.sha1))
             assert self.signed is not None
-            return mime.entity(self.signed.content)
+            return mime.parse_entity(self.signed.content)
         if kind in ("enveloped_data", "authenticated_enveloped_data"):
             content, cipher = cms.decrypt(der, self.identity, self.policy.triple_des)
             self.layers.append(f"encrypted {cipher}")
-            return mime.entity(content)
+            return mime.parse_entity(content)
         if kind == "compressed_data":
             content = compression.decompress(der, MAX_CONTENT_BYTES)
             self.layers.append("compressed")
-            return mime.entity(content)
+            return mime.parse_entity(content)
         raise As2Error(Modifier.UNSUPPORTED, f"CMS object of kind {kind}")
 
     def _open_detached(self, outer: Entity) -> Entity:
         found = mime.parts(outer)
         if len(found) != 2:
             raise MimeError(f"multipart/signed with {len(found)} parts")
-        signature = mime.entity(found[1])
+        signature = mime.parse_entity(found[1])
         if signature.type not in SIGNATURE_TYPES:
             raise As2Error(Modifier.UNSUPPORTED, f"signature of type {signature.type[:40]!r}")
         self._add_signature(self._verify_detached(signature.content(), found[0]))
-        return mime.entity(found[0])
+        return mime.parse_entity(found[0])
 
     def _verify_detached(self, der: bytes, content: bytes) -> cms.Signed:
         try:
@@ -195,7 +195,7 @@
         self.layers.append(f"signed {signed.digest}")
 
 
-def unseal(outer: Entity, identity: Identity, trust: Trust, policy: Policy, now: float) -> Opened:
+def unseal(outer: Entity, identity: Identity, trust: Trust, policy: AcceptancePolicy, now: float) -> Opened:
     """Remove all layers; raises As2Error, also if a layer that the policy requires is missing."""
     opening = _Opening(identity, trust, policy, now)
     try:
@@ -212,6 +212,6 @@
         current,
         mic_input,
         signed.digest if signed is not None else "",
-        described(signed.signer) if signed is not None else "",
+        describe(signed.signer) if signed is not None else "",
         tuple(opening.layers),
     )
--- a/emberlatch/as2/mime.py
+++ b/emberlatch/as2/mime.py
@@ -81,7 +81,7 @@
     return found if isinstance(found, str) else str(found[2]) if found else ""
 
 
-def entity(raw: bytes) -> Entity:
+def parse_entity(raw: bytes) -> Entity:
     """Parse an entity; raises MimeError."""
     if raw.startswith((b"\r\n", b"\n")):  # no headers
         return Entity((), raw[2 if raw.startswith(b"\r") else 1 :], raw)
@@ -91,7 +91,7 @@
     return Entity(tuple(_headers(raw[: blank.start()])), raw[blank.end() :], raw)
 
 
-def of(headers: Headers, body: bytes) -> Entity:
+def make_entity(headers: Headers, body: bytes) -> Entity:
     """Create an entity from headers and a body that were received apart, as with HTTP."""
     return Entity(tuple(headers), body, b"")
 
--- a/emberlatch/as2/orders.py
+++ b/emberlatch/as2/orders.py
@@ -62,7 +62,7 @@
         disposition = Disposition(self.disposition_type, self.modifier, self.text)
         is_positive = disposition == mdn.PROCESSED
         mic = bytes.fromhex(self.mic) if is_positive else b""
-        text = RECEIPT_TEXT if is_positive else disposition.plain
+        text = RECEIPT_TEXT if is_positive else disposition.short_form
         return Mdn(self.message_id, disposition, mic, self.digest if mic else "", recipient, text)
 
 
--- a/emberlatch/as2/profile.py
+++ b/emberlatch/as2/profile.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from emberlatch.as2.certificates import Identity, Trust
-from emberlatch.as2.message import Format, Policy
+from emberlatch.as2.message import AcceptancePolicy, Layers
 from emberlatch.engine import Address
 
 
@@ -26,12 +26,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Own:
-    """Our own identity. `receipts` is the URL at which we request asynchronous receipts."""
+class OwnParty:
+    """Our own identity. `receipt_url` is the URL at which we request asynchronous receipts."""
 
     name: str  # our AS2 name
     identity: Identity
-    receipts: str = ""
+    receipt_url: str = ""
 
     @property
     def host(self) -> str:
@@ -58,18 +58,20 @@
     trust: Trust
     path: str = "/as2"
     tls: ssl.SSLContext | None = None
-    format: Format = field(default_factory=Format)
+    layers: Layers = field(default_factory=Layers)
     signed_receipts: bool = True
-    late_receipts: bool = False  # whether receipts are asynchronous, instead of in the HTTP answer
-    policy: Policy = field(default_factory=Policy)  # requirements on messages from the partner
-    receipts: Url | None = None  # URL at which the partner accepts asynchronous receipts
+    asynchronous_receipts: bool = False  # whether receipts are asynchronous, instead of in the HTTP answer
+    policy: AcceptancePolicy = field(
+        default_factory=AcceptancePolicy
+    )  # requirements on messages from the partner
+    receipt_url: Url | None = None  # URL at which the partner accepts asynchronous receipts
     order_defaults: OrderDefaults | None = None  # None if no orders are accepted from the partner
 
 
 class Parties:
     """Our own identity, and all partners by inventory name and by AS2 name."""
 
-    def __init__(self, own: Own, partners: Mapping[str, Partner]) -> None:
+    def __init__(self, own: OwnParty, partners: Mapping[str, Partner]) -> None:
         self.own, self.partners = own, dict(partners)
         self._by_as2_name = {partner.as2_name: partner for partner in partners.values()}
 
--- a/emberlatch/as2/receipt_sender.py
+++ b/emberlatch/as2/receipt_sender.py
@@ -8,11 +8,11 @@
 from emberlatch.as2 import mdn, names, orders
 from emberlatch.as2.carrier import request
 from emberlatch.as2.certificates import CertificateError
+from emberlatch.as2.context import As2Context
 from emberlatch.as2.mdn import Mdn
-from emberlatch.as2.message import Format, Sealed
+from emberlatch.as2.message import Layers, Sealed
 from emberlatch.as2.orders import Order
 from emberlatch.as2.profile import Url
-from emberlatch.as2.station import Station
 from emberlatch.net.http_connection import NoResponseError, Response, connect
 
 log = logging.getLogger(__name__)
@@ -25,13 +25,13 @@
 class ReceiptSender:
     """Seals receipts, and posts asynchronous ones until `retention_s` after their orders were received."""
 
-    def __init__(self, station: Station, retention_s: float) -> None:
+    def __init__(self, station: As2Context, retention_s: float) -> None:
         self._parties, self._crypto, self._now = station.parties, station.crypto, station.now
         self._retention_s = retention_s
 
     async def seal(self, receipt: Mdn, digest: str, at: float) -> Sealed:
         """Seal a receipt, signed unless `digest` is empty; `at` is the time of the signature."""
-        return await self._crypto.seal(mdn.build(receipt), Format(digest, "", False), "", at)
+        return await self._crypto.seal(mdn.build(receipt), Layers(digest, "", False), "", at)
 
     async def seal_for(self, order: Order, digest: str) -> Sealed:
         """Seal the receipt of an order; the time of its signature is when the order was received."""
@@ -52,7 +52,7 @@
     async def deliver(self, order: Order) -> None:
         """Post the asynchronous receipt of an order until it is delivered or its Message-ID expires."""
         partner, attempts = self._parties.partners.get(order.partner), 0
-        url = partner.receipts if partner is not None else None
+        url = partner.receipt_url if partner is not None else None
         while url is not None and self._now() - order.received_at < self._retention_s:
             try:
                 response = await self._post(url, order)
--- a/emberlatch/as2/side.py
+++ b/emberlatch/as2/side.py
@@ -6,15 +6,15 @@
 import logging
 from typing import TypedDict
 
-from emberlatch.as2.build import expiry
+from emberlatch.as2.build import describe_expiring_certificates
 from emberlatch.as2.carrier import As2Carrier
+from emberlatch.as2.context import As2Context
 from emberlatch.as2.evidence import Evidence
 from emberlatch.as2.final_state_observer import FinalStateObserver
 from emberlatch.as2.front import As2Front, HttpListener
 from emberlatch.as2.order_log import OrderLog
 from emberlatch.as2.ports import PartnerDirectory, StateFolders
 from emberlatch.as2.settings import As2Settings
-from emberlatch.as2.station import Station
 from emberlatch.core.interface import Settings
 from emberlatch.engine import CarrierRouter, CompletionNotifier
 from emberlatch.gateway_core import GatewayCore
@@ -45,7 +45,7 @@
         settings: As2Settings,
         call_settings: Settings,
         core: GatewayCore,
-        station: Station,
+        station: As2Context,
         directory: PartnerDirectory,
         folders: StateFolders,
         notifier: CompletionNotifier,
@@ -71,7 +71,7 @@
             OrderLog(self._orders, settings.retention_s),
             self._as2,
         )
-        self.end = FinalStateObserver(notifier, self._on_final_state)
+        self.completion_notifier = FinalStateObserver(notifier, self._on_final_state)
         core.tasks.spawn(self._maintain())
 
     def _on_final_state(self, ref: int, state: str) -> None:
@@ -83,7 +83,7 @@
         while True:
             if (now := self._now()) - checked_at > CERTIFICATE_CHECK_INTERVAL_S:
                 checked_at = now
-                for line in expiry(self._parties, now):
+                for line in describe_expiring_certificates(self._parties, now):
                     log.warning("certificates: %s", line)
             try:
                 self.evidence.expire(now)
@@ -98,7 +98,7 @@
             "messages": sum(1 for _ in self.evidence.records()),
             "disputes": len(self.evidence.disputes()),
             "receipts_owed": self.front.pending_receipts,
-            "renew": expiry(self._parties, self._now()),
+            "renew": describe_expiring_certificates(self._parties, self._now()),
         }
 
     def close(self) -> None:
--- a/emberlatch/cli/as2.py
+++ b/emberlatch/cli/as2.py
@@ -73,26 +73,26 @@
 @click.argument("name", required=False)
 def check_partner(config_path: Path, name: str | None) -> None:
     """Show the profiles in CONFIG, send a test message to a stand-in of each, say what should be renewed."""
-    from emberlatch.as2.build import expiry
-    from emberlatch.as2.certificates import described
+    from emberlatch.as2.build import describe_expiring_certificates
+    from emberlatch.as2.certificates import describe
     from emberlatch.cli.as2_exchange import exchange_with_stand_in
 
     _, parties = _parties(config_path)
     for certificate, _ in parties.own.identity.key_pairs:
-        click.echo(f"we are {parties.own.name!r}: {described(certificate)}")
+        click.echo(f"we are {parties.own.name!r}: {describe(certificate)}")
     for profile in _named_partners(parties, name):
         click.echo(_profile_line(profile))
         for certificate in profile.trust.pinned:
-            click.echo(f"  {described(certificate)}")
+            click.echo(f"  {describe(certificate)}")
         click.echo(f"  a stand-in of it: {asyncio.run(exchange_with_stand_in(parties, profile))}")
-    expiring = expiry(parties, time.time())
+    expiring = describe_expiring_certificates(parties, time.time())
     for line in expiring:
         click.echo(f"renew: {line}", err=True)
     raise SystemExit(1 if expiring else 0)
 
 
 def _profile_line(profile: Partner) -> str:
-    layers, receipts = profile.format, "later" if profile.late_receipts else "in the answer"
+    layers, receipts = profile.layers, "later" if profile.asynchronous_receipts else "in the answer"
     sign, encrypt = layers.sign or "not signed", layers.encrypt or "not encrypted"
     return f"{profile.inventory_name} is {profile.as2_name!r}: {sign}, {encrypt}, receipts {receipts}"
 
@@ -147,8 +147,8 @@
     if len(data) > MAX_CAPTURED_BYTES:
         fail([f"{file}: over {MAX_CAPTURED_BYTES} bytes"])
     try:
-        message = mime.entity(data)
-        for line in explain.outline(message):
+        message = mime.parse_entity(data)
+        for line in explain.describe_visible_layers(message):
             click.echo(line)
     except (As2Error, ValueError, TypeError, KeyError) as error:
         fail([f"{file}: cannot be read: {error}"])
@@ -158,7 +158,9 @@
     identity = parties.own.identity
     for profile in _named_partners(parties, name):
         click.echo(f"as {profile.inventory_name}'s:")
-        for line in explain.opened(message, identity, profile.trust, time.time(), profile.policy.sha1):
+        for line in explain.describe_opened(
+            message, identity, profile.trust, time.time(), profile.policy.sha1
+        ):
             click.echo(f"  {line}")
 
 
--- a/emberlatch/cli/as2_exchange.py
+++ b/emberlatch/cli/as2_exchange.py
@@ -8,7 +8,7 @@
 from emberlatch.as2.certificates import CertificateError, Identity, Trust
 from emberlatch.as2.errors import As2Error
 from emberlatch.as2.lab import new_certificate, send
-from emberlatch.as2.profile import Own, Parties, Partner
+from emberlatch.as2.profile import OwnParty, Parties, Partner
 from emberlatch.net.http_connection import NoResponseError
 from emberlatch.standins.as2_partner import As2Partner
 from emberlatch.standins.as2_script import DuplicateFilter, Script
@@ -32,12 +32,12 @@
     own_trust = Trust(tuple(own for own, _ in parties.own.identity.key_pairs))
     gateway = Partner("us", parties.own.name, own_trust)
     stand_in = As2Partner(
-        Own(partner.as2_name, identity), gateway, DuplicateFilter(), Script, identity, time.time
+        OwnParty(partner.as2_name, identity), gateway, DuplicateFilter(), Script, identity, time.time
     )
     await stand_in.start()
     try:
         host, _, port = stand_in.address.partition(":")
-        profile = replace(partner, trust=Trust((certificate,)), tls=None, late_receipts=False)
+        profile = replace(partner, trust=Trust((certificate,)), tls=None, asynchronous_receipts=False)
         return await exchange(parties, profile, (host, int(port)), TEST_MESSAGE)
     finally:
         await stand_in.stop()
--- a/emberlatch/cli/common.py
+++ b/emberlatch/cli/common.py
@@ -52,10 +52,10 @@
 
 def load_parties(path: Path, config: Gateway, as2_config: As2) -> Parties:
     """The AS2 profiles of a configuration; prints what is wrong and exits with 2 if one can't be used."""
-    from emberlatch.as2.build import ProfileError, parties
+    from emberlatch.as2.build import ProfileError, build_parties
 
     try:
-        return parties(as2_config, config.path)
+        return build_parties(as2_config, config.path)
     except ProfileError as error:
         fail([f"{path}: {error}"])
 
--- a/emberlatch/faults/as2/environment.py
+++ b/emberlatch/faults/as2/environment.py
@@ -7,7 +7,7 @@
 import random
 from collections.abc import Callable, Mapping
 
-from emberlatch.as2.profile import Own
+from emberlatch.as2.profile import OwnParty
 from emberlatch.as2.side import As2Side
 from emberlatch.faults.as2.gateway import SimulatedGateway
 from emberlatch.faults.as2.machine import SimulatedMachine
@@ -32,7 +32,7 @@
 class As2Environment:
     """One run. `identities` maps party names to keys; it is passed in because keys are slow to generate."""
 
-    def __init__(self, seed: int, loop: VirtualLoop, identities: Mapping[str, Own]) -> None:
+    def __init__(self, seed: int, loop: VirtualLoop, identities: Mapping[str, OwnParty]) -> None:
         self.seed, self.loop, self.identities = seed, loop, identities
         self.random = random.Random(seed)
         self.breaches: list[str] = []
@@ -136,7 +136,7 @@
             await self.wait_until_ready(RESTART_POLL_S)
 
 
-def run_as2_seed(seed: int, identities: Mapping[str, Own]) -> As2Environment:
+def run_as2_seed(seed: int, identities: Mapping[str, OwnParty]) -> As2Environment:
     """Run one seed in this thread; `breaches` of the returned environment has the rule violations."""
     loop = VirtualLoop()
     environment = As2Environment(seed, loop, identities)
--- a/emberlatch/faults/as2/gateway.py
+++ b/emberlatch/faults/as2/gateway.py
@@ -5,10 +5,10 @@
 import math
 from typing import Protocol
 
-from emberlatch.as2.crypto_service import Inline
+from emberlatch.as2.context import As2Context
+from emberlatch.as2.crypto_service import InlineCryptoService
 from emberlatch.as2.profile import Parties
 from emberlatch.as2.side import As2Side
-from emberlatch.as2.station import Station
 from emberlatch.core import interface as api
 from emberlatch.engine import Addresses, CallItem, CompletionNotice
 from emberlatch.faults.as2.machine import SimulatedMachine
@@ -118,13 +118,15 @@
                 AS2_SETTINGS,
                 SETTINGS,
                 core,
-                Station(self._parties, Inline(self._parties), machine),
+                As2Context(self._parties, InlineCryptoService(self._parties), machine),
                 self._partners,
                 self._machine.as2_folders,
                 CompletionReporter(core, self._network.loop, self._observer),
             )
             self._observe_leases(core, side)
-            core.connect(FixedMembership(core, self._partners), side.end, [side.front], side.carrier)
+            core.connect(
+                FixedMembership(core, self._partners), side.completion_notifier, [side.front], side.carrier
+            )
             await core.engine.start()
         except Exception as error:
             self._observer.breach(f"the gateway process did not start: {error!r}")
--- a/emberlatch/faults/as2/partners.py
+++ b/emberlatch/faults/as2/partners.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable, Mapping
 
-from emberlatch.as2.profile import Own, Partner
+from emberlatch.as2.profile import OwnParty, Partner
 from emberlatch.core import interface as api
 from emberlatch.faults.as2.settings import (
     BANK,
@@ -62,7 +62,7 @@
 
     async def start(
         self,
-        identities: Mapping[str, Own],
+        identities: Mapping[str, OwnParty],
         script_source: Callable[[int], Callable[[], Script]],
         unix_time: Callable[[], float],
     ) -> None:
--- a/emberlatch/faults/as2/settings.py
+++ b/emberlatch/faults/as2/settings.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 
 from emberlatch.as2.certificates import Trust
-from emberlatch.as2.message import Format
-from emberlatch.as2.profile import OrderDefaults, Own, Parties, Partner, Url
+from emberlatch.as2.message import Layers
+from emberlatch.as2.profile import OrderDefaults, OwnParty, Parties, Partner, Url
 from emberlatch.as2.settings import As2Settings
 from emberlatch.core import interface as api
 
@@ -53,12 +53,12 @@
 ZONES = (0, 1)
 
 
-def trust_in(party: Own) -> Trust:
+def trust_in(party: OwnParty) -> Trust:
     """Build the trust settings that accept a party's certificates."""
     return Trust(tuple(certificate for certificate, _ in party.identity.key_pairs))
 
 
-def configure(identities: Mapping[str, Own], signed_receipts: Mapping[str, bool]) -> Parties:
+def configure(identities: Mapping[str, OwnParty], signed_receipts: Mapping[str, bool]) -> Parties:
     """Configure the gateway and its partners; `signed_receipts` maps partners to whether they must sign."""
     partners = {}
     for name in PARTNERS:
@@ -67,10 +67,10 @@
             name,
             party.name,
             trust_in(party),
-            format=Format("sha256", "aes128_cbc" if is_late else "", is_late),
-            late_receipts=is_late,
+            layers=Layers("sha256", "aes128_cbc" if is_late else "", is_late),
+            asynchronous_receipts=is_late,
             signed_receipts=signed_receipts[name],
-            receipts=RECEIPT_URL,
+            receipt_url=RECEIPT_URL,
             order_defaults=OrderDefaults("payout", "", str(DESTINATIONS[name]), DEADLINE_S),
         )
     return Parties(identities[GATEWAY], partners)
--- a/emberlatch/faults/as2/traffic.py
+++ b/emberlatch/faults/as2/traffic.py
@@ -11,9 +11,9 @@
 
 from emberlatch.as2 import mdn, mime, names
 from emberlatch.as2.errors import As2Error
-from emberlatch.as2.message import Format, Policy, Sealed, seal, unseal
+from emberlatch.as2.message import AcceptancePolicy, Layers, Sealed, seal, unseal
 from emberlatch.as2.orders import submission_id
-from emberlatch.as2.profile import Own, Parties
+from emberlatch.as2.profile import OwnParty, Parties
 from emberlatch.core import interface as api
 from emberlatch.engine import Submission
 from emberlatch.faults.as2.gateway import SimulatedGateway
@@ -37,7 +37,7 @@
 ORDER_COUNT, REPETITIONS = (2, 5), (1, 5)
 BURST_SHARE = 0.3  # share of runs that have a burst
 BURST_AT_S, UNANSWERED_S, REPETITION_DELAY_S = (0.5, 6.0), (1.0, 4.0), (0.2, 2.0)
-ORDER_FORMAT = Format("sha256", "", False)
+ORDER_FORMAT = Layers("sha256", "", False)
 
 
 class TrafficEnvironment(Protocol):
@@ -47,7 +47,7 @@
     random: random.Random
     gateway: SimulatedGateway
     behaviour: PartnerBehaviour
-    identities: Mapping[str, Own]
+    identities: Mapping[str, OwnParty]
     parties: Parties
     messages: dict[str, SubmittedMessage]
 
@@ -148,7 +148,7 @@
             ("AS2-To", names.quoted(gateway.name)),
             ("Message-ID", f"<{message_id}>"),
             ("Disposition-Notification-To", "x"),
-            ("Disposition-Notification-Options", mdn.ASKED.format("sha-256")),
+            ("Disposition-Notification-Options", mdn.SIGNED_RECEIPT_OPTIONS.format("sha-256")),
             *sealed.headers,
         ]
         return sealed, headers
@@ -157,8 +157,12 @@
         """Check that the receipt in a response confirms the order; raise As2Error if it can't be read."""
         environment = self._environment
         sender, gateway = environment.identities[name], environment.identities[GATEWAY]
-        outer = mime.of(tuple(response.headers.items()), response.body)
-        opened = unseal(outer, sender.identity, trust_in(gateway), Policy(), environment.unix_time())
+        outer = mime.make_entity(tuple(response.headers.items()), response.body)
+        opened = unseal(
+            outer, sender.identity, trust_in(gateway), AcceptancePolicy(), environment.unix_time()
+        )
         receipt = mdn.parse(opened.content)
         if receipt.disposition != mdn.PROCESSED or receipt.mic != sealed.mic:
-            environment.breach(f"{message_id}: receipt has {receipt.disposition.plain}, or a wrong digest")
+            environment.breach(
+                f"{message_id}: receipt has {receipt.disposition.short_form}, or a wrong digest"
+            )
--- a/emberlatch/standalone/as2_parts.py
+++ b/emberlatch/standalone/as2_parts.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from emberlatch.as2.build import ProfileError, as2_settings, parties
+from emberlatch.as2.build import ProfileError, as2_settings, build_parties
+from emberlatch.as2.context import As2Context
 from emberlatch.as2.crypto_worker import CryptoWorker
 from emberlatch.as2.ports import StateFolders
 from emberlatch.as2.side import LEDGER, ORDERS, As2Side
-from emberlatch.as2.station import Station
 from emberlatch.config import Gateway
 from emberlatch.config.as2 import As2
 from emberlatch.core.interface import Settings, Target
@@ -71,13 +71,13 @@
         return Folder(state / name)
 
     try:
-        profiles = parties(config.as2, config.path)
+        profiles = build_parties(config.as2, config.path)
         worker = CryptoWorker(config.as2, config.path("."), core.tasks.spawn)
         side = As2Side(
             as2_settings(config.as2),
             settings,
             core,
-            Station(profiles, worker),
+            As2Context(profiles, worker),
             InventoryPartners(membership),
             StateFolders(open_folder(LEDGER), open_folder(ORDERS)),
             notifier,
--- a/emberlatch/standalone/gateway.py
+++ b/emberlatch/standalone/gateway.py
@@ -73,7 +73,7 @@
         if self.as2 is None:
             core.connect(self.membership, self.outcomes)
         else:
-            core.connect(self.membership, self.as2.end, [self.as2.front], self.as2.carrier)
+            core.connect(self.membership, self.as2.completion_notifier, [self.as2.front], self.as2.carrier)
         self.fleet = self._make_fleet(core)
         self.commands = GatewayCommands(
             self.engine, self.membership, self.outcomes, self.as2, self.fleet, self.stop_requested.set
--- a/emberlatch/standins/as2_partner.py
+++ b/emberlatch/standins/as2_partner.py
@@ -15,8 +15,8 @@
 from emberlatch.as2 import mime, names
 from emberlatch.as2.certificates import Identity
 from emberlatch.as2.errors import As2Error
-from emberlatch.as2.message import Opened, Policy, unseal
-from emberlatch.as2.profile import Own, Partner
+from emberlatch.as2.message import AcceptancePolicy, Opened, unseal
+from emberlatch.as2.profile import OwnParty, Partner
 from emberlatch.standins.as2_receipts import Receipt, ReceiptBuilder
 from emberlatch.standins.as2_script import (
     NOT_EXECUTED,
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        own: Own,
+        own: OwnParty,
         gateway: Partner,
         duplicates: DuplicateFilter,
         next_script: Callable[[], Script],
@@ -121,8 +121,8 @@
         original = names.message_id(headers["message-id"])
         opened = None
         if script.behaviour not in NOT_EXECUTED:
-            message = mime.of(tuple(headers.items()), body)
-            policy = Policy(signed=False, sha1=True)
+            message = mime.make_entity(tuple(headers.items()), body)
+            policy = AcceptancePolicy(signed=False, sha1=True)
             try:
                 opened = unseal(message, self.own.identity, self.gateway.trust, policy, self._wall())
             except As2Error:
--- a/emberlatch/standins/as2_receipts.py
+++ b/emberlatch/standins/as2_receipts.py
@@ -9,8 +9,8 @@
 from emberlatch.as2.certificates import Identity
 from emberlatch.as2.errors import Modifier
 from emberlatch.as2.mdn import Disposition, Mdn
-from emberlatch.as2.message import Format, Opened, seal
-from emberlatch.as2.profile import Own, Partner
+from emberlatch.as2.message import Layers, Opened, seal
+from emberlatch.as2.profile import OwnParty, Partner
 from emberlatch.standins.as2_script import WITHOUT_RECEIPT, ReceiptBehaviour, Script
 
 UNKNOWN_ORIGINAL_PREFIX = "other-"
@@ -28,7 +28,9 @@
 class ReceiptBuilder:
     """Builds the receipts of one partner."""
 
-    def __init__(self, own: Own, gateway: Partner, wrong_signer: Identity, wall: Callable[[], float]) -> None:
+    def __init__(
+        self, own: OwnParty, gateway: Partner, wrong_signer: Identity, wall: Callable[[], float]
+    ) -> None:
         """`wrong_signer` signs what should be the partner's; `wall` gives Unix time in seconds."""
         self._own, self._gateway = own, gateway
         self._wrong_signer, self._wall = wrong_signer, wall
@@ -47,7 +49,7 @@
         for notification in self._notifications(behaviour, original, opened, digest):
             if not notification.mic:
                 notification = replace(notification, digest="")
-            layers = Format(digest if signed else "", "", False)
+            layers = Layers(digest if signed else "", "", False)
             sealed = seal(mdn.build(notification), layers, signer, self._gateway.trust, self._wall())
             body = bytearray(sealed.body)
             if behaviour is ReceiptBehaviour.CORRUPT:
--- a/tests/as2/hostile.py
+++ b/tests/as2/hostile.py
@@ -9,7 +9,7 @@
 from emberlatch.as2 import cms, compression, mdn, mime
 from emberlatch.as2.errors import As2Error
 from emberlatch.as2.mdn import Mdn
-from emberlatch.as2.message import NO_LAYERS, Format, Policy, seal, unseal
+from emberlatch.as2.message import NO_LAYERS, AcceptancePolicy, Layers, seal, unseal
 from tests.as2.parties import NOW, identity, trust
 
 CONTENT = mime.compose((("Content-Type", "application/octet-stream"),), b"an order\r\n" * 8)
@@ -25,17 +25,17 @@
     for content in (CONTENT, RECEIPT):
         for wanted in (
             NO_LAYERS,
-            Format("sha256", ""),
-            Format("", "aes128_cbc"),
-            Format("sha256", "aes256_gcm", True),
-            Format("", "", True),
+            Layers("sha256", ""),
+            Layers("", "aes128_cbc"),
+            Layers("sha256", "aes256_gcm", True),
+            Layers("", "", True),
         ):
             sealed = seal(content, wanted, identity("ours"), trust("theirs"), NOW)
             made.append(mime.compose(sealed.headers, sealed.body))
     return made
 
 
-def drawn(seed: int) -> Iterator[bytes]:
+def mutated_messages(seed: int) -> Iterator[bytes]:
     """Yield mutated messages endlessly."""
     random_ = random.Random(seed)
     messages = valid_messages()
@@ -61,10 +61,12 @@
         yield bytes(raw)
 
 
-def take(raw: bytes) -> str:
+def open_input(raw: bytes) -> str:
     """Open an input; return `read` or the modifier of the As2Error. Any other error is raised."""
     try:
-        opened = unseal(mime.entity(raw), identity("theirs"), trust("ours"), Policy(signed=False), NOW)
+        opened = unseal(
+            mime.parse_entity(raw), identity("theirs"), trust("ours"), AcceptancePolicy(signed=False), NOW
+        )
         opened.mic("sha256")
         if mdn.is_receipt(opened.content):
             mdn.parse(opened.content)
@@ -74,7 +76,7 @@
     return "read"
 
 
-def parsers(raw: bytes) -> None:
+def run_cms_parsers(raw: bytes) -> None:
     """Pass an input to the parsers of CMS objects directly. Any error other than As2Error is raised."""
     for parse in (cms.content_type, lambda der: compression.decompress(der, 4096)):
         try:
--- a/tests/as2/test_crypto_worker.py
+++ b/tests/as2/test_crypto_worker.py
@@ -15,7 +15,7 @@
 from emberlatch.as2.crypto_service import CryptoServiceError
 from emberlatch.as2.crypto_worker import CryptoWorker
 from emberlatch.as2.errors import As2Error, Modifier
-from emberlatch.as2.message import Format, Policy
+from emberlatch.as2.message import AcceptancePolicy, Layers
 from emberlatch.config.as2 import As2, As2Partner
 from emberlatch.engine import Tasks
 from emberlatch.standins.as2_script import Script
@@ -59,21 +59,21 @@
 def test_worker_seals_opens_and_raises_the_errors_of_its_requests(tmp_path: Path) -> None:
     async def test() -> None:
         async with worker(tmp_path) as service:
-            sealed = await service.seal(CONTENT, Format(), "self", NOW)
-            outer = mime.of(sealed.headers, sealed.body)
-            opened = await service.unseal(outer, "self", Policy(), NOW)
+            sealed = await service.seal(CONTENT, Layers(), "self", NOW)
+            outer = mime.make_entity(sealed.headers, sealed.body)
+            opened = await service.unseal(outer, "self", AcceptancePolicy(), NOW)
             assert opened.content.raw == CONTENT and opened.mic() == (sealed.mic, "sha256")
             assert opened.signer.startswith("CN=us")
             modified = sealed.body[:-1] + bytes([sealed.body[-1] ^ 1])
             for bad, modifier in (
-                (mime.of(sealed.headers, modified), Modifier.AUTHENTICATION),
-                (mime.of((("Content-Type", "multipart/signed"),), b""), Modifier.UNEXPECTED),
+                (mime.make_entity(sealed.headers, modified), Modifier.AUTHENTICATION),
+                (mime.make_entity((("Content-Type", "multipart/signed"),), b""), Modifier.UNEXPECTED),
             ):
                 with pytest.raises(As2Error) as caught:
-                    await service.unseal(bad, "self", Policy(), NOW)
+                    await service.unseal(bad, "self", AcceptancePolicy(), NOW)
                 assert caught.value.modifier is modifier and caught.value.cause
             with pytest.raises(KeyError):
-                await service.seal(CONTENT, Format(), "nobody", NOW)
+                await service.seal(CONTENT, Layers(), "nobody", NOW)
 
     run_async_test(test)
 
@@ -83,12 +83,12 @@
         async with worker(tmp_path) as service:
             before = service.pid
             os.kill(before, signal.SIGSTOP)
-            work = asyncio.ensure_future(service.seal(CONTENT, Format(), "self", NOW))
+            work = asyncio.ensure_future(service.seal(CONTENT, Layers(), "self", NOW))
             await asyncio.sleep(0)
             os.kill(before, signal.SIGKILL)
             with pytest.raises(CryptoServiceError):
                 await work
-            sealed = await service.seal(CONTENT, Format(), "self", NOW)
+            sealed = await service.seal(CONTENT, Layers(), "self", NOW)
             assert sealed.body and service.pid != before
 
     run_async_test(test)
--- a/tests/as2/test_gateway.py
+++ b/tests/as2/test_gateway.py
@@ -18,7 +18,7 @@
 from cryptography.hazmat.primitives import hashes, serialization
 
 from emberlatch.as2 import mdn, mime
-from emberlatch.as2.message import NO_LAYERS, Format, seal
+from emberlatch.as2.message import NO_LAYERS, Layers, seal
 from emberlatch.config import load
 from emberlatch.standalone import StandaloneGateway, StartError
 from emberlatch.standalone.answers import StatusAnswer, decode
@@ -185,7 +185,7 @@
                 gateway.as2._as2.cancel(record.ref, 0)
                 await asyncio.sleep(0.01)
             answer = mdn.Mdn(received.original, mdn.PROCESSED, *received.opened.mic(), recipient="RIVER BANK")
-            sealed = seal(mdn.build(answer), Format("sha256", ""), identity("river"), trust("us"), NOW)
+            sealed = seal(mdn.build(answer), Layers("sha256", ""), identity("river"), trust("us"), NOW)
             head = [("AS2-From", '"RIVER BANK"'), ("AS2-To", '"National Office"'), ("Message-ID", "<r@x>")]
             assert (await post(as2, ([*head, *sealed.headers], sealed.body)))[0] == 200
             assert await final_state(port, "m1") == "delivered"
@@ -361,14 +361,14 @@
 
     async def test() -> None:
         async with running(tmp_path, **ORDERS) as (gateway, _, _, as2):
-            headers, body = order("o-1@river", wanted=Format("sha256", "aes128_cbc"))
+            headers, body = order("o-1@river", wanted=Layers("sha256", "aes128_cbc"))
             headers = [(k, v) for k, v in headers if not k.startswith("Content-T")]
             coded = base64.encodebytes(body)
             kind = 'application/pkcs7-mime;\r\n smime-type=enveloped-data;\r\n\tname="a b"'
             headers += [("Content-Type", kind), ("Content-Transfer-Encoding", "base64")]
             status, *_ = await post(as2, (headers, coded))
             assert status == 200
-            headers, body = order("o-2@river", wanted=Format("sha256", ""))
+            headers, body = order("o-2@river", wanted=Layers("sha256", ""))
             lines = "".join(f"{k}: {v}\r\n" for k, v in headers)
             reader, writer = await asyncio.open_connection("127.0.0.1", as2)
             writer.write(
--- a/tests/as2/test_hostile.py
+++ b/tests/as2/test_hostile.py
@@ -9,20 +9,20 @@
 
 from emberlatch.as2 import cms, mdn, mime, names
 from emberlatch.as2.errors import As2Error, MimeError
-from tests.as2.hostile import drawn, parsers, take
+from tests.as2.hostile import mutated_messages, open_input, run_cms_parsers
 from tests.as2.parties import NOW, certificate, key, trust
 
 
 def test_mutated_message_raises_no_other_error_than_as2_error() -> None:
-    said = {take(raw) for raw in itertools.islice(drawn(1), 1500)}
+    said = {open_input(raw) for raw in itertools.islice(mutated_messages(1), 1500)}
     assert {"read", "authentication-failed", "unexpected-processing-error"} <= said
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.binary(max_size=400))
 def test_random_bytes_raise_no_other_error_than_as2_error(raw: bytes) -> None:
-    take(raw)
-    parsers(raw)
+    open_input(raw)
+    run_cms_parsers(raw)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -36,7 +36,7 @@
     mdn.receipt_options(text)
     kind = (("Content-Type", text), ("Content-Transfer-Encoding", text))
     try:
-        entity = mime.of(kind, b"--x\r\n\r\n--x--")
+        entity = mime.make_entity(kind, b"--x\r\n\r\n--x--")
         entity.content()
         mime.parts(entity)
     except As2Error:
--- a/tests/as2/test_layers.py
+++ b/tests/as2/test_layers.py
@@ -16,18 +16,20 @@
 from emberlatch.as2 import cms, compression, mime
 from emberlatch.as2.certificates import CertificateError, Identity, Trust
 from emberlatch.as2.errors import As2Error, Modifier
-from emberlatch.as2.message import MAX_CONTENT_BYTES, Format, Opened, Policy, Sealed, seal, unseal
+from emberlatch.as2.message import MAX_CONTENT_BYTES, AcceptancePolicy, Layers, Opened, Sealed, seal, unseal
 from tests.as2.parties import NOW, certificate, identity, key, trust
 
 CONTENT = mime.compose(
     (("Content-Type", "application/edi-x12"), ("Content-Transfer-Encoding", "binary")),
     b"ISA*00*\r\nlines\nof every\rkind\r\n\x00\xff--el-\r\n",
 )
-ANY = Policy(signed=False)
+ANY = AcceptancePolicy(signed=False)
 
 
-def unsealed(sealed: Sealed, by: Identity, known: Trust, policy: Policy = ANY, now: float = NOW) -> Opened:
-    return unseal(mime.of(sealed.headers, sealed.body), by, known, policy, now)
+def unsealed(
+    sealed: Sealed, by: Identity, known: Trust, policy: AcceptancePolicy = ANY, now: float = NOW
+) -> Opened:
+    return unseal(mime.make_entity(sealed.headers, sealed.body), by, known, policy, now)
 
 
 @pytest.mark.parametrize(
@@ -43,18 +45,18 @@
 def test_every_combination_of_layers_is_opened_with_the_same_mic(
     sign: str, encrypt: str, compressed: bool, sender: str
 ) -> None:
-    sealed = seal(CONTENT, Format(sign, encrypt, compressed), identity(sender), trust("theirs"), NOW)
-    got = unsealed(sealed, identity("theirs"), trust(sender), Policy(bool(sign), bool(encrypt)))
-    assert got.content.body == mime.entity(CONTENT).body
+    sealed = seal(CONTENT, Layers(sign, encrypt, compressed), identity(sender), trust("theirs"), NOW)
+    got = unsealed(sealed, identity("theirs"), trust(sender), AcceptancePolicy(bool(sign), bool(encrypt)))
+    assert got.content.body == mime.parse_entity(CONTENT).body
     assert got.content.get("content-type") == "application/edi-x12"
     assert got.mic(sealed.digest) == (sealed.mic, sealed.digest)
     assert len(got.layers) == bool(sign) + bool(encrypt) + compressed
 
 
 def test_mic_excludes_headers_of_plain_message_and_includes_those_of_encrypted_one() -> None:
-    sealed = seal(CONTENT, Format("", "", False), identity("ours"), trust("theirs"), NOW)
-    assert sealed.mic == cms.digest("sha256", mime.entity(CONTENT).body)
-    sealed = seal(CONTENT, Format("", "aes128_cbc", False), identity("ours"), trust("theirs"), NOW)
+    sealed = seal(CONTENT, Layers("", "", False), identity("ours"), trust("theirs"), NOW)
+    assert sealed.mic == cms.digest("sha256", mime.parse_entity(CONTENT).body)
+    sealed = seal(CONTENT, Layers("", "aes128_cbc", False), identity("ours"), trust("theirs"), NOW)
     assert sealed.mic == cms.digest("sha256", CONTENT)
 
 
@@ -113,7 +115,7 @@
 @pytest.mark.parametrize("sign", ["sha256", ""])
 @pytest.mark.parametrize("cipher", sorted(cms.CIPHERS))
 def test_signature_and_decryption_failures_have_the_same_modifier(sign: str, cipher: str) -> None:
-    sealed = seal(CONTENT, Format(sign, cipher, False), identity("ours"), trust("theirs"), NOW)
+    sealed = seal(CONTENT, Layers(sign, cipher, False), identity("ours"), trust("theirs"), NOW)
     reported = set()
     for at in range(len(sealed.body) - 64, len(sealed.body), 7):
         spoilt = bytearray(sealed.body)
@@ -129,7 +131,7 @@
 
 
 def reported_modifier(
-    sealed: Sealed, by: Identity, known: Trust, policy: Policy = ANY, now: float = NOW
+    sealed: Sealed, by: Identity, known: Trust, policy: AcceptancePolicy = ANY, now: float = NOW
 ) -> Modifier:
     with pytest.raises(As2Error) as caught:
         unsealed(sealed, by, known, policy, now)
@@ -137,17 +139,19 @@
 
 
 def test_message_without_required_layer_is_rejected() -> None:
-    plain = seal(CONTENT, Format("", "", False), identity("ours"), trust("theirs"), NOW)
-    signed = seal(CONTENT, Format("sha256", "", False), identity("ours"), trust("theirs"), NOW)
-    assert reported_modifier(plain, identity("theirs"), trust("ours"), Policy()) is Modifier.SECURITY
-    wanted = Policy(signed=True, encrypted=True)
+    plain = seal(CONTENT, Layers("", "", False), identity("ours"), trust("theirs"), NOW)
+    signed = seal(CONTENT, Layers("sha256", "", False), identity("ours"), trust("theirs"), NOW)
+    assert (
+        reported_modifier(plain, identity("theirs"), trust("ours"), AcceptancePolicy()) is Modifier.SECURITY
+    )
+    wanted = AcceptancePolicy(signed=True, encrypted=True)
     assert reported_modifier(signed, identity("theirs"), trust("ours"), wanted) is Modifier.SECURITY
 
 
 def test_sha1_signature_is_accepted_only_if_allowed() -> None:
-    sealed = seal(CONTENT, Format("sha1", "", False), identity("ours"), trust("theirs"), NOW)
+    sealed = seal(CONTENT, Layers("sha1", "", False), identity("ours"), trust("theirs"), NOW)
     assert reported_modifier(sealed, identity("theirs"), trust("ours")) is Modifier.AUTHENTICATION
-    got = unsealed(sealed, identity("theirs"), trust("ours"), Policy(sha1=True))
+    got = unsealed(sealed, identity("theirs"), trust("ours"), AcceptancePolicy(sha1=True))
     assert got.mic() == (sealed.mic, "sha1")
 
 
@@ -168,7 +172,7 @@
             ),
         }
     ).dump()
-    bomb = mime.of((("Content-Type", "application/pkcs7-mime; smime-type=compressed-data"),), der)
+    bomb = mime.make_entity((("Content-Type", "application/pkcs7-mime; smime-type=compressed-data"),), der)
     with pytest.raises(As2Error) as caught:
         unseal(bomb, identity("theirs"), trust("ours"), ANY, NOW)
     assert caught.value.modifier is Modifier.DECOMPRESSION
@@ -182,24 +186,24 @@
             compression.compress(inner),
         )
     with pytest.raises(As2Error, match="layers"):
-        unseal(mime.entity(inner), identity("theirs"), trust("ours"), ANY, NOW)
+        unseal(mime.parse_entity(inner), identity("theirs"), trust("ours"), ANY, NOW)
 
 
 def test_expired_certificate_is_not_used_to_sign_verify_or_encrypt() -> None:
     expired = certificate("old", since=-30.0, until=-1.0)
     then = Identity(((expired, key("old")),))
-    sealed = seal(CONTENT, Format("sha256", "", False), then, trust("theirs"), NOW - 86400 * 5)
+    sealed = seal(CONTENT, Layers("sha256", "", False), then, trust("theirs"), NOW - 86400 * 5)
     assert reported_modifier(sealed, identity("theirs"), Trust((expired,))) is Modifier.AUTHENTICATION
     with pytest.raises(CertificateError):
-        seal(CONTENT, Format("", "aes128_cbc", False), identity("ours"), Trust((expired,)), NOW)
+        seal(CONTENT, Layers("", "aes128_cbc", False), identity("ours"), Trust((expired,)), NOW)
     with pytest.raises(CertificateError):
-        seal(CONTENT, Format("sha256", "", False), then, trust("theirs"), NOW)
+        seal(CONTENT, Layers("sha256", "", False), then, trust("theirs"), NOW)
 
 
 def test_rollover_accepts_both_certificates_and_encrypts_to_the_new_one() -> None:
     """The old certificate still decrypts and verifies; a new one is encrypted to once it is valid."""
     both = identity("theirs", "theirs-new")
-    sealed = seal(CONTENT, Format("sha256", "aes128_cbc", False), identity("ours"), trust("theirs"), NOW)
+    sealed = seal(CONTENT, Layers("sha256", "aes128_cbc", False), identity("ours"), trust("theirs"), NOW)
     assert unsealed(sealed, both, trust("ours-new", "ours")).layers
     old, new = certificate("theirs"), certificate("theirs-next", until=730.0)
     assert Trust((old, new)).recipient(NOW) is new
@@ -231,7 +235,7 @@
 
 
 def test_content_over_size_limit_is_rejected() -> None:
-    large = mime.of((("Content-Type", "text/plain"),), bytes(MAX_CONTENT_BYTES + 1))
+    large = mime.make_entity((("Content-Type", "text/plain"),), bytes(MAX_CONTENT_BYTES + 1))
     with pytest.raises(As2Error, match="over"):
         unseal(large, identity("theirs"), trust("ours"), ANY, NOW)
 
--- a/tests/as2/test_mdn.py
+++ b/tests/as2/test_mdn.py
@@ -40,7 +40,7 @@
 
 
 def test_receipt_like_the_example_of_rfc_4130_is_parsed() -> None:
-    read = mdn.parse(mime.entity(EXAMPLE))
+    read = mdn.parse(mime.parse_entity(EXAMPLE))
     assert read.message_id == '200207310834482A70BF63@\\"~~foo~~\\"'
     assert read.disposition == Disposition("processed")
     assert (read.mic, read.digest) == (base64.b64decode("7v7F++fQaNB1sVLFtMRp+dF+eG4="), "sha1")
@@ -56,7 +56,7 @@
     ],
 )
 def test_built_receipt_is_parsed_to_an_equal_receipt(receipt: Mdn) -> None:
-    assert mdn.parse(mime.entity(mdn.build(receipt))) == receipt
+    assert mdn.parse(mime.parse_entity(mdn.build(receipt))) == receipt
     assert mdn.build(receipt) == mdn.build(receipt)
 
 
@@ -64,7 +64,7 @@
     human = b"Content-Type: text/plain\r\n\r\nx"
     machine = b"Content-Type: message/disposition-notification\r\n\r\n" + fields.encode()
     kind = 'multipart/report; report-type=disposition-notification; boundary="b"'
-    return mime.of((("Content-Type", kind),), mime.join_parts([human, machine], "b"))
+    return mime.make_entity((("Content-Type", kind),), mime.join_parts([human, machine], "b"))
 
 
 @pytest.mark.parametrize(
@@ -113,16 +113,16 @@
         "multipart/report; report-type=delivery-status",
     ):
         with pytest.raises(MimeError):
-            mdn.parse(mime.of((("Content-Type", headers),), b"x"))
+            mdn.parse(mime.make_entity((("Content-Type", headers),), b"x"))
     report = 'multipart/report; report-type=disposition-notification; boundary="b"'
     with pytest.raises(MimeError, match="without"):
-        mdn.parse(mime.of((("Content-Type", report),), mime.join_parts([b"\r\nx"], "b")))
+        mdn.parse(mime.make_entity((("Content-Type", report),), mime.join_parts([b"\r\nx"], "b")))
 
 
 @pytest.mark.parametrize(
     ("options", "found"),
     [
-        (mdn.ASKED.format("sha-256"), (True, "sha256")),
+        (mdn.SIGNED_RECEIPT_OPTIONS.format("sha-256"), (True, "sha256")),
         ("signed-receipt-protocol=required,pkcs7-signature; signed-receipt-micalg=optional,md5,SHA512", None),
         ("", (False, "sha256")),
         ("signed-receipt-protocol; =; ;;;", (False, "sha256")),
@@ -134,4 +134,4 @@
 
 def test_human_readable_text_cannot_inject_headers() -> None:
     built = mdn.build(Mdn("a@b", mdn.PROCESSED, recipient="x", text="a\r\n\r\n--b\r\nX: y\x00ü"))
-    assert mdn.parse(mime.entity(built)).text == "a    --b  X: y"
+    assert mdn.parse(mime.parse_entity(built)).text == "a    --b  X: y"
--- a/tests/as2/test_mime.py
+++ b/tests/as2/test_mime.py
@@ -11,7 +11,7 @@
 
 
 def multipart(body: bytes, boundary: str = "b") -> mime.Entity:
-    return mime.of((("Content-Type", f'multipart/mixed; boundary="{boundary}"'),), body)
+    return mime.make_entity((("Content-Type", f'multipart/mixed; boundary="{boundary}"'),), body)
 
 
 def test_parts_are_returned_byte_for_byte() -> None:
@@ -49,18 +49,18 @@
 
 
 def test_folded_header_is_unfolded() -> None:
-    read = mime.entity(b"Content-Type: a/b;\r\n\tname=x;\r\n  boundary=c\r\nX : y \r\n\r\nbody")
+    read = mime.parse_entity(b"Content-Type: a/b;\r\n\tname=x;\r\n  boundary=c\r\nX : y \r\n\r\nbody")
     assert (read.type, read.param("boundary"), read.get("x"), read.body) == ("a/b", "c", "y", b"body")
 
 
 def test_transfer_encodings_are_decoded_to_the_same_content() -> None:
-    plain = mime.entity(b"Content-Transfer-Encoding: binary\r\n\r\n\x00\xff")
-    coded = mime.entity(b"Content-Transfer-Encoding: BASE64 \n\nAP\n8=\n")
-    quoted = mime.entity(b"Content-Transfer-Encoding: quoted-printable\n\n=00=FF")
+    plain = mime.parse_entity(b"Content-Transfer-Encoding: binary\r\n\r\n\x00\xff")
+    coded = mime.parse_entity(b"Content-Transfer-Encoding: BASE64 \n\nAP\n8=\n")
+    quoted = mime.parse_entity(b"Content-Transfer-Encoding: quoted-printable\n\n=00=FF")
     assert plain.content() == coded.content() == quoted.content() == b"\x00\xff"
     for spoilt in (b"base64\n\nA", b"base64\n\n%%%%", b"x-uuencode\n\nA"):
         with pytest.raises(MimeError):
-            mime.entity(b"Content-Transfer-Encoding: " + spoilt).content()
+            mime.parse_entity(b"Content-Transfer-Encoding: " + spoilt).content()
 
 
 @pytest.mark.parametrize(
@@ -76,7 +76,7 @@
 )
 def test_invalid_headers_are_rejected(raw: bytes) -> None:
     with pytest.raises(MimeError):
-        mime.entity(raw)
+        mime.parse_entity(raw)
 
 
 def test_overlong_parameter_is_rejected() -> None:
--- a/tests/as2/test_seeded_runs.py
+++ b/tests/as2/test_seeded_runs.py
@@ -13,7 +13,7 @@
 from emberlatch.as2.evaluation import ProcessingStatus, Verdict
 from emberlatch.as2.evidence import Evidence
 from emberlatch.as2.front import As2Front
-from emberlatch.as2.profile import Own
+from emberlatch.as2.profile import OwnParty
 from emberlatch.faults.as2 import As2Environment, run_as2_seed
 from tests.as2.parties import identity
 
@@ -21,9 +21,9 @@
 Plant = Callable[[], AbstractContextManager[Any]]
 
 
-def own_identities() -> dict[str, Own]:
-    named = {name: Own(name, identity(name)) for name in ("bank", "fund", "stranger")}
-    return named | {"us": Own("National Office", identity("us"), US)}
+def own_identities() -> dict[str, OwnParty]:
+    named = {name: OwnParty(name, identity(name)) for name in ("bank", "fund", "stranger")}
+    return named | {"us": OwnParty("National Office", identity("us"), US)}
 
 
 def run_seeds(first: int, count: int) -> Iterator[As2Environment]:
@@ -78,7 +78,7 @@
 
     async def prepare(self: Any, target: Any, call: Any) -> None:
         own = self._parties.own
-        other = Own(f"{own.name}{call.items[0].attempt}", own.identity, own.receipts)
+        other = OwnParty(f"{own.name}{call.items[0].attempt}", own.identity, own.receipt_url)
         with patch.object(self._parties, "own", other):
             await real(self, target, call)
 
--- a/tests/as2/world.py
+++ b/tests/as2/world.py
@@ -14,8 +14,8 @@
 
 from emberlatch.as2 import mdn, mime, names
 from emberlatch.as2.mdn import Mdn
-from emberlatch.as2.message import Format, Policy, seal, unseal
-from emberlatch.as2.profile import Own, Partner
+from emberlatch.as2.message import AcceptancePolicy, Layers, seal, unseal
+from emberlatch.as2.profile import OwnParty, Partner
 from emberlatch.config import load
 from emberlatch.standalone import StandaloneGateway
 from emberlatch.standins.as2_partner import As2Partner
@@ -68,7 +68,7 @@
 def partner(script: Callable[[], Script] = Script, duplicates: DuplicateFilter | None = None) -> As2Partner:
     """Create the stand-in for the partner `river`."""
     us = Partner("us", US, trust("us"))
-    own = Own(BANK, identity("river"))
+    own = OwnParty(BANK, identity("river"))
     return As2Partner(own, us, duplicates or DuplicateFilter(), script, identity("stranger"), time.time)
 
 
@@ -100,19 +100,19 @@
 def order(
     original: str = "o-1@river",
     content: bytes = CONTENT,
-    wanted: Format | None = None,
+    wanted: Layers | None = None,
     signer: str = "river",
     **headers: str,
 ) -> tuple[list[tuple[str, str]], bytes]:
     """Create an order of the bank: HTTP headers and a body."""
-    sealed = seal(content, wanted or Format(), identity(signer), trust("us"), NOW)
+    sealed = seal(content, wanted or Layers(), identity(signer), trust("us"), NOW)
     fields = {
         "AS2-Version": "1.2",
         "AS2-From": names.quoted(BANK),
         "AS2-To": names.quoted(US),
         "Message-ID": f"<{original}>",
         "Disposition-Notification-To": "river",
-        "Disposition-Notification-Options": mdn.ASKED.format("sha-256"),
+        "Disposition-Notification-Options": mdn.SIGNED_RECEIPT_OPTIONS.format("sha-256"),
     }
     fields |= {name.replace("_", "-"): value for name, value in headers.items()}
     return [*((k, v) for k, v in fields.items() if v), *sealed.headers], sealed.body
@@ -120,8 +120,8 @@
 
 def receipt(headers: dict[str, str], body: bytes, signed: bool = True) -> Mdn:
     """Open and parse a receipt that the gateway sent."""
-    outer = mime.of(tuple(headers.items()), body)
-    opened = unseal(outer, identity("river"), trust("us"), Policy(signed=signed), time.time())
+    outer = mime.make_entity(tuple(headers.items()), body)
+    opened = unseal(outer, identity("river"), trust("us"), AcceptancePolicy(signed=signed), time.time())
     return mdn.parse(opened.content)
 
 
