--- a/tests/storm/test_virtual_fleet.py
+++ b/tests/storm/test_virtual_fleet.py
@@ -17,7 +17,7 @@
     Peer,
 )
 from emberlatch.fleet.membership.identity import OwnIdentity
-from emberlatch.fleet.membership.partition import PartitionDetector
+from emberlatch.fleet.membership.isolation import IsolationDetector
 from emberlatch.fleet.membership.peers import PeerTable
 from emberlatch.fleet.membership.suspicion import Suspicion
 from emberlatch.fleet.membership.transitions import PeerTransitions
@@ -132,13 +132,13 @@
 
 def holds_itself_cut_off(patch: Callable[..., None]) -> None:
     """Answers to probes never end an isolation that a stall caused."""
-    review = PartitionDetector.review
+    review = IsolationDetector.review
 
-    def skip_after_stall(self: PartitionDetector, now: float) -> None:
+    def skip_after_stall(self: IsolationDetector, now: float) -> None:
         if self.reason is not IsolationReason.STALLED:
             review(self, now)
 
-    patch(PartitionDetector, "review", skip_after_stall)
+    patch(IsolationDetector, "review", skip_after_stall)
 
 
 def kills_at_the_first_silence(patch: Callable[..., None]) -> None:
