--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -51,7 +51,7 @@
 
     def start(self) -> None:
         listed = api.DirectoryUpdate(api.ListKind.CACHED, 1, tuple(self.entries.values()))
-        self.engine.listed(listed, dict.fromkeys(TARGETS, ("h", 1)))
+        self.engine.on_membership_update(listed, dict.fromkeys(TARGETS, ("h", 1)))
 
     def update(self, entries: Sequence[api.Entry], addresses: Addresses, is_complete: bool) -> None:
         """They are known."""
@@ -62,14 +62,14 @@
     def call(self, target: api.Target, items: list[CallItem]) -> None:
         for item in items:
             done = api.Outcome(item.ref, item.attempt, target, api.Result.OK, 0.001, closed=True)
-            asyncio.get_running_loop().call_soon(self.engine.outcome, done)
+            asyncio.get_running_loop().call_soon(self.engine.on_attempt_outcome, done)
 
     def add(self, ref: int, notice: CompletionNotice) -> None:
         self.completions[notice["ref"]].set_result(None)
-        asyncio.get_running_loop().call_soon(self.engine.confirmed, [ref])
+        asyncio.get_running_loop().call_soon(self.engine.on_notices_confirmed, [ref])
 
-    def watch(self, active: bool) -> None: ...
-    def look_up(self) -> None: ...
+    def set_watching(self, active: bool) -> None: ...
+    def request_list(self) -> None: ...
     def cancel(self, ref: int, attempt: int) -> None: ...
     def close_idle(self, target: api.Target) -> None: ...
 
@@ -77,21 +77,21 @@
 class _Responder:
     """The place of one answer."""
 
-    gone = False
+    client_disconnected = False
 
     def __init__(self) -> None:
         self.accepted_future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
 
-    def accepted(self) -> None:
+    def respond_accepted(self) -> None:
         self.accepted_future.set_result(True)
 
-    def rejected(self, retry_after: float) -> None:
+    def respond_rejected(self, retry_after: float) -> None:
         self.accepted_future.set_result(False)
 
-    def unavailable(self, retry_after: float | None = None) -> None:
+    def respond_unavailable(self, retry_after: float | None = None) -> None:
         self.accepted_future.set_result(False)
 
-    def failed(self) -> None:
+    def respond_failed(self) -> None:
         self.accepted_future.set_result(False)
 
 
@@ -116,7 +116,7 @@
     """One row."""
     surroundings = _Surroundings()
     classes = NO_DURABLE_CLASSES if mode == "process" else DurableClasses(frozenset({"order"}))
-    store = Journal(Folder(folder), 64 << 20, durable=classes.exist)
+    store = Journal(Folder(folder), 64 << 20, durable=classes.any)
     engine = surroundings.engine = Engine(SETTINGS, 1, store, Tasks(), REAL_MACHINE, classes)
     if mode == "each":
         engine.durability.sync = EachSync(store, REAL_MACHINE.offload, _ignore)
--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -109,9 +109,11 @@
     files.mkdir()
     write(files, count, "csv")
     started_at = time.perf_counter()
-    membership = InventoryMembership([files], folder, VOCABULARY, 0.1, 0.2, engine.listed, tasks)
-    targets = HttpCarrier(decision_settings, 100, engine.outcome, tasks)
-    outcomes = OutcomeLog(folder, 1 << 20, 100, engine.confirmed)
+    membership = InventoryMembership(
+        [files], folder, VOCABULARY, 0.1, 0.2, engine.on_membership_update, tasks
+    )
+    targets = HttpCarrier(decision_settings, 100, engine.on_attempt_outcome, tasks)
+    outcomes = OutcomeLog(folder, 1 << 20, 100, engine.on_notices_confirmed)
     engine.connect(EnginePorts([], targets, membership, outcomes))
     await engine.start()
     start_s = time.perf_counter() - started_at
--- a/benchmarks/isolation.py
+++ b/benchmarks/isolation.py
@@ -127,10 +127,10 @@
         }
         self._on_list(api.DirectoryUpdate(api.ListKind.CACHED, 1, entries), addresses_by_target)
 
-    def watch(self, active: bool) -> None:
+    def set_watching(self, active: bool) -> None:
         """Nothing changes."""
 
-    def look_up(self) -> None:
+    def request_list(self) -> None:
         """Nothing changes."""
 
 
@@ -151,14 +151,14 @@
         )
         tasks = Tasks()
         self._engine = Engine(settings, 1, Journal(Disk(), 20_000_000), tasks)
-        self._end = CompletionObserver(self._engine.confirmed)
+        self._end = CompletionObserver(self._engine.on_notices_confirmed)
         listener = socket.create_server(("127.0.0.1", 0), backlog=512)
         listener.setblocking(False)
         self._address = listener.getsockname()
         machine = replace(REAL_MACHINE, listen=lambda _: listener)
         self._server = Server(self._address, MessageApi(self._engine.submit), 1000, tasks, machine=machine)
-        targets = HttpCarrier(settings, 1000, self._engine.outcome, tasks)
-        membership = FixedMembership(addresses, self._engine.listed)
+        targets = HttpCarrier(settings, 1000, self._engine.on_attempt_outcome, tasks)
+        membership = FixedMembership(addresses, self._engine.on_membership_update)
         self._engine.connect(EnginePorts([self._server], targets, membership, self._end))
         self._idle: list[Connection] = []
 
--- a/emberlatch/as2/carrier.py
+++ b/emberlatch/as2/carrier.py
@@ -100,7 +100,9 @@
         directory: PartnerDirectory,
         evidence: Evidence,
     ) -> None:
-        super().__init__(settings, max_connections, core.engine.outcome, core.tasks, core.engine.counters)
+        super().__init__(
+            settings, max_connections, core.engine.on_attempt_outcome, core.tasks, core.engine.counters
+        )
         self._parties, self._crypto, self._now = station.parties, station.crypto, station.now
         self._directory, self._evidence = directory, evidence
         self._exchanges: dict[str, _Exchange] = {}  # calls in flight, by Message-ID
--- a/emberlatch/as2/front.py
+++ b/emberlatch/as2/front.py
@@ -180,7 +180,7 @@
         """Submit a new order, or answer a repeated one; raises As2Error or BadMessageError."""
         known = self._find_known(order)
         in_progress = self._in_progress.get(order.storage_key)
-        busy = in_progress is not None and not in_progress.gone
+        busy = in_progress is not None and not in_progress.client_disconnected
         match orders.classify(known, order.mic, order.digest, busy):
             case Classification.BUSY:
                 reply.send(503, BUSY_RETRY_AFTER_S)
--- a/emberlatch/as2/order_reply.py
+++ b/emberlatch/as2/order_reply.py
@@ -44,24 +44,24 @@
         self._receipt_request, self._reply = receipt_request, reply
 
     @property
-    def gone(self) -> bool:
+    def client_disconnected(self) -> bool:
         """Whether the client has closed its connection."""
-        return self._reply.gone
+        return self._reply.client_disconnected
 
-    def accepted(self) -> None:
+    def respond_accepted(self) -> None:
         """Report that the order is in the journal."""
         self._observer.on_accepted(self._order, self._receipt_request, self._reply)
 
-    def rejected(self, retry_after: float) -> None:
+    def respond_rejected(self, retry_after: float) -> None:
         """Report that the order exceeds a limit, and answer 503."""
         self._observer.on_rejected(self._order)
         self._reply.send(503, retry_after)
 
-    def unavailable(self, retry_after: float | None = None) -> None:
+    def respond_unavailable(self, retry_after: float | None = None) -> None:
         """Report that the engine can't accept orders at present, and answer 503."""
         self._observer.on_rejected(self._order)
         self._reply.send(503, retry_after if retry_after is not None else BUSY_RETRY_AFTER_S)
 
-    def failed(self) -> None:
+    def respond_failed(self) -> None:
         """Report that the engine has failed the order."""
         self._observer.on_failed(self._order, self._receipt_request, self._reply)
--- a/emberlatch/as2/station.py
+++ b/emberlatch/as2/station.py
@@ -20,4 +20,4 @@
 
     def now(self) -> float:
         """Return Unix time in seconds."""
-        return self.machine.wall()
+        return self.machine.wall_clock()
--- a/emberlatch/cluster/node/builder.py
+++ b/emberlatch/cluster/node/builder.py
@@ -138,7 +138,7 @@
 
     def _create_database(self) -> RecordDatabase:
         assert self._settings.data_dir is not None
-        return RecordDatabase(self._settings.data_dir / "records.db", self._disk, self._machine.wall)
+        return RecordDatabase(self._settings.data_dir / "records.db", self._disk, self._machine.wall_clock)
 
     def _replicator(self, delivery: LateBoundDeliveryQueue) -> Replicator:
         settings, membership, database = self._settings, self._membership, self._database
--- a/emberlatch/engine/completions.py
+++ b/emberlatch/engine/completions.py
@@ -41,7 +41,7 @@
         self, ref: int, result: CompletionResult, retry_after_ms: int | None = None
     ) -> None:
         """Complete a message that was not delivered; do nothing if the message is not open."""
-        if (entry := self._messages.open.get(ref)) is not None:
+        if (entry := self._messages.open_messages.get(ref)) is not None:
             self._counters.count(result.value, entry.category)
             self.complete(entry, result, retry_after_ms)
 
--- a/emberlatch/engine/deliveries.py
+++ b/emberlatch/engine/deliveries.py
@@ -44,7 +44,7 @@
         calls.setdefault(action.target, []).extend(self._record_attempt(action))
 
     def _record_attempt(self, action: api.Send) -> Iterator[CallItem]:
-        entry = self._messages.open.get(action.ref)
+        entry = self._messages.open_messages.get(action.ref)
         if entry is None:
             # The message could not be written to the journal, so it was not accepted. The decision module has
             # already counted a lease for its first call; without an outcome that lease is never released.
@@ -90,7 +90,7 @@
         had passed, although no message had been delivered. With the latest deadline first, such an answer
         arrives only after all messages of the call have been completed, and is ignored.
         """
-        return sorted(items, key=lambda item: -self._messages.open[item.ref].deadline)
+        return sorted(items, key=lambda item: -self._messages.open_messages[item.ref].deadline)
 
     def _start_call(self, target: api.Target, items: list[CallItem]) -> None:
         """Start a call once the records of all its attempts are durable."""
@@ -103,14 +103,14 @@
         def send_remaining() -> None:
             remaining = [item for item in items if (item.ref, item.attempt) in self._awaiting_sync]
             for item in items:  # completed or cancelled during the sync, so it was not sent
-                if item not in remaining or item.ref not in self._messages.open:
+                if item not in remaining or item.ref not in self._messages.open_messages:
                     result = api.Result.NOT_EXECUTED
                     self.report(api.Outcome(item.ref, item.attempt, target, result, 0.0))
             self._awaiting_sync -= attempts
-            if remaining := [item for item in remaining if item.ref in self._messages.open]:
+            if remaining := [item for item in remaining if item.ref in self._messages.open_messages]:
                 self._send(target, remaining)
 
-        categories = [self._messages.open[item.ref].category for item in items]
+        categories = [self._messages.open_messages[item.ref].category for item in items]
         self._durability.when_durable(categories, send_remaining)
 
     def _send(self, target: api.Target, items: list[CallItem]) -> None:
@@ -131,7 +131,7 @@
 
     def _record_outcome(self, outcome: api.Outcome) -> None:
         """Write the change that an outcome makes to its message."""
-        entry = self._messages.open.get(outcome.ref)
+        entry = self._messages.open_messages.get(outcome.ref)
         self._counters.count_target(outcome.target, outcome.result.name.lower())
         if entry is not None and outcome.closed:
             self._close(entry, outcome.result)
--- a/emberlatch/engine/durability.py
+++ b/emberlatch/engine/durability.py
@@ -24,7 +24,7 @@
     """Called once, after the first failed sync: from then on no write is guaranteed to be durable."""
 
     @property
-    def exist(self) -> bool:
+    def any(self) -> bool:
         """Whether any class requires a sync."""
         return bool(self.names)
 
@@ -42,7 +42,7 @@
     @property
     def required(self) -> bool:
         """Whether any class requires a sync."""
-        return self._durable_classes.exist
+        return self._durable_classes.any
 
     def when_durable(self, categories: Iterable[str], action: Callable[[], None]) -> None:
         """Run `action` once all records written so far are as durable as these classes require."""
--- a/emberlatch/engine/engine.py
+++ b/emberlatch/engine/engine.py
@@ -72,9 +72,9 @@
     """One forwarder: it owns every message from its submission until its completion notice is confirmed.
 
     The engine is created in two steps, because the engine and the adapters behind its ports call each other:
-    the adapters call `submit`, `outcome`, `listed` and `confirmed`. Create the engine, then its adapters,
-    then pass all of them to `connect`. Until then `start`, and any other method that needs a port, raises
-    EnginePortsError.
+    the adapters call `submit`, `on_attempt_outcome`, `on_membership_update` and `on_notices_confirmed`.
+    Create the engine, then its adapters, then pass all of them to `connect`. Until then `start`, and any
+    other method that needs a port, raises EnginePortsError.
 
     Attributes: `messages`, `counters`, `durability` and `relayed` may be read by other classes, and are
     changed by the engine only.
@@ -163,7 +163,7 @@
             ingress.start()
 
     def _sizes(self) -> tuple[int, int]:
-        return len(self.messages.open), len(self.messages.completed)
+        return len(self.messages.open_messages), len(self.messages.completed)
 
     def _recover(self, entry: Entry, now: float) -> None:
         terms = self._settings.terms_of(entry)
@@ -189,7 +189,7 @@
         for ingress in ingresses:
             ingress.stop()
         self._events.post(api.Stopping(began + CALLS_AFTER_STOP_S))
-        await shut_down(ingresses, began, self._is_busy, lambda: bool(self.messages.open))
+        await shut_down(ingresses, began, self._is_busy, lambda: bool(self.messages.open_messages))
         log.info("stopped with %d open messages, %d unconfirmed notices", *self._sizes())
         self._tasks.cancel()
         self._journal.close()
@@ -233,32 +233,32 @@
         """
         self._submissions.submit(message, responder)
 
-    def outcome(self, outcome: api.Outcome) -> None:
+    def on_attempt_outcome(self, outcome: api.Outcome) -> None:
         """Record the outcome of an attempt in the journal, then pass it to the decision module."""
         self._connected.deliveries.report(outcome)
 
-    def listed(self, update: api.DirectoryUpdate, addresses: Addresses) -> None:
+    def on_membership_update(self, update: api.DirectoryUpdate, addresses: Addresses) -> None:
         """Apply a membership update: endpoints that were added, changed or removed, or the complete list."""
         if self._events.suspended:
-            self._deferred.append(lambda: self.listed(update, addresses))
+            self._deferred.append(lambda: self.on_membership_update(update, addresses))
             return
         self._submissions.add_destinations(entry.destination for entry in update.entries)
         is_complete = update.kind in (api.ListKind.CACHED, api.ListKind.FULL)
         self._connected.ports.carrier.update(update.entries, addresses, is_complete)
         self._events.post(update)
 
-    def confirmed(self, refs: list[int]) -> None:
+    def on_notices_confirmed(self, refs: list[int]) -> None:
         """Remove the messages whose completion notices are confirmed."""
         if self._events.suspended:
-            self._deferred.append(lambda: self.confirmed(refs))
+            self._deferred.append(lambda: self.on_notices_confirmed(refs))
             return
         self._connected.completions.confirm(refs)
 
-    def on_endpoint_hold(self, target: api.Target, seconds: float) -> None:
+    def on_peer_retry_after(self, target: api.Target, seconds: float) -> None:
         """Apply a `Retry-After` of `seconds` that an endpoint sent to another forwarder of this sender."""
         self._events.post(api.PeerRetryAfter(target, seconds))
 
-    def on_directory_moved(self) -> None:
+    def on_directory_address_changed(self) -> None:
         """Inform the decision module that the endpoint directory now has another address."""
         self._events.post(api.DirectoryMoved())
 
@@ -277,7 +277,7 @@
         self._journal.close()
         return self._forwarder.handover_state()
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Resume after `freeze`, because no other process took over, and apply the reports received since."""
         self._journal.reopen()
         self._events.suspended = False
@@ -286,7 +286,7 @@
             report()
         self._events.post(api.TimerFired(0))  # `freeze` cancelled the decision module's timer
 
-    def leave(self) -> None:
+    def drop_messages(self) -> None:
         """Drop all messages from memory: another process owns them now."""
         self._events.suspended = True
         self._deferred = []
@@ -356,8 +356,8 @@
             case api.LogLine(text):
                 log.info("%s", text)
             case api.Watch(active):
-                connected.ports.membership.watch(active)
+                connected.ports.membership.set_watching(active)
             case api.Lookup():
-                connected.ports.membership.look_up()
+                connected.ports.membership.request_list()
             case _:
                 log.error("unsupported action: %r", action)
--- a/emberlatch/engine/journal_clock.py
+++ b/emberlatch/engine/journal_clock.py
@@ -27,7 +27,7 @@
 
     def _measure_offset(self) -> float:
         """Return and store the seconds by which the journal's clock is ahead of the event loop's clock."""
-        boot, offset = self._machine.boot(), self._machine.wall() - self._loop.time()
+        boot, offset = self._machine.boot_id(), self._machine.wall_clock() - self._loop.time()
         stored = self._journal.clock
         if boot and stored is not None and stored[0] == boot:
             offset = stored[1]
--- a/emberlatch/engine/machine.py
+++ b/emberlatch/engine/machine.py
@@ -53,13 +53,13 @@
 class Machine:
     """The facilities of a machine.
 
-    Attributes: `wall` returns the wall clock (Unix time in seconds), `boot` the boot id (the event loop's
-    clock never jumps while the id stays the same), `listen` opens a listening socket, `files` opens a folder
-    whose files survive the process, and `offload` runs a blocking function outside of the event loop.
+    Attributes: `wall_clock` returns the wall clock (Unix time in seconds), `boot_id` the boot id (the event
+    loop's clock never jumps while the id stays the same), `listen` opens a listening socket, `files` opens a
+    folder whose files survive the process, and `offload` runs a blocking function outside of the event loop.
     """
 
-    wall: Callable[[], float] = time.time
-    boot: Callable[[], str] = boot
+    wall_clock: Callable[[], float] = time.time
+    boot_id: Callable[[], str] = boot
     listen: Callable[[Address], Listener] = listen
     files: Callable[[Path], Files] = Folder
     offload: Offload = asyncio.to_thread
--- a/emberlatch/engine/message_table.py
+++ b/emberlatch/engine/message_table.py
@@ -24,7 +24,7 @@
 
     def __init__(self, journal: Journal) -> None:
         self._journal = journal
-        self.open: dict[int, Entry] = {}
+        self.open_messages: dict[int, Entry] = {}
         """Messages that are accepted and not completed, by reference."""
         self.completed: dict[int, Entry] = {}
         """Completed messages whose notice is not confirmed yet, by reference."""
@@ -36,7 +36,7 @@
 
     def restore_open(self, entry: Entry) -> None:
         """Add an open message that is already in the journal."""
-        self.open[entry.ref] = entry
+        self.open_messages[entry.ref] = entry
         self._open_ids.add(entry.id)
 
     def restore_completed(self, entry: Entry) -> None:
@@ -60,7 +60,7 @@
 
     def remove(self, entry: Entry) -> None:
         """Remove a message from the open ones in memory; the journal is not changed."""
-        del self.open[entry.ref]
+        del self.open_messages[entry.ref]
         self._open_ids.discard(entry.id)
 
     def complete(self, entry: Entry) -> None:
@@ -80,7 +80,7 @@
 
     def clear(self) -> None:
         """Drop all messages from memory: another process owns them."""
-        self.open.clear()
+        self.open_messages.clear()
         self.completed.clear()
 
     def _write(self, write: Callable[[Entry], None], entry: Entry) -> bool:
--- a/emberlatch/engine/ports.py
+++ b/emberlatch/engine/ports.py
@@ -3,7 +3,7 @@
 The engine owns a message from its submission until its completion notice is confirmed. An adapter behind a
 port translates between a protocol and the types of this module, and makes no decisions. All code here runs on
 one event loop: the methods of a port return without blocking, and the adapter reports results later through
-the engine's `submit`, `outcome`, `listed` and `confirmed`.
+the engine's `submit`, `on_attempt_outcome`, `on_membership_update` and `on_notices_confirmed`.
 """
 
 from __future__ import annotations
@@ -61,19 +61,19 @@
     """Sends the response to one submission: exactly one of its methods is called, exactly once."""
 
     @property
-    def gone(self) -> bool:
+    def client_disconnected(self) -> bool:
         """Whether the client has disconnected."""
 
-    def accepted(self) -> None:
+    def respond_accepted(self) -> None:
         """Respond that the message is in the journal and that its completion will be notified."""
 
-    def rejected(self, retry_after: float) -> None:
+    def respond_rejected(self, retry_after: float) -> None:
         """Respond that the message is rejected and may be submitted again after `retry_after` seconds."""
 
-    def unavailable(self, retry_after: float | None = None) -> None:
+    def respond_unavailable(self, retry_after: float | None = None) -> None:
         """Respond that the message can't be accepted now and is not stored. `retry_after` is in seconds."""
 
-    def failed(self) -> None:
+    def respond_failed(self) -> None:
         """Respond that the message failed and must not be submitted again."""
 
 
@@ -123,7 +123,10 @@
 
 
 class Carrier(Protocol):
-    """Sends calls to endpoints. Reports one `Outcome` for each item of each call to `Engine.outcome`."""
+    """Sends calls to endpoints.
+
+    Reports one `Outcome` for each item of each call to `Engine.on_attempt_outcome`.
+    """
 
     @property
     def in_flight(self) -> int:
@@ -149,20 +152,23 @@
 
 
 class Membership(Protocol):
-    """Reports the endpoints and changes to them to `Engine.listed`."""
+    """Reports the endpoints and changes to them to `Engine.on_membership_update`."""
 
     def start(self) -> None:
         """Report the list of endpoints that is known at the start."""
 
-    def watch(self, active: bool) -> None:
+    def set_watching(self, active: bool) -> None:
         """Start or stop reporting changes."""
 
-    def look_up(self) -> None:
+    def request_list(self) -> None:
         """Request the complete list once."""
 
 
 class CompletionNotifier(Protocol):
-    """Sends completion notices to the senders, and reports each confirmed one to `Engine.confirmed`."""
+    """Sends completion notices to the senders.
+
+    Reports each confirmed one to `Engine.on_notices_confirmed`.
+    """
 
     notifies_deliveries: bool
     """Whether deliveries are notified too; else a message is removed with its endpoint's response."""
--- a/emberlatch/engine/submissions.py
+++ b/emberlatch/engine/submissions.py
@@ -66,10 +66,10 @@
         """
         category = self._validate(message)
         if self._messages.is_open(message.id):  # a repeated submission of a message that was accepted
-            self._durability.when_durable((message.category,), responder.accepted)
+            self._durability.when_durable((message.category,), responder.respond_accepted)
             return
         if message.id in self._pending_ids:  # no decision has been made on the first submission of this id
-            responder.unavailable()
+            responder.respond_unavailable()
             return
         ref, remaining = next(self._references), message.remaining
         entry = Entry(
@@ -113,7 +113,7 @@
         """
         pending, self._pending = self._pending, {}
         self._pending_ids.clear()
-        disconnected = [ref for ref, (_, responder) in pending.items() if responder.gone]
+        disconnected = [ref for ref, (_, responder) in pending.items() if responder.client_disconnected]
         for ref in disconnected:
             del pending[ref]
             events = [e for e in events if not (isinstance(e, api.Arrival) and e.ref == ref)]
@@ -134,14 +134,14 @@
             decision = negative.get(ref)
             if decision is None and self._messages.accept(entry):
                 self._counters.count("accepted")
-                self._durability.when_durable((entry.category,), responder.accepted)
+                self._durability.when_durable((entry.category,), responder.respond_accepted)
             elif isinstance(decision, api.Reject):
                 self._counters.count("rejected", entry.category)
-                responder.rejected(decision.retry_after)
+                responder.respond_rejected(decision.retry_after)
             elif isinstance(decision, api.Fail):
                 self._counters.count("failed at submission", entry.category)
-                responder.failed()
+                responder.respond_failed()
             else:
                 self._counters.count("journal full", entry.category)
-                responder.unavailable(JOURNAL_FULL_RETRY_S)
+                responder.respond_unavailable(JOURNAL_FULL_RETRY_S)
                 self._post(api.ClientGone(ref))
--- a/emberlatch/faults/as2/gateway.py
+++ b/emberlatch/faults/as2/gateway.py
@@ -49,7 +49,7 @@
         """See `engine.CompletionNotifier`."""
         completion = Completion(self._loop.time(), ref, str(notice["result"]))
         self._observer.on_completed(str(notice["ref"]), completion)
-        self._loop.call_soon(self._core.engine.confirmed, [ref])
+        self._loop.call_soon(self._core.engine.on_notices_confirmed, [ref])
 
 
 class FixedMembership:
@@ -64,12 +64,14 @@
         addresses: Addresses = {
             entry.target: parse_address(endpoints[entry.target].address) for entry in entries
         }
-        self._core.engine.listed(api.DirectoryUpdate(api.ListKind.CACHED, 1, entries), addresses)
+        self._core.engine.on_membership_update(
+            api.DirectoryUpdate(api.ListKind.CACHED, 1, entries), addresses
+        )
 
-    def watch(self, active: bool) -> None:
+    def set_watching(self, active: bool) -> None:
         """Do nothing: the list of partners never changes."""
 
-    def look_up(self) -> None:
+    def request_list(self) -> None:
         """Do nothing: the list of partners never changes."""
 
 
@@ -133,7 +135,11 @@
 
     def _observe_leases(self, core: GatewayCore, side: As2Side) -> None:
         """Check at each call that no destination has over `MAX_LEASE_SHARE` of the slots (`dest_cap`)."""
-        call, outcome, leased = side.carrier.call, core.engine.outcome, dict[tuple[int, int], int]()
+        call, outcome, leased = (
+            side.carrier.call,
+            core.engine.on_attempt_outcome,
+            dict[tuple[int, int], int](),
+        )
 
         def observed_call(target: bytes, items: list[CallItem]) -> None:
             destination = self._partners.destination_of(target)
--- a/emberlatch/faults/as2/messages.py
+++ b/emberlatch/faults/as2/messages.py
@@ -35,23 +35,23 @@
 class ClientResponder:
     """Receives the response to a submission, also after the death of the process that it was submitted to."""
 
-    gone = False
+    client_disconnected = False
 
     def __init__(self, message: SubmittedMessage, clock: Callable[[], float]) -> None:
         self._message, self._clock = message, clock
 
-    def accepted(self) -> None:
+    def respond_accepted(self) -> None:
         """See `engine.SubmissionResponder`."""
         self._message.accepted_at = min(self._message.accepted_at, self._clock())
 
-    def rejected(self, retry_after: float) -> None:
+    def respond_rejected(self, retry_after: float) -> None:
         """See `engine.SubmissionResponder`."""
         self._message.is_rejected = True
 
-    def unavailable(self, retry_after: float | None = None) -> None:
+    def respond_unavailable(self, retry_after: float | None = None) -> None:
         """See `engine.SubmissionResponder`."""
         self._message.is_rejected = True
 
-    def failed(self) -> None:
+    def respond_failed(self) -> None:
         """See `engine.SubmissionResponder`."""
         self._message.is_rejected = True
--- a/emberlatch/faults/environment.py
+++ b/emberlatch/faults/environment.py
@@ -157,7 +157,7 @@
         """Whether a client waits for an answer, or a forwarder is down or has messages or notices open."""
         platforms = [forwarder.platform for forwarder in self.forwarders.values()]
         return any(clients.pending_count for clients in self.clients) or any(
-            platform is None or platform.engine.messages.open or platform.engine.messages.completed
+            platform is None or platform.engine.messages.open_messages or platform.engine.messages.completed
             for platform in platforms
         )
 
--- a/emberlatch/faults/final_checks.py
+++ b/emberlatch/faults/final_checks.py
@@ -27,7 +27,7 @@
     """The numbers of entries that remain in tables of the engine and the decision module."""
     engine, module = platform.engine, platform.engine._forwarder
     tables: dict[str, Sized] = {
-        "pending messages": engine.messages.open,
+        "pending messages": engine.messages.open_messages,
         "unconfirmed notices": engine.messages.completed,
         "arriving messages": engine._submissions._pending,
         "ids": engine.messages._open_ids,
--- a/emberlatch/faults/forwarder.py
+++ b/emberlatch/faults/forwarder.py
@@ -215,7 +215,7 @@
             for action in actions:
                 if not isinstance(action, Reject | Fail):
                     continue
-                if (entry := engine.messages.open.get(action.ref)) is not None:
+                if (entry := engine.messages.open_messages.get(action.ref)) is not None:
                     environment.checks.on_given_up(environment.trace.now, entry.id)
             return actions
 
--- a/emberlatch/faults/power_loss/surroundings.py
+++ b/emberlatch/faults/power_loss/surroundings.py
@@ -87,25 +87,25 @@
         self._surroundings, self._process, self._message = surroundings, process, message
 
     @property
-    def gone(self) -> bool:
+    def client_disconnected(self) -> bool:
         """See `engine.SubmissionResponder`."""
         return False
 
-    def accepted(self) -> None:
+    def respond_accepted(self) -> None:
         """See `engine.SubmissionResponder`."""
         if self._process.alive:
             self._message.is_answered = True
             self._message.accepted_at = min(self._message.accepted_at, self._surroundings.loop.time())
 
-    def rejected(self, retry_after: float) -> None:
+    def respond_rejected(self, retry_after: float) -> None:
         """See `engine.SubmissionResponder`."""
         self._message.is_answered = True
 
-    def unavailable(self, retry_after: float | None = None) -> None:
+    def respond_unavailable(self, retry_after: float | None = None) -> None:
         """See `engine.SubmissionResponder`."""
         self._message.is_answered = True
 
-    def failed(self) -> None:
+    def respond_failed(self) -> None:
         """See `engine.SubmissionResponder`."""
         self._message.is_answered = True
 
@@ -139,7 +139,7 @@
             closed = result is api.Result.OK
             outcome = api.Outcome(item.ref, item.attempt, target, result, duration_s, closed=closed)
             surroundings.call_later(
-                duration_s, surroundings.notify, self._process, self.engine.outcome, outcome
+                duration_s, surroundings.notify, self._process, self.engine.on_attempt_outcome, outcome
             )
 
     def cancel(self, ref: int, attempt: int) -> None:
@@ -164,7 +164,9 @@
         surroundings = self._surroundings
         surroundings.messages[notice["ref"]].completions.append(notice["result"])
         delay_s = surroundings.rng.uniform(*CONFIRMATION_DELAY_S)
-        surroundings.call_later(delay_s, surroundings.notify, self._process, self.engine.confirmed, [ref])
+        surroundings.call_later(
+            delay_s, surroundings.notify, self._process, self.engine.on_notices_confirmed, [ref]
+        )
 
 
 class FixedMembership:
@@ -175,10 +177,10 @@
     def start(self) -> None:
         """See `engine.Membership`."""
         update = api.DirectoryUpdate(api.ListKind.CACHED, 1, (api.Entry(TARGET, DESTINATION),))
-        self.engine.listed(update, {TARGET: ENDPOINT_ADDRESS})
+        self.engine.on_membership_update(update, {TARGET: ENDPOINT_ADDRESS})
 
-    def watch(self, active: bool) -> None:
+    def set_watching(self, active: bool) -> None:
         """Do nothing: the list of endpoints never changes."""
 
-    def look_up(self) -> None:
+    def request_list(self) -> None:
         """Do nothing: the list of endpoints never changes."""
--- a/emberlatch/gateway_core.py
+++ b/emberlatch/gateway_core.py
@@ -80,13 +80,13 @@
         """Raises ValueError if the journal's limit is too low. `seed` is that of the decision module."""
         durable = journal.durable_classes
         self.tasks = tasks = Tasks()
-        self.journal = Journal(journal.files, journal.max_bytes, durable=durable.exist)
+        self.journal = Journal(journal.files, journal.max_bytes, durable=durable.any)
         self.engine = engine = Engine(settings, seed, self.journal, tasks, machine, durable)
         api_handler = MessageApi(engine.submit, clients.find_destination)
         self.server = Server(
             clients.listen, api_handler, limits.clients, tasks, clients.find_message, machine
         )
-        self.carrier = HttpCarrier(settings, limits.calls, engine.outcome, tasks, engine.counters)
+        self.carrier = HttpCarrier(settings, limits.calls, engine.on_attempt_outcome, tasks, engine.counters)
 
     def connect(
         self,
--- a/emberlatch/inventory/membership.py
+++ b/emberlatch/inventory/membership.py
@@ -92,10 +92,10 @@
         self._on_update(DirectoryUpdate(ListKind.CACHED, self._revision, entries), addresses)
         self._tasks.spawn(self._poll())
 
-    def watch(self, active: bool) -> None:
+    def set_watching(self, active: bool) -> None:
         """Do nothing: the files are always watched."""
 
-    def look_up(self) -> None:
+    def request_list(self) -> None:
         """Scan the files now."""
         self._tasks.spawn(self._scan(forced=True))
 
--- a/emberlatch/net/directory_membership.py
+++ b/emberlatch/net/directory_membership.py
@@ -76,7 +76,7 @@
             DirectoryUpdate(ListKind.CACHED, initial.revision, initial.entries), initial.addresses
         )
         if self._uses_push:
-            self.watch(True)
+            self.set_watching(True)
 
     def set_initial_list(self, initial_list: Mapping[str, object]) -> None:
         """Start from this list instead of the one in the configuration."""
@@ -95,12 +95,12 @@
         """Encode a list as the service does, for another process to start from."""
         return self.codec.encode(self._client.revision or 0, listed)
 
-    def watch(self, active: bool) -> None:
+    def set_watching(self, active: bool) -> None:
         """Watch for changes if `active`; otherwise stop after the current request."""
         self._client.watch(active)
         self._run_client()
 
-    def look_up(self) -> None:
+    def request_list(self) -> None:
         """Request the complete list, unless such a request is in flight already."""
         self._client.look_up()
         self._run_client()
--- a/emberlatch/net/message_api.py
+++ b/emberlatch/net/message_api.py
@@ -24,23 +24,23 @@
         self._reply = reply
 
     @property
-    def gone(self) -> bool:
+    def client_disconnected(self) -> bool:
         """Whether the client has disconnected."""
-        return self._reply.gone
+        return self._reply.client_disconnected
 
-    def accepted(self) -> None:
+    def respond_accepted(self) -> None:
         """Respond 202: the message is in the journal."""
         self._reply.send(202)
 
-    def rejected(self, retry_after: float) -> None:
+    def respond_rejected(self, retry_after: float) -> None:
         """Respond 429: the message is rejected and was not executed; `retry_after` is in seconds."""
         self._reply.send(429, retry_after)
 
-    def unavailable(self, retry_after: float | None = None) -> None:
+    def respond_unavailable(self, retry_after: float | None = None) -> None:
         """Respond 503: the message can't be accepted at present; `retry_after` is in seconds."""
         self._reply.send(503, retry_after)
 
-    def failed(self) -> None:
+    def respond_failed(self) -> None:
         """Respond 500: no decision was made because of an internal error."""
         self._reply.send(500)
 
--- a/emberlatch/net/reply.py
+++ b/emberlatch/net/reply.py
@@ -60,7 +60,7 @@
         self.data: bytes | None = None
 
     @property
-    def gone(self) -> bool:
+    def client_disconnected(self) -> bool:
         """Whether the client has disconnected."""
         return self._writer.is_closing
 
--- a/emberlatch/operations/handlers.py
+++ b/emberlatch/operations/handlers.py
@@ -47,7 +47,7 @@
     def metrics(self) -> str:
         """Return the metrics of this process, one per line."""
         engine = self._engine
-        open_messages = len(engine.messages.open)
+        open_messages = len(engine.messages.open_messages)
         return render_metrics(engine.counters, engine.categories, open_messages, *engine.count_endpoints())
 
     def drain(self, active: bool) -> tuple[int, str]:
--- a/emberlatch/platform/forwarder.py
+++ b/emberlatch/platform/forwarder.py
@@ -39,12 +39,12 @@
         self.tasks, self.journal, self.engine = core.tasks, core.journal, core.engine
         self.server, self.carrier = core.server, core.carrier
         tasks, engine = core.tasks, core.engine
-        self.notifier = NotificationSender(config.discovery, engine.confirmed, tasks)
+        self.notifier = NotificationSender(config.discovery, engine.on_notices_confirmed, tasks)
         self.directory = DirectoryMembership(
             config.discovery,
             config.known,
             config.raw_settings,
-            engine.listed,
+            engine.on_membership_update,
             tasks,
             config.seed,
             config.settings.forwarders,
@@ -121,4 +121,4 @@
         self._discovery = discovery
         self.directory.move(discovery)
         self.notifier.move(discovery)
-        self.engine.on_directory_moved()
+        self.engine.on_directory_address_changed()
--- a/emberlatch/platform/handover.py
+++ b/emberlatch/platform/handover.py
@@ -48,8 +48,8 @@
     def thaw(self) -> None:
         """Resume after a handover that failed."""
         self._report = None
-        self._carrier.redirect_outcomes(self._engine.outcome)
-        self._engine.thaw()
+        self._carrier.redirect_outcomes(self._engine.on_attempt_outcome)
+        self._engine.resume()
         self._server.resume()
 
     def client_connections(self) -> Iterator[tuple[int, ClientConnection]]:
@@ -66,7 +66,7 @@
         """Stop everything except calls in flight, as the successor owns the messages now."""
         self._directory.close()
         self._notifier.close()
-        self._engine.leave()
+        self._engine.drop_messages()
         self._server.stop_after_handover()
 
     @property
@@ -99,7 +99,7 @@
         if outcome.retry_after > 0:
             self._carrier.apply_retry_after(outcome.target, outcome.retry_after)
         self._engine.relayed.discard(outcome)
-        (self._report or self._engine.outcome)(outcome)
+        (self._report or self._engine.on_attempt_outcome)(outcome)
 
     def on_relay_closed(self) -> None:
         """Give relayed attempts without an outcome the result RESET, as they may have been executed."""
--- a/emberlatch/simulation/node.py
+++ b/emberlatch/simulation/node.py
@@ -153,8 +153,8 @@
     async def _run(self, settings: NodeSettings, incarnation: int) -> None:
         environment = self.environment
         machine = Machine(
-            wall=lambda: WALL_CLOCK_START_S + environment.loop.time() + self.clock_skew_s,
-            boot=lambda: "",
+            wall_clock=lambda: WALL_CLOCK_START_S + environment.loop.time() + self.clock_skew_s,
+            boot_id=lambda: "",
             listen=environment.network.listen,
         )
         seed = environment.random.randrange(1 << 30)
--- a/emberlatch/standalone/fleet_integration.py
+++ b/emberlatch/standalone/fleet_integration.py
@@ -118,7 +118,7 @@
     def _on_outcome(self, outcome: api.Outcome) -> None:
         if outcome.retry_after > 0:
             self.service.share_endpoint_hold(outcome.target.decode(), outcome.retry_after)
-        self._core.engine.outcome(outcome)
+        self._core.engine.on_attempt_outcome(outcome)
 
     def on_quota_share(self, share: QuotaShare) -> None:
         """Apply a changed quota share or changed closed classes. See `FleetObserver`."""
@@ -136,7 +136,7 @@
     def on_endpoint_hold(self, target: str, seconds: float) -> None:
         """Apply a retry-after time that another member received from an endpoint. See `FleetObserver`."""
         self._core.carrier.apply_retry_after(target.encode(), seconds)
-        self._core.engine.on_endpoint_hold(target.encode(), seconds)
+        self._core.engine.on_peer_retry_after(target.encode(), seconds)
 
     def on_endpoint_report(self, target: str, phase: int) -> None:
         """Apply another member's report of an endpoint's phase. See `FleetObserver`.
@@ -150,7 +150,7 @@
         if phase != int(api.Phase.READY):
             entry = replace(entry, phase=api.Phase.DRAINING)
         update = api.DirectoryUpdate(api.ListKind.DELTA, 0, (entry,))
-        self._core.engine.listed(update, {entry.target: address})
+        self._core.engine.on_membership_update(update, {entry.target: address})
 
     def on_halt(self, reason: str) -> None:
         """Stop this process, because another one has this member's name. See `FleetObserver`."""
--- a/emberlatch/standalone/gateway.py
+++ b/emberlatch/standalone/gateway.py
@@ -121,7 +121,7 @@
         )
 
     def _make_outcomes(self) -> OutcomeLog | NotificationSender:
-        config, confirm = self._config, self.engine.confirmed
+        config, confirm = self._config, self.engine.on_notices_confirmed
         if config.reports is None:
             offload = self._machine.offload if self._durable_classes else None
             limits = config.limits
@@ -183,7 +183,7 @@
             self.fleet.reload_members()
 
     def _on_endpoints(self, update: DirectoryUpdate, addresses: Addresses) -> None:
-        self.engine.listed(update, addresses)
+        self.engine.on_membership_update(update, addresses)
         if self.fleet is not None:
             self.fleet.on_endpoint_list(update, addresses)
 
--- a/emberlatch/storm/process.py
+++ b/emberlatch/storm/process.py
@@ -45,7 +45,9 @@
 
 def skewed_machine(wall_offset_s: float) -> Machine:
     """This machine with a wall clock that is off, and with ports that the runner has reserved."""
-    return replace(REAL_MACHINE, wall=lambda: time.time() + wall_offset_s, listen=listen_on_reserved_port)
+    return replace(
+        REAL_MACHINE, wall_clock=lambda: time.time() + wall_offset_s, listen=listen_on_reserved_port
+    )
 
 
 def main(prepare: Callable[[str], None] = lambda _: None) -> int:
--- a/tests/as2/test_gateway.py
+++ b/tests/as2/test_gateway.py
@@ -340,7 +340,7 @@
         async with running(tmp_path, **ORDERS) as (gateway, _, _, as2):
             status, headers, body = await post(as2, order(**options))  # type: ignore[arg-type]
             assert status == 200 and receipt(headers, body).disposition.text == expected
-            assert not gateway.engine.messages.open and not list(gateway.as2._orders.states)  # type: ignore[union-attr]
+            assert not gateway.engine.messages.open_messages and not list(gateway.as2._orders.states)  # type: ignore[union-attr]
 
     run(test)
 
@@ -393,7 +393,7 @@
             await until(lambda: bool(bank.received))
         async with running(tmp_path, **ORDERS) as (gateway, bank, _, as2):
             status, _, body = await post(as2, order())
-            assert (status, body) == (200, first) and not gateway.engine.messages.open
+            assert (status, body) == (200, first) and not gateway.engine.messages.open_messages
             assert not bank.received
 
     run(test)
--- a/tests/cluster/rpc_support.py
+++ b/tests/cluster/rpc_support.py
@@ -40,7 +40,7 @@
     def __init__(self) -> None:
         self.loop = VirtualLoop()
         self.network = Network(self.loop, 1)
-        self.machine = Machine(wall=self.loop.time, boot=lambda: "", listen=self.network.listen)
+        self.machine = Machine(wall_clock=self.loop.time, boot_id=lambda: "", listen=self.network.listen)
 
     def caller_endpoint(self) -> LocalEndpoint:
         return LocalEndpoint(Incarnation("caller", CALLER_INCARNATION))
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -69,32 +69,32 @@
     def close_idle(self, target: api.Target) -> None:
         self.port_calls.append("close_idle")
 
-    def watch(self, active: bool) -> None:
-        self.port_calls.append("watch")
+    def set_watching(self, active: bool) -> None:
+        self.port_calls.append("set_watching")
 
-    def look_up(self) -> None:
-        self.port_calls.append("look_up")
+    def request_list(self) -> None:
+        self.port_calls.append("request_list")
 
     def add(self, ref: int, notice: CompletionNotice) -> None:
         self.notices.append(notice)
 
 
 class FakeResponder:
-    gone = False
+    client_disconnected = False
 
     def __init__(self) -> None:
         self.responses: list[str] = []
 
-    def accepted(self) -> None:
+    def respond_accepted(self) -> None:
         self.responses.append("accepted")
 
-    def rejected(self, retry_after: float) -> None:
+    def respond_rejected(self, retry_after: float) -> None:
         self.responses.append("rejected")
 
-    def unavailable(self, retry_after: float | None = None) -> None:
+    def respond_unavailable(self, retry_after: float | None = None) -> None:
         self.responses.append("unavailable")
 
-    def failed(self) -> None:
+    def respond_failed(self) -> None:
         self.responses.append("failed")
 
 
@@ -118,7 +118,7 @@
 
 def list_target(engine: Engine) -> None:
     update = api.DirectoryUpdate(api.ListKind.FULL, 1, (api.Entry(TARGET, DESTINATION),))
-    engine.listed(update, {TARGET: ("h", 1)})
+    engine.on_membership_update(update, {TARGET: ("h", 1)})
 
 
 def submit(engine: Engine) -> FakeResponder:
@@ -147,8 +147,8 @@
     "report",
     [
         list_target,
-        lambda engine: engine.outcome(outcome()),
-        lambda engine: engine.confirmed([1]),
+        lambda engine: engine.on_attempt_outcome(outcome()),
+        lambda engine: engine.on_notices_confirmed([1]),
     ],
 )
 def test_a_report_to_an_engine_without_ports_raises_an_error(
@@ -168,7 +168,7 @@
         asyncio.get_running_loop().set_exception_handler(
             lambda _, context: errors.append(context.get("exception"))
         )
-        engine.on_directory_moved()
+        engine.on_directory_address_changed()
         await asyncio.sleep(0)
         assert [type(error) for error in errors] == [EnginePortsError] and engine._events
 
@@ -203,10 +203,10 @@
         await asyncio.sleep(0)
         (item,) = recorded.calls
         assert responder.responses == ["accepted"] and item.id == "m1"
-        engine.outcome(outcome(item.ref, item.attempt))
+        engine.on_attempt_outcome(outcome(item.ref, item.attempt))
         assert recorded.notices == [{"ref": "m1", "result": "delivered"}]
-        engine.confirmed([item.ref])
-        assert not engine.messages.open and not engine.messages.completed
+        engine.on_notices_confirmed([item.ref])
+        assert not engine.messages.open_messages and not engine.messages.completed
 
     asyncio.run(test())
 
@@ -229,7 +229,7 @@
     folder: Path, disk: BlockingDisk, failures: list[OSError]
 ) -> tuple[Engine, FakePorts]:
     classes = DurableClasses(frozenset({"order"}), failures.append)
-    journal = Journal(Folder(folder), JOURNAL_BYTES, durable=classes.exist)
+    journal = Journal(Folder(folder), JOURNAL_BYTES, durable=classes.any)
     engine = Engine(SETTINGS, 1, journal, Tasks(), replace(REAL_MACHINE, offload=disk.run), classes)
     ports, recorded = make_ports()
     engine.connect(ports)
@@ -265,7 +265,7 @@
         engine, recorded = await start_durable(tmp_path, disk, [])
         submit(engine)
         await run_ready_callbacks()
-        (entry,) = engine.messages.open.values()
+        (entry,) = engine.messages.open_messages.values()
         assert [each.attempt for each in entry.unknown_outcomes] == [0]
         engine._execute(api.Cancel(entry.ref, 0), {})
         disk.may_end.set()
--- a/tests/faults/planted_bugs.py
+++ b/tests/faults/planted_bugs.py
@@ -54,8 +54,8 @@
 
 def patch_outcomes(change: Callable[[Outcome], Outcome]) -> Any:
     """Apply `change` to every outcome that is reported to the engine."""
-    real = Engine.outcome
-    return patch.object(Engine, "outcome", lambda self, outcome: real(self, change(outcome)))
+    real = Engine.on_attempt_outcome
+    return patch.object(Engine, "on_attempt_outcome", lambda self, outcome: real(self, change(outcome)))
 
 
 def patch_loaded_entries(change: Callable[[list[Any]], list[Any]]) -> Any:
@@ -135,14 +135,14 @@
 
 @planted
 def list_is_applied_late() -> Any:
-    real = Engine.listed
+    real = Engine.on_membership_update
 
     def listed(self: Engine, *arguments: Any) -> None:
         asyncio.get_running_loop().call_later(
             1.5 if self._loop.time() > 1001 else 0.0, real, self, *arguments
         )
 
-    return patch.object(Engine, "listed", listed)
+    return patch.object(Engine, "on_membership_update", listed)
 
 
 @planted
@@ -341,7 +341,7 @@
 
 @planted
 def ids_are_never_released() -> Any:
-    return patch.object(MessageTable, "remove", lambda self, entry: self.open.pop(entry.ref))
+    return patch.object(MessageTable, "remove", lambda self, entry: self.open_messages.pop(entry.ref))
 
 
 @planted
@@ -351,21 +351,21 @@
 
 @planted
 def unknown_outcome_is_dropped_with_the_attempt() -> Any:
-    real = Engine.outcome
+    real = Engine.on_attempt_outcome
 
     def outcome(self: Engine, reported: Outcome) -> None:
-        entry = self.messages.open.get(reported.ref)
+        entry = self.messages.open_messages.get(reported.ref)
         if entry is not None and not reported.closed:
             entry.unknown_outcomes = [d for d in entry.unknown_outcomes if d.attempt != reported.attempt]
         real(self, reported)
 
-    return patch.object(Engine, "outcome", outcome)
+    return patch.object(Engine, "on_attempt_outcome", outcome)
 
 
 @planted
 def wall_clock_is_trusted() -> Any:
     return patch.object(
-        JournalClock, "_measure_offset", lambda self: self._machine.wall() - self._loop.time()
+        JournalClock, "_measure_offset", lambda self: self._machine.wall_clock() - self._loop.time()
     )
 
 
--- a/tests/platform/test_forwarder.py
+++ b/tests/platform/test_forwarder.py
@@ -205,7 +205,7 @@
             capacities = iter([True, True, False])
             under_test.journal.has_capacity = lambda size: next(capacities)  # type: ignore[method-assign]
             assert await pipeline(port, ["a", "b", "c"]) == [202, 202, 503]
-            assert [entry.id for entry in under_test.engine.messages.open.values()] == ["a", "b"]
+            assert [entry.id for entry in under_test.engine.messages.open_messages.values()] == ["a", "b"]
 
     run(test)
 
@@ -241,7 +241,7 @@
     """Submit a message, and wait until it is delivered and completed."""
     assert await submit(port, name) == 202
     await target.next()
-    while forwarder.engine.messages.open:
+    while forwarder.engine.messages.open_messages:
         await asyncio.sleep(0.01)
 
 
@@ -395,7 +395,7 @@
         ):
             await wait_for_watch(platform)
             platform.members = [member(other.address, "s-2")]  # the previous target is no longer listed
-            under_test.directory.look_up()
+            under_test.directory.request_list()
             await wait_for_watch(platform)
             while b"s-2" not in under_test.carrier._targets:
                 await asyncio.sleep(0.01)
@@ -478,7 +478,7 @@
                 assert got == [*statuses, status]
                 assert await reader.read() == b""
                 writer.close()
-            assert not under_test.engine.messages.open
+            assert not under_test.engine.messages.open_messages
 
     run(test)
 
@@ -497,7 +497,7 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(head("Content-Length: 0\r\n", **changes))
             assert await read_status(reader) == 400
-            assert not under_test.engine.messages.open
+            assert not under_test.engine.messages.open_messages
             writer.close()
 
     run(test)
@@ -512,7 +512,7 @@
             writer.write(b"".join(head(one.decode(), X_Request_ID=name) for name in names))
             statuses = [line.split()[1] for line in (await reader.read()).split(b"\r\n") if b"HTTP" in line]
             assert statuses == [b"202"] * MAX_PIPELINED_REQUESTS + [b"429"]
-            assert len(under_test.engine.messages.open) == MAX_PIPELINED_REQUESTS
+            assert len(under_test.engine.messages.open_messages) == MAX_PIPELINED_REQUESTS
             writer.close()
 
     run(test)
@@ -594,7 +594,7 @@
                 assert await submit(port, f"m{n}", **keyed) == 202
                 await target.next()
             module = under_test.engine._forwarder
-            while under_test.engine.messages.open or module.calls or under_test.carrier.in_flight:
+            while under_test.engine.messages.open_messages or module.calls or under_test.carrier.in_flight:
                 await asyncio.sleep(0.01)
             assert len(under_test.carrier._targets) == len(module.endpoints) == 1
             assert len(under_test.carrier._pool) <= 1
--- a/tests/storm/planted.py
+++ b/tests/storm/planted.py
@@ -37,13 +37,13 @@
 
 
 def hears_no_waits() -> None:
-    outcome = Engine.outcome
+    outcome = Engine.on_attempt_outcome
 
     def deaf(self: Engine, told: api.Outcome) -> None:
         outcome(self, replace(told, retry_after=0.0))
 
     PooledCarrier._set_retry_after = lambda self, target, retry_after_s: None  # type: ignore[method-assign]
-    Engine.outcome = deaf  # type: ignore[assignment,method-assign]
+    Engine.on_attempt_outcome = deaf  # type: ignore[assignment,method-assign]
 
 
 def passes_no_waits_on() -> None:
