--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -107,7 +107,7 @@
             when_durable = self._waiting.pop(0)
             await self._offload(self._source.prepare_sync())
             self._source.on_synced()
-            self.syncs, self.served = self.syncs + 1, self.served + 1
+            self.syncs, self.callbacks_run = self.syncs + 1, self.callbacks_run + 1
             when_durable()
         self._task = None
 
@@ -143,12 +143,12 @@
     took_s, cpu_used_s = loop.time() - started_at, time.process_time() - cpu_started_s
     latencies_s.sort()
     sync = engine.durability.sync
-    batch = sync.served / sync.syncs if sync.syncs else math.nan
+    batch = sync.callbacks_run / sync.syncs if sync.syncs else math.nan
     median, p99 = (latencies_s[int(len(latencies_s) * part)] * 1e3 for part in (0.5, 0.99))
     options = (
         f"{len(latencies_s) / took_s:9.0f} {median:8.2f} {p99:8.2f} {sync.syncs / took_s:8.0f} {batch:7.1f}"
     )
-    return f"{options} {sync.largest:8} {cpu_used_s / max(1, len(latencies_s)) * 1e6:9.0f}"
+    return f"{options} {sync.largest_batch:8} {cpu_used_s / max(1, len(latencies_s)) * 1e6:9.0f}"
 
 
 def median_sync_ms(folder: Path) -> float:
--- a/emberlatch/faults/forwarder.py
+++ b/emberlatch/faults/forwarder.py
@@ -186,7 +186,7 @@
             seed=environment.plan.seed,
             connection_limits=CONNECTION_LIMITS,
             journal_bytes=DISK_BYTES,
-            known=self._known_list,
+            initial_list=self._known_list,
             raw_settings=environment.raw_settings,
             settings=environment.settings,
         )
--- a/emberlatch/net/http_connection.py
+++ b/emberlatch/net/http_connection.py
@@ -11,7 +11,7 @@
 import httptools
 
 from emberlatch.engine import Address
-from emberlatch.store import MAX_BODY
+from emberlatch.store import MAX_BODY_BYTES
 
 if TYPE_CHECKING:  # the platform's process does not load it, see `__main__`
     import ssl
@@ -245,7 +245,10 @@
 
 
 async def connect(
-    address: Address, timeout_s: float, max_body_bytes: int = MAX_BODY, tls: ssl.SSLContext | None = None
+    address: Address,
+    timeout_s: float,
+    max_body_bytes: int = MAX_BODY_BYTES,
+    tls: ssl.SSLContext | None = None,
 ) -> Connection:
     """Open a connection for responses with bodies of at most `max_body_bytes`.
 
--- a/emberlatch/net/pooled_carrier.py
+++ b/emberlatch/net/pooled_carrier.py
@@ -19,7 +19,7 @@
 from emberlatch.net.endpoint import Endpoint
 from emberlatch.net.http_connection import Connection, NoResponseError, Response, connect
 from emberlatch.net.retry_after import ExportedScope, RetryAfterTable, Scope
-from emberlatch.store import MAX_BODY
+from emberlatch.store import MAX_BODY_BYTES
 
 log = logging.getLogger(__name__)
 
@@ -148,7 +148,7 @@
         """Continue to use an idle connection that another process exported."""
         sock.setblocking(False)
         _, connection = await asyncio.get_running_loop().create_connection(
-            lambda: Connection(MAX_BODY), sock=sock
+            lambda: Connection(MAX_BODY_BYTES), sock=sock
         )
         endpoint = self._targets.get(target)
         if endpoint is not None and self._pool.has_capacity(in_use=self._calls_in_flight):
--- a/emberlatch/net/server.py
+++ b/emberlatch/net/server.py
@@ -14,7 +14,7 @@
 from emberlatch.net.reply import Reply
 from emberlatch.net.request_parser import Request
 from emberlatch.net.server_connection import ExportedConnection, ServerConnection
-from emberlatch.store import MAX_BODY
+from emberlatch.store import MAX_BODY_BYTES
 
 __all__ = ["UNIQUE_HEADERS", "Reply", "Request", "Server"]
 
@@ -63,7 +63,7 @@
         message_status: Callable[[str], bytes | None] | None = None,
         machine: Machine = REAL_MACHINE,
         path: bytes = b"/api",
-        max_body_bytes: int = MAX_BODY,
+        max_body_bytes: int = MAX_BODY_BYTES,
         unique_headers: Set[str] = UNIQUE_HEADERS,
         allow_obs_fold: bool = False,
     ) -> None:
--- a/emberlatch/platform/config.py
+++ b/emberlatch/platform/config.py
@@ -41,7 +41,7 @@
     connection_limits: ConnectionLimits
     journal_bytes: int
     """Maximum size of all files of the journal together."""
-    known: Mapping[str, object]
+    initial_list: Mapping[str, object]
     """The initial list of targets, in the form of the discovery service."""
     raw_settings: Mapping[str, object]
     settings: api.Settings
@@ -73,7 +73,7 @@
         state=Path(state),
         connection_limits=connection_limits,
         journal_bytes=int(_positive(limits, "disk_mb") * BYTES_PER_MB),
-        known=_object(document, "known"),
+        initial_list=_object(document, "known"),
         raw_settings=settings,
         document=document,
     )
--- a/emberlatch/platform/forwarder.py
+++ b/emberlatch/platform/forwarder.py
@@ -42,7 +42,7 @@
         self.notifier = NotificationSender(config.discovery, engine.on_notices_confirmed, tasks)
         self.directory = DirectoryMembership(
             config.discovery,
-            config.known,
+            config.initial_list,
             config.raw_settings,
             engine.on_membership_update,
             tasks,
@@ -57,7 +57,7 @@
         if config.operators is not None:
             self.operators = OperatorServer(config.operators, self._handlers.endpoints(), tasks, machine)
 
-    def open(self) -> None:
+    def start_operator_server(self) -> None:
         """Listen for operators, who see the forwarder as starting until `start` ends; raises ConfigError."""
         if self.operators is not None:
             try:
@@ -72,7 +72,7 @@
         await self.engine.start(received)
         self._handlers.on_started()
         if received is not None:
-            self.tasks.spawn(received.follow(self.handover))
+            self.tasks.spawn(received.receive_relay(self.handover))
 
     async def stop(self) -> None:
         """Shut down gracefully; messages that are not completed in time stay in the journal."""
@@ -90,7 +90,7 @@
         if (key := missing_key(self._document, config.document)) is not None:
             raise ConfigError(f"{key}: is missing")
         Journal(self._files(config.state), config.journal_bytes)
-        self.directory.codec.decode(config.known)
+        self.directory.codec.decode(config.initial_list)
 
     def is_outdated(self) -> bool:
         """Whether the file has changed since it was read; its SIGHUP may have gone to the predecessor."""
--- a/emberlatch/platform/handover.py
+++ b/emberlatch/platform/handover.py
@@ -83,7 +83,7 @@
 
     def receive(self, received: ReceivedHandover) -> None:
         """Apply the predecessor's list of targets and their Retry-After times."""
-        self._directory.set_initial_list(received.known)
+        self._directory.set_initial_list(received.endpoint_list)
         self._carrier.import_retry_after(received.blocked_until)
 
     def adopt_client(self, connection: socket.socket, data: bytes, proven: bool) -> None:
--- a/emberlatch/process.py
+++ b/emberlatch/process.py
@@ -95,7 +95,7 @@
     stop: asyncio.Event,
 ) -> bool:
     """Whether the forwarder serves; it doesn't if it was stopped before it owned the folder."""
-    forwarder.open()
+    forwarder.start_operator_server()
     received = await _acquire_folder(config, lock, succeeds, stop)
     if not lock.acquired:
         return False
@@ -157,14 +157,14 @@
     while not (ended.done() or stopped.done()):
         await asyncio.wait({ended, stopped, reloading}, return_when=asyncio.FIRST_COMPLETED)
         if reloading.done():
-            await handover.decided()
+            await handover.wait_until_decided()
             if handover.state_machine.owns:
                 _reload(forwarder)
             reload.clear()
             reloading = asyncio.ensure_future(reload.wait())
     reloading.cancel()
     if stopped.done():
-        await handover.decided()
+        await handover.wait_until_decided()
         if handover.state_machine.on_stop():
             handover.close()
             await forwarder.stop()
--- a/emberlatch/store/entries.py
+++ b/emberlatch/store/entries.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-MAX_BODY = 64 * 1024  # maximum size of a message's body, in bytes
+MAX_BODY_BYTES = 64 * 1024  # maximum size of a message's body, in bytes
 
 
 @dataclass(slots=True)
--- a/emberlatch/store/group_sync.py
+++ b/emberlatch/store/group_sync.py
@@ -34,8 +34,8 @@
     Attributes:
         failed: whether a sync has failed.
         syncs: number of completed syncs.
-        served: number of callbacks run.
-        largest: highest number of callbacks that shared one sync.
+        callbacks_run: number of callbacks run.
+        largest_batch: highest number of callbacks that shared one sync.
     """
 
     def __init__(self, source: Syncable, offload: Offload, on_failure: Callable[[OSError], None]) -> None:
@@ -43,7 +43,7 @@
         self._waiting: list[Callable[[], None]] = []
         self._task: asyncio.Task[None] | None = None
         self.failed = False
-        self.syncs = self.served = self.largest = 0
+        self.syncs = self.callbacks_run = self.largest_batch = 0
 
     @property
     def pending(self) -> bool:
@@ -68,8 +68,8 @@
                 self._fail(error)
                 break
             self._source.on_synced()
-            self.syncs, self.served = self.syncs + 1, self.served + len(batch)
-            self.largest = max(self.largest, len(batch))
+            self.syncs, self.callbacks_run = self.syncs + 1, self.callbacks_run + len(batch)
+            self.largest_batch = max(self.largest_batch, len(batch))
             for callback in batch:
                 try:
                     callback()
--- a/emberlatch/store/journal.py
+++ b/emberlatch/store/journal.py
@@ -10,7 +10,7 @@
 import logging
 from collections.abc import Callable
 
-from emberlatch.store.entries import MAX_BODY, Entry
+from emberlatch.store.entries import MAX_BODY_BYTES, Entry
 from emberlatch.store.entry_index import STATE_BYTES, EntryIndex
 from emberlatch.store.errors import LimitTooSmallError, RecordDecodeError
 from emberlatch.store.files import Files
@@ -35,7 +35,7 @@
 log = logging.getLogger(__name__)
 
 SEGMENTS = 16  # a segment's size is the limit divided by this number
-MAX_RECORD_BYTES = MAX_BODY + 4096
+MAX_RECORD_BYTES = MAX_BODY_BYTES + 4096
 DISK_BLOCK_BYTES = 512  # unit of disk allocation; matters for the many small files of frequent restarts
 
 
--- a/emberlatch/takeover/messages.py
+++ b/emberlatch/takeover/messages.py
@@ -75,13 +75,13 @@
     Attributes:
         module: the state of the decision module (`Forwarder.handover_state`).
         blocked_until: the endpoints and destinations with a running Retry-After, each with its end.
-        known: the endpoint list, in the form in which the directory sends it.
+        endpoint_list: the endpoint list, in the form in which the directory sends it.
     """
 
     kind: ClassVar[MessageKind] = MessageKind.STATE
     module: Fields
     blocked_until: Sequence[BlockedUntil]
-    known: Mapping[str, object]
+    endpoint_list: Mapping[str, object]
 
     def to_body(self) -> Fields:
         """Return the fields of the frame."""
@@ -89,7 +89,7 @@
             "version": VERSION,
             "module": self.module,
             "waits": self.blocked_until,
-            "known": self.known,
+            "known": self.endpoint_list,
         }
 
     @classmethod
@@ -137,11 +137,11 @@
 
     Attributes:
         data: the bytes read so far of an incomplete request.
-        proven: whether a well-formed request was answered on the connection before.
+        has_answered_request: whether a well-formed request was answered on the connection before.
     """
 
     data: bytes
-    proven: bool
+    has_answered_request: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -155,7 +155,8 @@
         """Return the fields of the frame."""
         return {
             "each": [
-                {"data": client.data.decode("latin-1"), "proven": client.proven} for client in self.clients
+                {"data": client.data.decode("latin-1"), "proven": client.has_answered_request}
+                for client in self.clients
             ]
         }
 
--- a/emberlatch/takeover/predecessor.py
+++ b/emberlatch/takeover/predecessor.py
@@ -78,7 +78,7 @@
             self._listener.close()
             self._listener = None
 
-    async def decided(self) -> None:
+    async def wait_until_decided(self) -> None:
         """Wait until no hand-over is in progress whose result, the owner of the folder, is unknown."""
         await self._decided.wait()
 
--- a/emberlatch/takeover/successor.py
+++ b/emberlatch/takeover/successor.py
@@ -36,21 +36,21 @@
     Attributes:
         module: the state of the decision module.
         relayed: message reference, attempt number and target of each attempt whose outcome is relayed.
-        blocked_until, known: see `StateSnapshot`.
+        blocked_until, endpoint_list: see `StateSnapshot`.
     """
 
     def __init__(self, connection: HandoverConnection, snapshot: StateSnapshot) -> None:
         self.module: Fields = snapshot.module
         self.relayed = snapshot.relayed_attempts()
         self.blocked_until: Sequence[BlockedUntil] = snapshot.blocked_until
-        self.known: Mapping[str, object] = snapshot.known
+        self.endpoint_list: Mapping[str, object] = snapshot.endpoint_list
         self._connection = connection
 
     def confirm_ownership(self) -> None:
         """Notify the predecessor that this process owns the folder.
 
-        If the predecessor cannot be reached, the connection is closed: `follow` then reports the end of the
-        relay, and the attempts in flight count as possibly executed.
+        If the predecessor cannot be reached, the connection is closed: `receive_relay` then reports the end
+        of the relay, and the attempts in flight count as possibly executed.
         """
         try:
             self._connection.post(OwnershipTaken.kind)
@@ -58,7 +58,7 @@
             log.info("takeover: the predecessor cannot be notified: %s", error)
             self._connection.close()
 
-    async def follow(self, successor: Successor) -> None:
+    async def receive_relay(self, successor: Successor) -> None:
         """Receive connections and outcomes from the predecessor until it closes the connection."""
         try:
             while not self._connection.closed and (frame := await self._connection.receive()) is not None:
@@ -79,7 +79,7 @@
         match decode_relay_message(frame):
             case ClientConnections(clients):
                 for client in clients:
-                    successor.adopt_client(_next_socket(frame), client.data, client.proven)
+                    successor.adopt_client(_next_socket(frame), client.data, client.has_answered_request)
             case TargetConnections(targets):
                 for target in targets:
                     await successor.adopt_target_connection(target, _next_socket(frame))
--- a/tests/forwarders.py
+++ b/tests/forwarders.py
@@ -19,7 +19,7 @@
     path.write_text(json.dumps(document))
     state.mkdir(exist_ok=True)
     forwarder = PlatformForwarder(read_config({"EDGE_CONFIG": str(path), "EDGE_STATE": str(state)}))
-    forwarder.open()
+    forwarder.start_operator_server()
     await forwarder.start()
     try:
         yield forwarder
--- a/tests/store/test_group_sync.py
+++ b/tests/store/test_group_sync.py
@@ -54,7 +54,7 @@
         second.set_result(None)
         while group.pending:
             await asyncio.sleep(0)
-        assert called == list(range(50)) and (group.syncs, group.served, group.largest) == (
+        assert called == list(range(50)) and (group.syncs, group.callbacks_run, group.largest_batch) == (
             2,
             50,
             47,
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -318,7 +318,7 @@
     snapshot = StateSnapshot.from_body(state.body)
     module = snapshot.module
     assert module["pools"] and module["messages"] and module["calls"] and module["rests"]
-    assert state.body["known"] == snapshot.known == KNOWN
+    assert state.body["known"] == snapshot.endpoint_list == KNOWN
     assert snapshot.blocked_until == [("partner-a", 100.5), (7, 101.25)]
     calls = [(ref, attempt) for call in module["calls"] for ref, attempt, _ in call["messages"]]
     assert [(ref, attempt) for ref, attempt, _ in snapshot.relayed_attempts()] == calls
