--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -18,7 +18,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from emberlatch.directory import Ask, Drop, Failure, Question
+from emberlatch.directory import CancelRequest, Failure, RequestContent, SendRequest
 from emberlatch.faults import FaultKind, Report, TraceEvent, draw_release, play
 
 SIZES = (1, 3, 10)
@@ -32,9 +32,9 @@
         self._wanted, self._pause, self._ask_at = False, 0.5, -math.inf
         self._number, self._quiet = 0, math.inf
         self._out: int | None = None
-        self._dropped: list[Ask | Drop] = []
+        self._dropped: list[SendRequest | CancelRequest] = []
 
-    def known(self, now: float, revision: int) -> None:
+    def start_from(self, now: float, revision: int) -> None:
         """Start from that list."""
         self.revision = revision
 
@@ -45,42 +45,42 @@
     def look_up(self) -> None:
         """Not played here."""
 
-    def move(self, now: float) -> None:
+    def change_address(self, now: float) -> None:
         """The service is elsewhere."""
         if self._out is not None:
-            self._dropped.append(Drop(self._out))
+            self._dropped.append(CancelRequest(self._out))
         self.revision, self._out, self._ask_at, self._pause = None, None, now, 0.5
 
-    def answered(self, now: float, call: int, revision: int, is_complete: bool) -> bool:
+    def on_answer(self, now: float, call: int, revision: int, is_complete: bool) -> bool:
         """Every answer is believed."""
         if call != self._out:
             return False
         self.revision, self._out, self._ask_at, self._pause = revision, None, now + 0.05, 0.5
         return True
 
-    def failed(self, now: float, call: int, failure: Failure, retry_after: float = 0.0) -> bool:
+    def on_failure(self, now: float, call: int, failure: Failure, retry_after: float = 0.0) -> bool:
         """Rest, the longer the more often."""
         if call != self._out:
             return False
         self._out, self._ask_at, self._pause = None, now + self._pause, min(4.0, 2 * self._pause)
         return True
 
-    def act(self, now: float) -> list[Ask | Drop]:
+    def take_actions(self, now: float) -> list[SendRequest | CancelRequest]:
         """What is to be done."""
         done, self._dropped = self._dropped, []
         if self._out is not None and now >= self._quiet:
-            done.append(Drop(self._out))
-            self.failed(now, self._out, Failure.ENDED)
+            done.append(CancelRequest(self._out))
+            self.on_failure(now, self._out, Failure.NO_VALID_ANSWER)
         if self._wanted and self._out is None and now >= self._ask_at:
             self._number += 1
             wait = 0.0 if self.revision is None else 5.0
             self._out, self._quiet = self._number, now + wait + 1.8
-            done.append(Ask(self._number, Question(self.revision, wait), False))
+            done.append(SendRequest(self._number, RequestContent(self.revision, wait), False))
         return done
 
     @property
     def due(self) -> float:
-        """When `act` has something to do."""
+        """When `take_actions` has something to do."""
         if self._dropped:
             return -math.inf
         return self._quiet if self._out is not None else self._ask_at if self._wanted else math.inf
--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -61,7 +61,7 @@
 
     def call(self, target: api.Target, items: list[CallItem]) -> None:
         for item in items:
-            done = api.Outcome(item.ref, item.attempt, target, api.Result.OK, 0.001, closed=True)
+            done = api.Outcome(item.ref, item.attempt, target, api.Result.OK, 0.001, is_final=True)
             asyncio.get_running_loop().call_soon(self.engine.on_attempt_outcome, done)
 
     def add(self, ref: int, notice: CompletionNotice) -> None:
--- a/emberlatch/as2/carrier.py
+++ b/emberlatch/as2/carrier.py
@@ -266,7 +266,7 @@
                 exchange.receipt_arrived.set_result(None)
         elif verdict.status is ProcessingStatus.PROCESSED and not record.final_state and record.attempts:
             attempt, target = record.attempts[-1]
-            self._report(Outcome(record.ref, attempt, target.encode(), Result.OK, 0.0, closed=True))
+            self._report(Outcome(record.ref, attempt, target.encode(), Result.OK, 0.0, is_final=True))
 
 
 def request_headers(
--- a/emberlatch/core/calls.py
+++ b/emberlatch/core/calls.py
@@ -64,7 +64,7 @@
         """Handle the end of an attempt: complete its message, queue it for another attempt, or end it."""
         call = self.in_flight.pop((event.ref, event.attempt), None)
         if call is None:
-            if event.closed:  # a late outcome of an unknown call, but its message is completed
+            if event.is_final:  # a late outcome of an unknown call, but its message is completed
                 self._queue.remove(event.ref)
             return
         message = call.messages.pop((event.ref, event.attempt))
@@ -80,7 +80,7 @@
             quiet_until = self._context.now + self._context.rules.order_quiet_period
         self._queue.key_order.on_outcome(message, quiet_until)
         self._queue.wake_next(message.key)
-        if event.closed or message.ref not in self._queue.open_messages:
+        if event.is_final or message.ref not in self._queue.open_messages:
             self._queue.remove(message.ref)
         else:
             self._requeue(message, call, event.result)
--- a/emberlatch/core/events.py
+++ b/emberlatch/core/events.py
@@ -156,8 +156,8 @@
 class Outcome:
     """An attempt has ended.
 
-    `closed`: the message has its final answer. `retry_after`: seconds for which the endpoint asked to get no
-    calls. `report`: values of the `Settings.report_fields`.
+    `is_final`: the message has its final answer. `retry_after`: seconds for which the endpoint asked to get
+    no calls. `report`: values of the `Settings.report_fields`.
     """
 
     ref: int
@@ -165,7 +165,7 @@
     target: Target
     result: Result
     elapsed: float
-    closed: bool = False
+    is_final: bool = False
     retry_after: float = 0.0
     note: int = 0
     report: tuple[float, ...] = ()
--- a/emberlatch/directory/__init__.py
+++ b/emberlatch/directory/__init__.py
@@ -7,6 +7,15 @@
 
 from emberlatch.directory.assumed_delivery import AssumedDelivery, DeliveryTerms
 from emberlatch.directory.backoff import Backoff
-from emberlatch.directory.client import Ask, Client, Drop, Failure, Question
+from emberlatch.directory.client import CancelRequest, Client, Failure, RequestContent, SendRequest
 
-__all__ = ["Ask", "AssumedDelivery", "Backoff", "Client", "DeliveryTerms", "Drop", "Failure", "Question"]
+__all__ = [
+    "AssumedDelivery",
+    "Backoff",
+    "CancelRequest",
+    "Client",
+    "DeliveryTerms",
+    "Failure",
+    "RequestContent",
+    "SendRequest",
+]
--- a/emberlatch/directory/client.py
+++ b/emberlatch/directory/client.py
@@ -8,11 +8,11 @@
 | requesting | failure | delayed by the backoff | |
 | requesting | time-out | requesting | send a new watch, which supersedes the old one |
 | delayed | the delay has passed | requesting | send a watch |
-| requesting, delayed | `move()` | requesting | drop all requests, fetch the complete list |
+| requesting, delayed | `change_address()` | requesting | drop all requests, fetch the complete list |
 | requesting, delayed | `watch(False)` | idle after the current request | |
 
 A superseded watch is dropped when its successor is answered or times out. A look-up runs independently of the
-watch. The caller calls `act` after each event, and no later than at `due`.
+watch. The caller calls `take_actions` after each event, and no later than at `due`.
 """
 
 from __future__ import annotations
@@ -47,12 +47,12 @@
     """How a request ended without an answer that can be accepted."""
 
     UNSENT = "unsent"  # not written completely: the service has not received the request
-    ENDED = "ended"  # the connection ended without an answer, or the answer was an error
+    NO_VALID_ANSWER = "ended"  # the connection ended without an answer, or the answer was an error
     UNREADABLE = "unreadable"  # the answer could not be decoded
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
+class RequestContent:
     """The content of a request.
 
     Attributes:
@@ -65,29 +65,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """The action to send a request; `anew`: on a new connection, as the existing one may be dead."""
+class SendRequest:
+    """The action to send a request.
+
+    `on_new_connection`: on a new connection, as the existing one may be dead.
+    """
 
     call: int
-    question: Question
-    anew: bool
+    content: RequestContent
+    on_new_connection: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Drop:
+class CancelRequest:
     """The action to cancel a request: close its connection, and ignore a late answer."""
 
     call: int
 
 
-Action = Ask | Drop
+Action = SendRequest | CancelRequest
 
 
 @dataclass(slots=True)
 class _Call:
     """A request in flight."""
 
-    question: Question
+    content: RequestContent
     sent_at: float
     times_out_at: float
 
@@ -122,7 +125,7 @@
 
     # Events.
 
-    def known(self, now: float, revision: int) -> None:
+    def start_from(self, now: float, revision: int) -> None:
         """Start from a list that was obtained elsewhere; the first watch is delayed at random."""
         self.revision, self._watch_not_before = revision, now + self._backoff.first_delay_s()
 
@@ -134,10 +137,10 @@
         """Fetch the complete list once; ignored while such a request is in flight."""
         self._lookup_wanted = self._lookup_wanted or self._lookup_call is None
 
-    def move(self, now: float) -> None:
+    def change_address(self, now: float) -> None:
         """Start anew at another address; revisions are valid only at the address that issued them."""
         for call in self._calls:
-            self._pending_actions.append(Drop(call))
+            self._pending_actions.append(CancelRequest(call))
         self._lookup_wanted = self._lookup_wanted or self._lookup_call is not None
         self._calls.clear()
         self._watch_call = self._superseded_call = self._lookup_call = None
@@ -148,7 +151,7 @@
         self._watch_not_before = now + min(self._backoff.first_delay_s(), latest_delay)
         self.assumed_delivery.service_moved(now)
 
-    def answered(self, now: float, call: int, revision: int, complete: bool) -> bool:
+    def on_answer(self, now: float, call: int, revision: int, complete: bool) -> bool:
         """Handle a decoded answer; `complete`: it contains the complete list, otherwise changes.
 
         Returns whether the answer is accepted and is to be passed on.
@@ -175,7 +178,7 @@
         self._finish(call, now + WATCH_GAP_S)
         return True
 
-    def failed(self, now: float, call: int, failure: Failure, retry_after: float = 0.0) -> bool:
+    def on_failure(self, now: float, call: int, failure: Failure, retry_after: float = 0.0) -> bool:
         """Handle a failed request; `retry_after` is the delay in seconds that the service asked for.
 
         Returns whether the failure is new: that of a dropped or superseded request was reported before.
@@ -195,22 +198,22 @@
 
     # Actions.
 
-    def act(self, now: float) -> list[Action]:
+    def take_actions(self, now: float) -> list[Action]:
         """Return the actions that are due now, in order."""
         for number, call in list(self._calls.items()):
             if now >= call.times_out_at:
                 self._time_out(now, number, call)
         if self._lookup_wanted:
             self._lookup_wanted = False
-            self._lookup_call = self._send(now, Question(None, 0.0), is_lookup=True)
+            self._lookup_call = self._send(now, RequestContent(None, 0.0), is_lookup=True)
         if self._watch_wanted and self._watch_call is None and now >= self._watch_not_before:
-            self._watch_call = self._send(now, self._watch_question(), is_lookup=False)
+            self._watch_call = self._send(now, self._watch_content(), is_lookup=False)
         actions, self._pending_actions = self._pending_actions, []
         return actions
 
     @property
     def due(self) -> float:
-        """The latest time at which `act` must be called, unless an event occurs before."""
+        """The latest time at which `take_actions` must be called, unless an event occurs before."""
         if self._pending_actions or self._lookup_wanted:
             return -math.inf
         next_watch = self._watch_not_before if self._watch_wanted and self._watch_call is None else math.inf
@@ -231,17 +234,23 @@
         elif call == self._watch_call:  # a late answer: another one was accepted after its request
             self._finish(call, now + WATCH_GAP_S)
 
-    def _watch_question(self) -> Question:
-        return Question(None, 0.0) if self.revision is None else Question(self.revision, WATCH_WAIT_S)
+    def _watch_content(self) -> RequestContent:
+        return (
+            RequestContent(None, 0.0)
+            if self.revision is None
+            else RequestContent(self.revision, WATCH_WAIT_S)
+        )
 
-    def _send(self, now: float, question: Question, is_lookup: bool) -> int:
+    def _send(self, now: float, content: RequestContent, is_lookup: bool) -> int:
         self._last_call += 1
         timeout_s = self._watch_timeout_s
-        if question.since is None:
+        if content.since is None:
             until_deadline_s = self.assumed_delivery.deadline - now
             timeout_s = min(LOOKUP_TIMEOUT_S, max(URGENT_LOOKUP_TIMEOUT_S, until_deadline_s / 4))
-        self._calls[self._last_call] = _Call(question, now, now + timeout_s)
-        self._pending_actions.append(Ask(self._last_call, question, is_lookup or self._needs_new_connection))
+        self._calls[self._last_call] = _Call(content, now, now + timeout_s)
+        self._pending_actions.append(
+            SendRequest(self._last_call, content, is_lookup or self._needs_new_connection)
+        )
         self._needs_new_connection = self._needs_new_connection and is_lookup
         return self._last_call
 
@@ -258,7 +267,7 @@
 
     def _drop(self, number: int) -> None:
         self._record_lost_answer(self._calls.pop(number))
-        self._pending_actions.append(Drop(number))
+        self._pending_actions.append(CancelRequest(number))
 
     def _drop_superseded(self) -> None:
         if self._superseded_call is not None and self._superseded_call in self._calls:
@@ -266,7 +275,7 @@
         self._superseded_call = None
 
     def _record_lost_answer(self, call: _Call) -> None:
-        wait_s = None if call.question.since is None else call.question.wait
+        wait_s = None if call.content.since is None else call.content.wait
         self.assumed_delivery.answer_lost(call.sent_at, wait_s)
 
     def _retry_later(self, now: float, call: int, retry_after: float) -> None:
--- a/emberlatch/engine/deliveries.py
+++ b/emberlatch/engine/deliveries.py
@@ -48,7 +48,7 @@
         if entry is None:
             # The message could not be written to the journal, so it was not accepted. The decision module has
             # already counted a lease for its first call; without an outcome that lease is never released.
-            self._post_not_executed(action.ref, 0, action.target, closed=True)
+            self._post_not_executed(action.ref, 0, action.target, is_final=True)
             return
         attempt, now = entry.attempts, self._clock.now()
         entry.attempts += 1
@@ -68,8 +68,8 @@
         timeout = min(action.timeout or remaining, remaining)
         yield CallItem(entry.ref, attempt, entry.id, entry.key, entry.body, timeout)
 
-    def _post_not_executed(self, ref: int, attempt: int, target: api.Target, closed: bool = False) -> None:
-        self._post(api.Outcome(ref, attempt, target, api.Result.NOT_EXECUTED, 0.0, closed=closed))
+    def _post_not_executed(self, ref: int, attempt: int, target: api.Target, is_final: bool = False) -> None:
+        self._post(api.Outcome(ref, attempt, target, api.Result.NOT_EXECUTED, 0.0, is_final=is_final))
 
     def start_calls(self, calls: CallsByTarget) -> None:
         """Start the calls of one decision, each with at most as many messages as its target accepts."""
@@ -133,7 +133,7 @@
         """Write the change that an outcome makes to its message."""
         entry = self._messages.open_messages.get(outcome.ref)
         self._counters.count_target(outcome.target, outcome.result.name.lower())
-        if entry is not None and outcome.closed:
+        if entry is not None and outcome.is_final:
             self._close(entry, outcome.result)
         elif entry is not None and outcome.result in NOT_EXECUTED_RESULTS:
             # After any other result the attempt stays listed as one that may have been executed.
--- a/emberlatch/faults/forwarder.py
+++ b/emberlatch/faults/forwarder.py
@@ -262,7 +262,7 @@
             environment.checks.on_directory_moved(now, self.name)
 
         async def move() -> None:
-            platform.move(address)
+            platform.change_address(address)
 
         self._run_in_process(move(), process)
 
--- a/emberlatch/faults/power_loss/surroundings.py
+++ b/emberlatch/faults/power_loss/surroundings.py
@@ -136,8 +136,8 @@
             is_executed, result = rng.choices(CALL_RESULTS, CALL_RESULT_WEIGHTS)[0]
             if is_executed:
                 surroundings.call_later(duration_s * rng.random(), surroundings.execute, item)
-            closed = result is api.Result.OK
-            outcome = api.Outcome(item.ref, item.attempt, target, result, duration_s, closed=closed)
+            is_final = result is api.Result.OK
+            outcome = api.Outcome(item.ref, item.attempt, target, result, duration_s, is_final=is_final)
             surroundings.call_later(
                 duration_s, surroundings.notify, self._process, self.engine.on_attempt_outcome, outcome
             )
--- a/emberlatch/net/call.py
+++ b/emberlatch/net/call.py
@@ -24,8 +24,8 @@
         response_received: whether the response has arrived. The call may continue after it, for example until
             a receipt arrives on another connection.
         pending: the messages without an outcome, and when each one times out in the loop's time.
-        late: the messages that got an outcome while the call continued for others; the response may still
-            confirm them.
+        completed_early: the messages that got an outcome while the call continued for others; the response
+            may still confirm them.
     """
 
     def __init__(self, target: bytes, items: list[CallItem], report: Callable[[Outcome], None]) -> None:
@@ -35,7 +35,7 @@
         self._cancel_awaited: Callable[[], object] | None = None
         self._started_at = asyncio.get_running_loop().time()
         self.pending = {item: self._started_at + item.timeout for item in items}
-        self.late: list[CallItem] = []
+        self.completed_early: list[CallItem] = []
         self._report = report
 
     @property
@@ -55,7 +55,7 @@
                 now, result = loop.time(), Result.TIMEOUT if written() else Result.CONNECT_FAILED
                 for item in [item for item, times_out_at in self.pending.items() if times_out_at <= now]:
                     self.complete(item, result)
-                    self.late.append(item)
+                    self.completed_early.append(item)
 
     def cancel(self, ref: int, attempt: int) -> None:
         """Cancel a message if its request has been sent; end the call if no message is pending any more."""
@@ -63,7 +63,7 @@
             written = self.connection.written if self.connection is not None else self.response_received
             if written:
                 self.complete(item, Result.CANCELLED)
-                self.late.append(item)
+                self.completed_early.append(item)
         if not self.pending:
             if self.connection is not None:
                 self.connection.close()
@@ -71,29 +71,33 @@
                 self._cancel_awaited()
 
     def complete_all(
-        self, result: Result, closed: bool = False, retry_after_s: float = 0.0, report: tuple[float, ...] = ()
+        self,
+        result: Result,
+        is_final: bool = False,
+        retry_after_s: float = 0.0,
+        report: tuple[float, ...] = (),
     ) -> None:
         """Give all pending messages the same outcome, as `complete` does."""
         for item in list(self.pending):
-            self.complete(item, result, closed, retry_after_s, report)
+            self.complete(item, result, is_final, retry_after_s, report)
 
     def complete(
         self,
         item: CallItem,
         result: Result,
-        closed: bool = False,
+        is_final: bool = False,
         retry_after_s: float = 0.0,
         report: tuple[float, ...] = (),
     ) -> None:
-        """Give a pending message its outcome; `closed`: the message needs no other attempt."""
+        """Give a pending message its outcome; `is_final`: the message needs no other attempt."""
         del self.pending[item]
-        self.report_outcome(item, result, closed, retry_after_s, report)
+        self.report_outcome(item, result, is_final, retry_after_s, report)
 
     def report_outcome(
         self,
         item: CallItem,
         result: Result,
-        closed: bool = False,
+        is_final: bool = False,
         retry_after_s: float = 0.0,
         report: tuple[float, ...] = (),
     ) -> None:
@@ -111,7 +115,7 @@
                 self.target,
                 result,
                 elapsed_s,
-                closed,
+                is_final,
                 retry_after_s,
                 retry_after_ms,
                 report,
--- a/emberlatch/net/directory_membership.py
+++ b/emberlatch/net/directory_membership.py
@@ -10,7 +10,7 @@
 from typing import cast
 
 from emberlatch.core.interface import DirectoryUpdate, Entry, ListKind
-from emberlatch.directory import Ask, Client, Drop, Failure, Question
+from emberlatch.directory import CancelRequest, Client, Failure, RequestContent, SendRequest
 from emberlatch.engine import Address, Addresses, Counters, Tasks
 from emberlatch.net.directory_list import LIST_DECODE_ERRORS, DirectoryListCodec, ListDocument
 from emberlatch.net.http_connection import Connection, NoResponseError, Response, connect
@@ -71,7 +71,7 @@
         machine, and everything that the agent has received counts as delivered to this process.
         """
         initial = self.codec.decode(self._initial_list)
-        self._client.known(asyncio.get_running_loop().time(), initial.revision)
+        self._client.start_from(asyncio.get_running_loop().time(), initial.revision)
         self._on_update(
             DirectoryUpdate(ListKind.CACHED, initial.revision, initial.entries), initial.addresses
         )
@@ -105,18 +105,18 @@
         self._client.look_up()
         self._run_client()
 
-    def move(self, service: Address) -> None:
+    def change_address(self, service: Address) -> None:
         """Use the service at another address from now on, and ignore late answers from the previous one."""
         self._service = service
         self._keep_connection(None)
-        self._client.move(asyncio.get_running_loop().time())
+        self._client.change_address(asyncio.get_running_loop().time())
         self._run_client()
 
     def _run_client(self) -> None:
         """Carry out the actions of the client that are due, and schedule the next run."""
         loop = asyncio.get_running_loop()
-        for action in self._client.act(loop.time()):
-            if isinstance(action, Ask):
+        for action in self._client.take_actions(loop.time()):
+            if isinstance(action, SendRequest):
                 self._counters.count("asks")
                 self._calls[action.call] = self._tasks.spawn(self._call(action))
             else:
@@ -126,13 +126,13 @@
         due = self._client.due
         self._timer = loop.call_at(due, self._run_client) if due < math.inf else None
 
-    def _drop_call(self, action: Drop) -> None:
+    def _drop_call(self, action: CancelRequest) -> None:
         task = self._calls.pop(action.call, None)
         if task is not None and task.cancel():
             log.info("discovery: request without an answer cancelled")
             self._report_failure()
 
-    async def _call(self, ask: Ask) -> None:
+    async def _call(self, ask: SendRequest) -> None:
         try:
             received = self.codec.decode(json.loads((await self._exchange(ask)).body))
         except LIST_DECODE_ERRORS as error:
@@ -144,7 +144,7 @@
         finally:
             self._calls.pop(ask.call, None)
         now = asyncio.get_running_loop().time()
-        if self._client.answered(now, ask.call, received.revision, received.is_complete):
+        if self._client.on_answer(now, ask.call, received.revision, received.is_complete):
             kind = ListKind.FULL if received.is_complete else ListKind.DELTA
             self._counters.count("lists")
             self._on_update(DirectoryUpdate(kind, received.revision, received.entries), received.addresses)
@@ -155,7 +155,7 @@
     def _on_failure(self, call: int, failure: Failure, retry_after: float, cause: str) -> None:
         log.info("discovery request to %s:%d failed: %s", *self._service, cause)
         self._counters.count("ask failed")
-        if self._client.failed(asyncio.get_running_loop().time(), call, failure, retry_after):
+        if self._client.on_failure(asyncio.get_running_loop().time(), call, failure, retry_after):
             self._report_failure()
         self._run_client()
 
@@ -163,22 +163,26 @@
         overdue = self._client.overdue(asyncio.get_running_loop().time())
         self._on_update(DirectoryUpdate(ListKind.FAILED, self._client.revision or 0, overdue=overdue), {})
 
-    async def _exchange(self, ask: Ask) -> Response:
+    async def _exchange(self, ask: SendRequest) -> Response:
         """Send one request; keep its connection if it succeeds, otherwise close the connection."""
-        connection, succeeded = None if ask.anew else self._idle_connection, False
+        connection, succeeded = None if ask.on_new_connection else self._idle_connection, False
         if connection is not None:
             self._idle_connection = None
         try:
             if connection is None or not connection.usable:
                 connection = await self._connect()
-            response = await connection.exchange(_encode_request(self._service, ask.question))
+            response = await connection.exchange(_encode_request(self._service, ask.content))
             if response.status != 200:
                 after = _parse_retry_after(response.headers.get("retry-after"))
-                raise _DiscoveryError(Failure.ENDED, f"status {response.status}, expected 200", after)
+                raise _DiscoveryError(
+                    Failure.NO_VALID_ANSWER, f"status {response.status}, expected 200", after
+                )
             succeeded = True
             return response
         except NoResponseError as error:
-            raise _DiscoveryError(Failure.ENDED if error.written else Failure.UNSENT, str(error)) from error
+            raise _DiscoveryError(
+                Failure.NO_VALID_ANSWER if error.written else Failure.UNSENT, str(error)
+            ) from error
         finally:  # runs also when this task is cancelled
             if connection is not None and not succeeded:
                 connection.close()
@@ -198,10 +202,10 @@
         self._idle_connection = connection
 
 
-def _encode_request(service: Address, question: Question) -> bytes:
+def _encode_request(service: Address, content: RequestContent) -> bytes:
     path = "/v1/servers"
-    if question.since is not None:
-        path += f"?since={question.since}&timeout_ms={question.wait * 1000:.0f}"
+    if content.since is not None:
+        path += f"?since={content.since}&timeout_ms={content.wait * 1000:.0f}"
     return f"GET {path} HTTP/1.1\r\nHost: {service[0]}:{service[1]}\r\n\r\n".encode()
 
 
--- a/emberlatch/net/http_carrier.py
+++ b/emberlatch/net/http_carrier.py
@@ -50,7 +50,7 @@
 
     def _on_no_response(self, call: Call, error: NoResponseError) -> None:
         if error.status == 200 and len(call.items) == 1:
-            call.complete_all(Result.OK, closed=True)  # a status line with 200 confirms the delivery
+            call.complete_all(Result.OK, is_final=True)  # a status line with 200 confirms the delivery
         else:
             super()._on_no_response(call, error)
 
@@ -62,7 +62,7 @@
         if response.status == 200 and len(call.items) > 1:
             self._complete_batch(call, response, retry_after_s, report)
             return
-        result, closed = STATUS_RESULTS.get(response.status, UNKNOWN_RESULT)
+        result, is_final = STATUS_RESULTS.get(response.status, UNKNOWN_RESULT)
         if response.status == 503 and response.headers.get("slots-taken") == "1":
             result = Result.NOT_EXECUTED
         if (result is Result.ERROR and response.status != 500) or response.status in (400, 413):
@@ -72,18 +72,18 @@
                 response.status,
                 len(call.items),
             )
-        call.complete_all(result, closed, retry_after_s, report)
+        call.complete_all(result, is_final, retry_after_s, report)
 
     def _complete_batch(
         self, call: Call, response: Response, retry_after_s: float, report: tuple[float, ...]
     ) -> None:
         results = dict(_decode_batch(response.body))
         for item in list(call.pending):
-            result, closed = BATCH_RESULTS.get(results.get(item.id, ""), UNKNOWN_RESULT)
-            call.complete(item, result, closed, retry_after_s, report)
-        for item in call.late:
+            result, is_final = BATCH_RESULTS.get(results.get(item.id, ""), UNKNOWN_RESULT)
+            call.complete(item, result, is_final, retry_after_s, report)
+        for item in call.completed_early:
             if BATCH_RESULTS.get(results.get(item.id, ""), UNKNOWN_RESULT)[1]:
-                call.report_outcome(item, Result.OK, closed=True)
+                call.report_outcome(item, Result.OK, is_final=True)
 
 
 def _encode_request(address: Address, items: list[CallItem]) -> bytes:
--- a/emberlatch/net/notification_sender.py
+++ b/emberlatch/net/notification_sender.py
@@ -45,7 +45,7 @@
         self._unconfirmed[ref] = json.dumps(notice, separators=(",", ":")).encode() + b"\n"
         self._has_unconfirmed.set()
 
-    def move(self, platform: Address) -> None:
+    def change_address(self, platform: Address) -> None:
         """Send to another address from now on, including notices that the previous one has not confirmed."""
         self._task.cancel()
         if self._connection is not None:
--- a/emberlatch/platform/forwarder.py
+++ b/emberlatch/platform/forwarder.py
@@ -110,15 +110,15 @@
             )
             self._settings = settings
             self.engine.apply_settings(settings)
-        self.move(config.discovery)
+        self.change_address(config.discovery)
         self.engine.counters.count("reload_success")
 
-    def move(self, discovery: Address) -> None:
+    def change_address(self, discovery: Address) -> None:
         """Use discovery, which also receives the notifications, at another address from now on."""
         if discovery == self._discovery:
             return
         log.info("discovery address changes from %s:%d to %s:%d", *self._discovery, *discovery)
         self._discovery = discovery
-        self.directory.move(discovery)
-        self.notifier.move(discovery)
+        self.directory.change_address(discovery)
+        self.notifier.change_address(discovery)
         self.engine.on_directory_address_changed()
--- a/tests/core/test_endpoint_list.py
+++ b/tests/core/test_endpoint_list.py
@@ -96,7 +96,7 @@
                 events.append(api.Arrival(ref, 0, 7, 24.0))
             for send in sends(module.handle(now, events)):
                 sent += 1
-                module.handle(now, [api.Outcome(send.ref, 0, b"t", Result.OK, 0.05, closed=True)])
+                module.handle(now, [api.Outcome(send.ref, 0, b"t", Result.OK, 0.05, is_final=True)])
         counts[is_new] = sent
     assert counts[False] == 30
     assert 0 < counts[True] < 15
@@ -119,6 +119,6 @@
     assert module.endpoints[b"t"].route.rate_limit == 2.0
     untrusting = forwarder(weights=api.Weights.OFF, report_fields=("x0", "x1"))
     untrusting.handle(0.0, [listed(entry), api.Arrival(1, 0, 7, 24.0)])
-    untrusting.handle(0.1, [api.Outcome(1, 0, b"t", Result.OK, 0.1, closed=True, report=(0.5, 9.0))])
+    untrusting.handle(0.1, [api.Outcome(1, 0, b"t", Result.OK, 0.1, is_final=True, report=(0.5, 9.0))])
     untrusting.handle(1.0, [listed(replace(entry, weight=2.0))])
     assert untrusting.endpoints[b"t"].route.rate_limit == 9.0  # the reported limit stays
--- a/tests/core/test_forwarder.py
+++ b/tests/core/test_forwarder.py
@@ -527,7 +527,7 @@
     forwarder.handle(0.1, [api.Arrival(0, 0, 0, 12.0)])
     waiting = [api.Arrival(1, 0, 2, 12.0), *(api.Arrival(n, 0, 1, 12.0) for n in range(2, 12))]
     assert not any(isinstance(a, api.Send) for a in forwarder.handle(0.2, waiting))
-    actions = forwarder.handle(0.3, [api.Outcome(0, 0, bytes([0]), Result.OK, 0.2, closed=True)])
+    actions = forwarder.handle(0.3, [api.Outcome(0, 0, bytes([0]), Result.OK, 0.2, is_final=True)])
     return [action for action in actions if isinstance(action, api.Send)]
 
 
@@ -581,6 +581,6 @@
     for n in range(100):
         listed(2.0 + 0.01 * n, b"%d" % n)
     assert len(forwarder.endpoints) == len(forwarder.pools[0].routes) == 1
-    forwarder.handle(4.0, [api.Outcome(1, 1, b"new", Result.OK, 0.1, closed=True)])
+    forwarder.handle(4.0, [api.Outcome(1, 1, b"new", Result.OK, 0.1, is_final=True)])
     forwarder.handle(300.0, [api.DirectoryUpdate(api.ListKind.FULL, 2, ())])
     assert not forwarder.endpoints and not forwarder.pools and forwarder.free_slots == 8
--- a/tests/core/test_handover.py
+++ b/tests/core/test_handover.py
@@ -109,7 +109,7 @@
     harness.draining_since[attempt.target] = harness.now
     hand_over(harness, unlisted=attempt.target)
     assert harness.forwarder.free_slots == harness.settings.slots - 1
-    outcome = api.Outcome(0, 0, attempt.target, Result.OK, 0.1, closed=True)
+    outcome = api.Outcome(0, 0, attempt.target, Result.OK, 0.1, is_final=True)
     attempt.result, harness.accepted[0].answered = Result.OK, harness.now
     harness.step([outcome])
     assert harness.forwarder.free_slots == harness.settings.slots and not harness.forwarder.open_messages
--- a/tests/core/test_overtaken_calls.py
+++ b/tests/core/test_overtaken_calls.py
@@ -40,7 +40,7 @@
             answered = [(at, s) for at, s in self.in_flight if s.ref != self.unanswered and at < self.now]
             self.in_flight = [call for call in self.in_flight if call not in answered]
             events: list[api.Event] = [
-                api.Outcome(s.ref, 0, b"e", Result.OK, self.now - at, closed=True) for at, s in answered
+                api.Outcome(s.ref, 0, b"e", Result.OK, self.now - at, is_final=True) for at, s in answered
             ]
             for _ in range(arrivals):
                 self.ref += 1
@@ -99,6 +99,6 @@
         for sent in [a for a in actions if isinstance(a, api.Send)]:
             unanswered = unanswered or sent.target
             if sent.target != unanswered:
-                outcome = api.Outcome(sent.ref, 0, sent.target, Result.OK, 0.05, closed=True)
+                outcome = api.Outcome(sent.ref, 0, sent.target, Result.OK, 0.05, is_final=True)
                 next_actions = forwarder.handle(now, [outcome])
                 assert not any(isinstance(a, api.Cancel) for a in next_actions)
--- a/tests/core/test_quota_share.py
+++ b/tests/core/test_quota_share.py
@@ -39,7 +39,7 @@
             if isinstance(action, api.Send):
                 started.append(now)
                 attempt = made.open_messages[action.ref].attempts - 1
-                done = api.Outcome(action.ref, attempt, b"t", Result.OK, 0.01, closed=True)
+                done = api.Outcome(action.ref, attempt, b"t", Result.OK, 0.01, is_final=True)
                 pending.append((now + 0.01, done))
         now += step
     return started
@@ -65,7 +65,7 @@
     assert 1 not in made.open_messages
     assert any(isinstance(a, api.Send) for a in made.handle(1.1, [api.Arrival(2, 0, 7, 12.0)]))
     opened = api.Settings((NOTE, ORDER), 100, 2000, RULES)
-    done = api.Outcome(2, 0, b"t", Result.OK, 0.1, closed=True)
+    done = api.Outcome(2, 0, b"t", Result.OK, 0.1, is_final=True)
     made.handle(1.2, [api.SettingsChanged(opened), done])
     assert any(isinstance(a, api.Send) for a in made.handle(1.3, [api.Arrival(3, 1, 7, 12.0)]))
 
--- a/tests/core/test_send_rate.py
+++ b/tests/core/test_send_rate.py
@@ -39,7 +39,7 @@
 
 
 def _closed(done: api.Outcome) -> api.Outcome:
-    return api.Outcome(done.ref, done.attempt, b"t", Result.OK, 0.05, closed=True, report=done.report)
+    return api.Outcome(done.ref, done.attempt, b"t", Result.OK, 0.05, is_final=True, report=done.report)
 
 
 def total_rate_change(forwarders: int, remaining_share: float) -> float:
--- a/tests/core/test_slow_start.py
+++ b/tests/core/test_slow_start.py
@@ -46,7 +46,7 @@
                     sent.append(now)
                     result, attempt = result_at(now), self.made.open_messages[action.ref].attempts - 1
                     closed = result is Result.OK
-                    done = api.Outcome(action.ref, attempt, action.target, result, 0.01, closed=closed)
+                    done = api.Outcome(action.ref, attempt, action.target, result, 0.01, is_final=closed)
                     self.pending.append((now + 0.01, done))
         return sent
 
@@ -175,7 +175,7 @@
         made.handle(2.2 + n, [api.Outcome(n, 0, b"t", Result.FULL, 0.01)])
         reduced_rate = route.send_rate
         made.handle(2.9 + n, [api.TimerFired(0)])
-        made.handle(3.0 + n, [api.Outcome(n, 1, b"t", Result.OK, 0.01, closed=True)])
+        made.handle(3.0 + n, [api.Outcome(n, 1, b"t", Result.OK, 0.01, is_final=True)])
         assert reduced_rate < route.send_rate <= reduced_rate + 0.03 * (reduced_rate + 1) + 1e-9
 
 
--- a/tests/core/test_waiting.py
+++ b/tests/core/test_waiting.py
@@ -56,7 +56,7 @@
     for n in range(40):
         at = n / 20
         made.handle(at, [arrive(1000 + n, 12.0)])
-        made.handle(at + 0.01, [api.Outcome(1000 + n, 0, b"t", Result.OK, 0.01, closed=True)])
+        made.handle(at + 0.01, [api.Outcome(1000 + n, 0, b"t", Result.OK, 0.01, is_final=True)])
 
 
 def test_a_message_is_rejected_in_an_outage_three_times_as_old_as_its_remaining_time() -> None:
--- a/tests/directory/test_many_callers.py
+++ b/tests/directory/test_many_callers.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from emberlatch.directory import Ask, Backoff, Client, Failure
+from emberlatch.directory import Backoff, Client, Failure, SendRequest
 from emberlatch.directory.backoff import MAX_ROUND_S, SERVICE_TIME_PER_CALL_S
 
 ANSWER_TIME_S, REJECTION_TIME_S, MAX_QUEUE_TIME_S = 0.15, 0.05, 2.0
@@ -49,20 +49,20 @@
         events: list[tuple[float, int, int, int, bool]] = []  # time, order, client, call (-1: none), answered
         order = itertools.count()
         for number, client in enumerate(self.clients):
-            client.known(0.0, 0)
+            client.start_from(0.0, 0)
             client.watch(True)
             heapq.heappush(events, (max(0.0, client.due), next(order), number, -1, False))
         while events and events[0][0] <= until:
             now, _, number, call, answered = heapq.heappop(events)
             client = self.clients[number]
             if answered:
-                client.answered(now, call, 1, complete=True)
+                client.on_answer(now, call, 1, complete=True)
                 self.answered_at.setdefault(number, now)
                 client.watch(False)
             elif call >= 0:
-                client.failed(now, call, Failure.ENDED)
-            for action in client.act(now):
-                if isinstance(action, Ask):
+                client.on_failure(now, call, Failure.NO_VALID_ANSWER)
+            for action in client.take_actions(now):
+                if isinstance(action, SendRequest):
                     end, is_answered = self.service.ask(now)
                     heapq.heappush(events, (end, next(order), number, action.call, is_answered))
             if client.due < until:
@@ -104,8 +104,8 @@
 def test_after_a_move_every_client_sends_a_request_before_the_deadline() -> None:
     for seed in range(20):
         client = Client(seed, callers=120)
-        client.known(0.0, 4)
+        client.start_from(0.0, 4)
         client.watch(True)
-        client.act(10.0)
-        client.move(10.0)
+        client.take_actions(10.0)
+        client.change_address(10.0)
         assert client.due <= 12.0  # the list counts as delivered 4 s after the move
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -128,7 +128,7 @@
 
 
 def outcome(ref: int = 1, attempt: int = 0) -> api.Outcome:
-    return api.Outcome(ref, attempt, TARGET, api.Result.OK, 0.1, closed=True)
+    return api.Outcome(ref, attempt, TARGET, api.Result.OK, 0.1, is_final=True)
 
 
 def test_start_without_ports_raises_an_error_that_names_the_missing_ports(tmp_path: Path) -> None:
--- a/tests/faults/planted_bugs.py
+++ b/tests/faults/planted_bugs.py
@@ -20,7 +20,7 @@
 from emberlatch.core.records import Pool, Route
 from emberlatch.core.rules import Forwarder
 from emberlatch.core.slow_start import SlowStart
-from emberlatch.directory import Backoff, Client, Drop, Failure
+from emberlatch.directory import Backoff, CancelRequest, Client, Failure
 from emberlatch.directory import client as directory_client
 from emberlatch.engine.completions import Completions
 from emberlatch.engine.engine import Engine
@@ -241,7 +241,7 @@
 def batch_answer_counts_for_all() -> Any:
     """A batch whose connection is reset counts as delivered."""
     return patch_outcomes(
-        lambda o: replace(o, result=Result.OK, closed=True) if o.result is Result.RESET else o
+        lambda o: replace(o, result=Result.OK, is_final=True) if o.result is Result.RESET else o
     )
 
 
@@ -346,7 +346,7 @@
 
 @planted
 def move_of_the_directory_is_ignored() -> Any:
-    return patch.object(PlatformForwarder, "move", lambda self, address: None)
+    return patch.object(PlatformForwarder, "change_address", lambda self, address: None)
 
 
 @planted
@@ -355,7 +355,7 @@
 
     def outcome(self: Engine, reported: Outcome) -> None:
         entry = self.messages.open_messages.get(reported.ref)
-        if entry is not None and not reported.closed:
+        if entry is not None and not reported.is_final:
             entry.unknown_outcomes = [d for d in entry.unknown_outcomes if d.attempt != reported.attempt]
         real(self, reported)
 
@@ -385,10 +385,10 @@
 
 def _only_first(real: Any) -> Any:
     def report_outcome(
-        self: Any, item: Any, result: Any, closed: bool = False, *more: Any, **named: Any
+        self: Any, item: Any, result: Any, is_final: bool = False, *more: Any, **named: Any
     ) -> None:
-        if item not in self.late:
-            real(self, item, result, closed, *more, **named)
+        if item not in self.completed_early:
+            real(self, item, result, is_final, *more, **named)
 
     return report_outcome
 
@@ -406,13 +406,13 @@
 
     def change(real: Any) -> Any:
         def failed(self: Client, now: float, call: int, failure: Failure, retry_after: float = 0.0) -> bool:
-            if failure is Failure.ENDED and self.revision is not None:
+            if failure is Failure.NO_VALID_ANSWER and self.revision is not None:
                 self.revision += 1
             return bool(real(self, now, call, failure, retry_after))
 
         return failed
 
-    return _patch_client("failed", change)
+    return _patch_client("on_failure", change)
 
 
 @planted
@@ -430,7 +430,7 @@
 
         return failed
 
-    return _patch_client("failed", change)
+    return _patch_client("on_failure", change)
 
 
 @planted
@@ -460,12 +460,14 @@
         def act(self: Client, now: float) -> list[Any]:
             done = real(self, now)
             return (
-                [a for a in done if isinstance(a, Drop)] if any(isinstance(a, Drop) for a in done) else done
+                [a for a in done if isinstance(a, CancelRequest)]
+                if any(isinstance(a, CancelRequest) for a in done)
+                else done
             )
 
         return act
 
-    return _patch_client("act", change)
+    return _patch_client("take_actions", change)
 
 
 @planted
--- a/tests/net/test_http_carrier.py
+++ b/tests/net/test_http_carrier.py
@@ -68,7 +68,7 @@
     async def test() -> None:
         async with Peer(respond_with(status, **headers, X_Server_Load="x1=25,x0=0.4")) as peer:
             (outcome,) = await Caller(peer.address).call()
-            assert (outcome.result, outcome.closed, outcome.retry_after) == (result, closed, retry_after_s)
+            assert (outcome.result, outcome.is_final, outcome.retry_after) == (result, closed, retry_after_s)
             assert outcome.report == (0.4, 25.0)
             seen = await peer.next()
             assert (seen.path, seen.body, seen.headers["x-request-id"]) == ("/v1/messages", b"x", "m1")
@@ -145,7 +145,7 @@
         async with Peer(respond_with(200, lines, Retry_After="5")) as peer:
             caller = Caller(peer.address)
             outcomes = await caller.call("a", "b", "c", "d", "e", body=b"hi\r\n")
-            assert [(o.result, o.closed) for o in outcomes] == [
+            assert [(o.result, o.is_final) for o in outcomes] == [
                 (Result.OK, True),
                 (Result.ERROR, False),
                 (Result.FULL, False),
@@ -262,7 +262,7 @@
         async with Peer(handle) as peer:
             caller = Caller(peer.address)
             (outcome,) = await caller.call("m1")
-            assert (outcome.result, outcome.closed) == (Result.OK, True)
+            assert (outcome.result, outcome.is_final) == (Result.OK, True)
             # For a batch the status line alone confirms nothing.
             assert {o.result for o in await caller.call("a", "b")} == {Result.RESET}
 
@@ -448,7 +448,7 @@
             assert (await caller.outcomes.get()).result is Result.CANCELLED
             may_respond.set()
             outcomes = [await caller.outcomes.get() for _ in range(2)]
-            assert sorted((o.ref, o.result, o.closed) for o in outcomes) == [
+            assert sorted((o.ref, o.result, o.is_final) for o in outcomes) == [
                 (0, Result.OK, True),
                 (1, Result.OK, True),
             ]
--- a/tests/operations/test_reload.py
+++ b/tests/operations/test_reload.py
@@ -216,7 +216,7 @@
     (target,) = sent(forwarder.handle(0.0, [LISTED, api.Arrival(1, 0, 0, 4.0)]))
     forwarder.handle(0.1, [api.SettingsChanged(replace(settings, slots=2))])
     assert forwarder.free_slots == 1 and forwarder.bulkhead.unhealthy_pool_limit == 1
-    forwarder.handle(0.2, [api.Outcome(1, 0, target, api.Result.OK, 0.1, closed=True)])
+    forwarder.handle(0.2, [api.Outcome(1, 0, target, api.Result.OK, 0.1, is_final=True)])
     assert forwarder.free_slots == 2
 
 
--- a/tests/simlink/test_adapter.py
+++ b/tests/simlink/test_adapter.py
@@ -78,7 +78,7 @@
     _, [(_, outcome)] = Decoder().decode(frame(ABOUT_3, OUTCOME))
     assert isinstance(outcome, interface.Outcome)
     assert outcome.result is interface.Result.OK
-    assert outcome.closed
+    assert outcome.is_final
     assert outcome.target == bytes.fromhex("0a124a075b1b")
     assert outcome.report == pytest.approx((0.4, 1.25))
 
