--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -19,7 +19,7 @@
 from unittest.mock import patch
 
 from emberlatch.directory import CancelRequest, Failure, RequestContent, SendRequest
-from emberlatch.faults import FaultKind, Report, TraceEvent, draw_release, play
+from emberlatch.faults import FaultKind, Report, TraceEvent, draw_release, run_plan
 
 SIZES = (1, 3, 10)
 
@@ -155,7 +155,7 @@
 def measure(seed: int, plain: bool) -> tuple[int, bool, float, list[tuple[float, float]]]:
     """Play one release: forwarders, whether a drain was broken, calls a second of each, delays."""
     with patch("emberlatch.net.directory_membership.Client", PlainClient) if plain else nullcontext():
-        report = play(draw_release(seed))
+        report = run_plan(draw_release(seed))
     broken_drains = any(breach.rule == "drains" for breach in report.breaches)
     requests = sum(entry.event is TraceEvent.POLL for entry in report.trace)
     size = report.plan.forwarder_count
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -12,7 +12,7 @@
 import time
 from collections import Counter
 
-from emberlatch.faults import draw_mixed, play
+from emberlatch.faults import draw_mixed, run_plan
 
 PARTS = (
     ("emberlatch/core", "decision module"),
@@ -47,13 +47,13 @@
 def main(seeds: int) -> None:
     """Measure, and print the figures."""
     began = time.process_time()
-    messages = sum(play(draw_mixed(seed)).messages for seed in range(seeds))
+    messages = sum(run_plan(draw_mixed(seed)).messages for seed in range(seeds))
     took = time.process_time() - began
     print(f"{seeds / took:.1f} seeds a second of one core, {messages / seeds:.0f} messages each")
     profile = cProfile.Profile()
     profile.enable()
     for seed in range(seeds // 4):
-        play(draw_mixed(seed))
+        run_plan(draw_mixed(seed))
     profile.disable()
     shares: Counter[str] = Counter()
     for (file, _, name), (_, _, own, _, _) in pstats.Stats(profile).stats.items():  # type: ignore[attr-defined]
--- a/benchmarks/planted.py
+++ b/benchmarks/planted.py
@@ -5,7 +5,7 @@
 import sys
 from concurrent.futures import ProcessPoolExecutor
 
-from emberlatch.faults import DRAWS, play
+from emberlatch.faults import PLAN_GENERATORS, run_plan
 from tests.faults.planted_bugs import PLANTED_BUGS
 
 
@@ -13,7 +13,7 @@
     """The first seed that catches a bug (-1: none of so many), and the rule that it broke."""
     with PLANTED_BUGS[name]():
         for seed in range(max_seeds):
-            if breaches := play(DRAWS[draw](seed)).breaches:
+            if breaches := run_plan(PLAN_GENERATORS[draw](seed)).breaches:
                 return name, seed, breaches[0].rule
     return name, -1, ""
 
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -24,7 +24,7 @@
 from emberlatch.core import interface as api
 from emberlatch.core.health import RouteHealth
 from emberlatch.core.records import Route
-from emberlatch.faults import DRAWS, play
+from emberlatch.faults import PLAN_GENERATORS, run_plan
 
 SHUT_AT_S, OPEN_AT_S, END_S = 20.0, 29.0, 60.0  # seconds
 LATENCY_S, RETRY_AFTER_S, LATENCY_TARGET_S = 0.08, 0.4, 3.0  # seconds
@@ -128,7 +128,7 @@
 def _recovery_shares(job: tuple[int, bool]) -> tuple[tuple[int, int], tuple[int, int], int]:
     seed, reinstates = job
     with with_reinstatement(reinstates):
-        report = play(DRAWS["mixed"](seed))
+        report = run_plan(PLAN_GENERATORS["mixed"](seed))
     return report.since_last_fault, report.after_recovery, len(report.breaches)
 
 
--- a/emberlatch/cli/faults.py
+++ b/emberlatch/cli/faults.py
@@ -10,7 +10,17 @@
 
 from emberlatch.cli.common import PATH, fail
 from emberlatch.cli.seeds import SeedRange
-from emberlatch.faults import DRAWS, Plan, PlanError, Report, digest, parse, play, play_seeds, shrink
+from emberlatch.faults import (
+    PLAN_GENERATORS,
+    Plan,
+    PlanError,
+    Report,
+    parse_plan,
+    run_plan,
+    run_seeds,
+    shrink,
+    trace_digest,
+)
 
 DEFAULT_DRAW = "mixed"
 
@@ -18,10 +28,10 @@
 def _plan_at(source: str) -> Plan:
     """The plan of a seed (12, or release:12 for another way to draw), or the one in a file."""
     draw, colon, seed = source.rpartition(":")
-    if seed.isdigit() and (not colon or draw in DRAWS):
-        return DRAWS[draw or DEFAULT_DRAW](int(seed))
+    if seed.isdigit() and (not colon or draw in PLAN_GENERATORS):
+        return PLAN_GENERATORS[draw or DEFAULT_DRAW](int(seed))
     try:
-        return parse(Path(source).read_text())
+        return parse_plan(Path(source).read_text())
     except (OSError, PlanError) as error:
         fail([f"{source}: {error}"])
 
@@ -30,7 +40,7 @@
     for breach in report.breaches:
         click.echo(str(breach))
     found = f"{len(report.breaches)} breaches" if report.breaches else "no breach"
-    click.echo(f"{found}; {report.messages} messages, {report.steps} steps, trace {digest(report)}")
+    click.echo(f"{found}; {report.messages} messages, {report.steps} steps, trace {trace_digest(report)}")
 
 
 @click.group()
@@ -44,13 +54,13 @@
 @faults.command()
 @click.option("--seeds", type=SeedRange(), default="0-299", show_default=True)
 @click.option("--jobs", type=click.IntRange(1, 256), default=8, show_default=True)
-@click.option("--plans", type=click.Choice(sorted(DRAWS)), default=DEFAULT_DRAW, show_default=True)
+@click.option("--plans", type=click.Choice(sorted(PLAN_GENERATORS)), default=DEFAULT_DRAW, show_default=True)
 def run(seeds: range, jobs: int, plans: str) -> None:
     """Play many seeds; a line for each breach, with the last events before it. Exit 1 if there is any."""
     started_at, steps, messages = time.perf_counter(), 0, 0
     broken_rules: Counter[str] = Counter()
     with click.progressbar(length=len(seeds), label="seeds") as bar:
-        for result in play_seeds(seeds, jobs, plans):
+        for result in run_seeds(seeds, jobs, plans):
             bar.update(1)
             steps, messages = steps + result.steps, messages + result.messages
             if result.breaches:
@@ -73,7 +83,7 @@
 @click.option("--trace", "target", type=PATH, help="A file for the complete trace.")
 def replay(source: str, until: float | None, target: Path | None) -> None:
     """Play SOURCE once more and show its plan, its trace and its breaches."""
-    report = play(_plan_at(source))
+    report = run_plan(_plan_at(source))
     click.echo(str(report.plan))
     if target is not None:
         target.write_text("".join(f"{line}\n" for line in report.lines))
@@ -90,11 +100,11 @@
 def shrink_plan(source: str) -> None:
     """Leave out every fault of SOURCE that its first breach does not need, and print what remains."""
     plan = _plan_at(source)
-    breaches = play(plan).breaches
+    breaches = run_plan(plan).breaches
     if not breaches:
         fail([f"{source} breaks nothing"])
     smallest = shrink(plan, breaches[0].rule)
-    click.echo(f"# breaks: {play(smallest).breaches[0]}")
+    click.echo(f"# breaks: {run_plan(smallest).breaches[0]}")
     click.echo(str(smallest), nl=False)
 
 
@@ -105,6 +115,6 @@
     """Draw a timeline of SOURCE: one lane an endpoint, faults behind the calls, breaches as red lines."""
     from emberlatch.faults.timeline import render_svg
 
-    report = play(_plan_at(source))
+    report = run_plan(_plan_at(source))
     output.write_text(render_svg(report), encoding="utf-8")
     _print_verdict(report)
--- a/emberlatch/faults/__init__.py
+++ b/emberlatch/faults/__init__.py
@@ -4,21 +4,21 @@
 """
 
 from emberlatch.faults.checks import Breach, Rule
-from emberlatch.faults.plan import Fault, FaultKind, Plan, PlanError, parse
+from emberlatch.faults.plan import Fault, FaultKind, Plan, PlanError, parse_plan
 from emberlatch.faults.plan_generator import (
-    DRAWS,
+    PLAN_GENERATORS,
     draw_mixed,
     draw_pushed_release,
     draw_release,
     draw_takeovers,
 )
-from emberlatch.faults.run import Report, digest, play, shrink
-from emberlatch.faults.seed_runs import SeedResult, play_seed, play_seeds
+from emberlatch.faults.run import Report, run_plan, shrink, trace_digest
+from emberlatch.faults.seed_runs import SeedResult, run_seed, run_seeds
 from emberlatch.faults.service_level import ServiceLevel
 from emberlatch.faults.trace import TraceEntry, TraceEvent
 
 __all__ = [
-    "DRAWS",
+    "PLAN_GENERATORS",
     "Breach",
     "Fault",
     "FaultKind",
@@ -30,14 +30,14 @@
     "ServiceLevel",
     "TraceEntry",
     "TraceEvent",
-    "digest",
     "draw_mixed",
     "draw_pushed_release",
     "draw_release",
     "draw_takeovers",
-    "parse",
-    "play",
-    "play_seed",
-    "play_seeds",
+    "parse_plan",
+    "run_plan",
+    "run_seed",
+    "run_seeds",
     "shrink",
+    "trace_digest",
 ]
--- a/emberlatch/faults/fault_injection.py
+++ b/emberlatch/faults/fault_injection.py
@@ -120,7 +120,7 @@
     def _rejoin(self, endpoint: SimulatedEndpoint) -> None:
         targets = self._targets
         targets.capacity_bound.on_reachability(targets.trace.now, endpoint.name, True)
-        targets.network.rejoin(parse_address(endpoint.server.address))
+        targets.network.end_isolation(parse_address(endpoint.server.address))
 
     def _apply_directory_fault(self, fault: Fault, is_active: bool) -> None:
         directory = self._targets.directory
--- a/emberlatch/faults/forwarder.py
+++ b/emberlatch/faults/forwarder.py
@@ -52,7 +52,7 @@
     def isolate(self, address: Address) -> None:
         """Isolate an address: from now on no packet leaves or reaches it."""
 
-    def rejoin(self, address: Address) -> None:
+    def end_isolation(self, address: Address) -> None:
         """End the isolation of an address; the connections that it had are reset."""
 
 
--- a/emberlatch/faults/loopback.py
+++ b/emberlatch/faults/loopback.py
@@ -37,7 +37,7 @@
         """Raise NotImplementedError: isolation needs privileges."""
         raise NotImplementedError(f"loopback address {address} can't be isolated")
 
-    def rejoin(self, address: Address) -> None:
+    def end_isolation(self, address: Address) -> None:
         """Raise NotImplementedError: isolation needs privileges."""
         raise NotImplementedError(f"loopback address {address} can't be isolated, so it can't rejoin")
 
--- a/emberlatch/faults/network.py
+++ b/emberlatch/faults/network.py
@@ -127,7 +127,7 @@
         """Isolate an address: from now on no packet leaves or reaches it."""
         self.isolated_addresses.add(address)
 
-    def rejoin(self, address: Address) -> None:
+    def end_isolation(self, address: Address) -> None:
         """End the isolation of an address and reset the connections that it had."""
         self.isolated_addresses.discard(address)
         for transport in [transport for transport in self.transports if transport.address == address]:
--- a/emberlatch/faults/plan.py
+++ b/emberlatch/faults/plan.py
@@ -180,7 +180,7 @@
         return replace(self, faults=tuple(fault for fault in self.faults if fault not in dropped_faults))
 
 
-def parse(text: str) -> Plan:
+def parse_plan(text: str) -> Plan:
     """Parse a plan; raises PlanError."""
     numbers: dict[str, float] = {}
     faults: list[Fault] = []
--- a/emberlatch/faults/plan_generator.py
+++ b/emberlatch/faults/plan_generator.py
@@ -130,7 +130,7 @@
     return Plan(seed, _in_order(faults), forwarder_count=forwarder_count)
 
 
-DRAWS: Mapping[str, Callable[[int], Plan]] = {
+PLAN_GENERATORS: Mapping[str, Callable[[int], Plan]] = {
     "mixed": draw_mixed,
     "release": draw_release,
     "pushed": draw_pushed_release,
--- a/emberlatch/faults/run.py
+++ b/emberlatch/faults/run.py
@@ -66,7 +66,7 @@
         logger.propagate = propagate
 
 
-def play(plan: Plan) -> Report:
+def run_plan(plan: Plan) -> Report:
     """Run a plan in the current thread."""
     loop = VirtualLoop()
     environment = SimulatedEnvironment(plan, loop)
@@ -89,7 +89,7 @@
     )
 
 
-def digest(report: Report) -> str:
+def trace_digest(report: Report) -> str:
     """A hash of a trace, which is the same for the same plan in every process."""
     hashed = hashlib.blake2b(digest_size=8)
     for line in report.lines:
@@ -104,7 +104,7 @@
         changed = False
         for part in _removable_parts(plan):
             smaller = plan.without(part)
-            if any(breach.rule == rule for breach in play(smaller).breaches):
+            if any(breach.rule == rule for breach in run_plan(smaller).breaches):
                 plan, changed = smaller, True
                 break
     return plan
--- a/emberlatch/faults/seed_runs.py
+++ b/emberlatch/faults/seed_runs.py
@@ -9,8 +9,8 @@
 from multiprocessing import get_context
 
 from emberlatch.faults.checks import Breach
-from emberlatch.faults.plan_generator import DRAWS
-from emberlatch.faults.run import digest, play
+from emberlatch.faults.plan_generator import PLAN_GENERATORS
+from emberlatch.faults.run import run_plan, trace_digest
 
 SHOWN_EVENTS = 8  # number of trace events that are kept with a breach
 SEEDS_PER_JOB = 20
@@ -28,31 +28,31 @@
     digest: str
 
 
-def play_seed(seed: int, kind: str = "mixed") -> SeedResult:
-    """Run the plan that a generator of `DRAWS` draws from a seed."""
-    report = play(DRAWS[kind](seed))
+def run_seed(seed: int, kind: str = "mixed") -> SeedResult:
+    """Run the plan that a generator of `PLAN_GENERATORS` draws from a seed."""
+    report = run_plan(PLAN_GENERATORS[kind](seed))
     last_events: deque[str] = deque(maxlen=SHOWN_EVENTS)
     if report.breaches:
         until = report.breaches[0].at
         last_events.extend(str(entry) for entry in report.trace if round(entry.at, 6) <= until)
     return SeedResult(
-        seed, report.breaches, tuple(last_events), report.steps, report.messages, digest(report)
+        seed, report.breaches, tuple(last_events), report.steps, report.messages, trace_digest(report)
     )
 
 
-def play_seeds(seeds: Sequence[int], jobs: int, kind: str = "mixed") -> Iterator[SeedResult]:
+def run_seeds(seeds: Sequence[int], jobs: int, kind: str = "mixed") -> Iterator[SeedResult]:
     """Run many seeds on `jobs` processes, and yield each result when it is available."""
     if jobs == 1:
-        yield from _play_chunk(seeds, kind)
+        yield from _run_chunk(seeds, kind)
         return
     with ProcessPoolExecutor(jobs, mp_context=get_context("spawn")) as pool:
         running = [
-            pool.submit(_play_chunk, seeds[start : start + SEEDS_PER_JOB], kind)
+            pool.submit(_run_chunk, seeds[start : start + SEEDS_PER_JOB], kind)
             for start in range(0, len(seeds), SEEDS_PER_JOB)
         ]
         for done in as_completed(running):
             yield from done.result()
 
 
-def _play_chunk(seeds: Sequence[int], kind: str) -> list[SeedResult]:
-    return [play_seed(seed, kind) for seed in seeds]
+def _run_chunk(seeds: Sequence[int], kind: str) -> list[SeedResult]:
+    return [run_seed(seed, kind) for seed in seeds]
--- a/emberlatch/simulation/network.py
+++ b/emberlatch/simulation/network.py
@@ -49,7 +49,7 @@
     def restore_power(self, host: str, ports: Iterable[int]) -> None:
         """Connect a host again; the connections that it had before are reset."""
         for port in ports:
-            self.rejoin((host, port))
+            self.end_isolation((host, port))
         for end in list(self.transports):
             if end.peer.is_lost and not end.is_lost:
                 end.mark_lost(ConnectionResetError(errno.ECONNRESET, "reset"))
--- a/tests/faults/test_capacity_bound.py
+++ b/tests/faults/test_capacity_bound.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from emberlatch.faults import Plan, draw_mixed, play
+from emberlatch.faults import Plan, draw_mixed, run_plan
 from emberlatch.faults.capacity_bound import CapacityBound, DemandedMessage
 from emberlatch.faults.clients import SimulatedClients
 from emberlatch.standins.endpoint_model import Behaviour, Condition
@@ -100,12 +100,12 @@
         return ((at, done and self.name != "f3") for at, done in real(self, *span))
 
     plan = Plan(1, duration_s=34.0, rate_per_s=1.0, forwarder_count=10)
-    assert not play(plan).breaches
+    assert not run_plan(plan).breaches
     with patch.object(SimulatedClients, "served_in_time", served_in_time):
-        assert [breach.text[:3] for breach in play(plan).breaches] == ["f3 "]
+        assert [breach.text[:3] for breach in run_plan(plan).breaches] == ["f3 "]
 
 
 def test_simulated_runs_serve_something_and_at_most_the_bound() -> None:
     for seed in range(6):
-        served_in_time, capacity_bound = play(draw_mixed(seed)).since_last_fault
+        served_in_time, capacity_bound = run_plan(draw_mixed(seed)).since_last_fault
         assert 0 < served_in_time <= capacity_bound
--- a/tests/faults/test_checks.py
+++ b/tests/faults/test_checks.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from emberlatch.faults import DRAWS, Fault, FaultKind, Plan, PlanError, draw_mixed, parse
+from emberlatch.faults import PLAN_GENERATORS, Fault, FaultKind, Plan, PlanError, draw_mixed, parse_plan
 from emberlatch.faults.checks import RuleChecks, RuleParameters
 from emberlatch.faults.plan_generator import LAST_FAULT_END_S
 
@@ -170,7 +170,7 @@
 def test_generated_plans_are_reproducible_overlapping_and_survive_parsing() -> None:
     for seed in range(300):
         plan = draw_mixed(seed)
-        assert plan == draw_mixed(seed) and parse(str(plan)) == plan
+        assert plan == draw_mixed(seed) and parse_plan(str(plan)) == plan
         assert all(
             fault.kind in FaultKind and (fault.until or 0.0) <= LAST_FAULT_END_S for fault in plan.faults
         )
@@ -179,7 +179,9 @@
             sum(f.since <= at <= (f.until or LAST_FAULT_END_S) for f in plan.faults) for at in moments
         )
         assert len(plan.faults) >= 3 and overlap >= 3
-    drawn = {fault.kind for seed in range(300) for way in DRAWS.values() for fault in way(seed).faults}
+    drawn = {
+        fault.kind for seed in range(300) for way in PLAN_GENERATORS.values() for fault in way(seed).faults
+    }
     assert drawn == set(FaultKind)
 
 
@@ -196,7 +198,7 @@
 )
 def test_invalid_plan_is_rejected_with_its_line_number(text: str, message: str) -> None:
     with pytest.raises(PlanError, match=message):
-        parse(text)
+        parse_plan(text)
 
 
 def test_without_removes_the_given_faults() -> None:
--- a/tests/faults/test_seeds.py
+++ b/tests/faults/test_seeds.py
@@ -12,18 +12,18 @@
 
 from emberlatch.cli import main
 from emberlatch.faults import (
-    DRAWS,
+    PLAN_GENERATORS,
     Fault,
     FaultKind,
     Plan,
-    digest,
     draw_mixed,
     draw_pushed_release,
     draw_release,
     draw_takeovers,
-    parse,
-    play,
+    parse_plan,
+    run_plan,
     shrink,
+    trace_digest,
 )
 from tests.faults.planted_bugs import PLANTED_BUGS
 from tests.peers import ROOT
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("chunk", range(CHUNKS))
 def test_mixed_plans_of_fixed_seeds_break_no_rule(chunk: int) -> None:
     for seed in range(chunk, SEEDS, CHUNKS):
-        report = play(draw_mixed(seed))
+        report = run_plan(draw_mixed(seed))
         assert not report.breaches, f"seed {seed}: {report.breaches[0]}"
         assert report.messages > 50
 
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize("chunk", range(12))
 def test_releases_under_an_overloaded_directory_break_no_rule(chunk: int) -> None:
     for seed in range(chunk, RELEASES, 12):
-        report = play(draw_release(seed))
+        report = run_plan(draw_release(seed))
         assert not report.breaches, f"release {seed}: {report.breaches[0]}"
         assert report.messages > 100
 
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize("chunk", range(6))
 def test_releases_with_pushed_lists_break_no_rule(chunk: int) -> None:
     for seed in range(chunk, 60, 6):
-        report = play(draw_pushed_release(seed))
+        report = run_plan(draw_pushed_release(seed))
         assert not report.breaches, f"pushed {seed}: {report.breaches[0]}"
         assert report.messages > 80
 
@@ -61,7 +61,7 @@
 def test_takeovers_break_no_rule(chunk: int) -> None:
     takeover_count = 0
     for seed in range(chunk, 48, 6):
-        report = play(draw_takeovers(seed))
+        report = run_plan(draw_takeovers(seed))
         assert not report.breaches, f"takeover {seed}: {report.breaches[0]}"
         takeover_count += sum(" took-over " in line for line in report.lines)
     assert takeover_count > 10
@@ -69,12 +69,12 @@
 
 def test_calls_relayed_through_two_takeovers_are_counted_by_the_last_process() -> None:
     """A second takeover begins while the first process relays calls; then the middle process is killed."""
-    assert not play(draw_takeovers(1103)).breaches
+    assert not run_plan(draw_takeovers(1103)).breaches
 
 
 @pytest.mark.parametrize("path", PLANS, ids=lambda path: path.stem)
 def test_stored_plans_break_no_rule(path: Path) -> None:
-    report = play(parse(path.read_text()))
+    report = run_plan(parse_plan(path.read_text()))
     assert not report.breaches, report.breaches[0]
     assert report.messages > 50
 
@@ -93,13 +93,13 @@
             Fault(14.0, None, FaultKind.KILL_AT_DISK_CALL, "f0", f"{1 + number % 4} {moment}"),
             Fault(15.2, None, FaultKind.KILL_AT_DISK_CALL, "f0", f"{1 + number % 3} {moment}"),
         )
-        report = play(Plan(number, faults, rate_per_s=6.0))
+        report = run_plan(Plan(number, faults, rate_per_s=6.0))
         assert not report.breaches, f"{number} {moment}: {report.breaches[0]}"
 
 
 def test_runs_without_faults_break_no_rule_and_give_up_few_messages() -> None:
     for seed in range(10):
-        report = play(Plan(seed, rate_per_s=3.0))
+        report = run_plan(Plan(seed, rate_per_s=3.0))
         assert not report.breaches
         ends = [line for line in report.lines if " notice " in line]
         assert len(ends) <= 0.02 * report.messages
@@ -168,14 +168,14 @@
     found = DETECTED_BY[name]
     if isinstance(found, int):
         plan = draw_mixed(found)
-    elif (kind := found.partition(":")[0]) in DRAWS:
-        plan = DRAWS[kind](int(found.partition(":")[2]))
+    elif (kind := found.partition(":")[0]) in PLAN_GENERATORS:
+        plan = PLAN_GENERATORS[kind](int(found.partition(":")[2]))
     else:
-        plan = parse((ROOT / "tests" / "plans" / f"{found}.plan").read_text())
+        plan = parse_plan((ROOT / "tests" / "plans" / f"{found}.plan").read_text())
     with PLANTED_BUGS[name]():
-        first, again = play(plan), play(plan)
+        first, again = run_plan(plan), run_plan(plan)
     assert first.breaches and first.breaches == again.breaches
-    assert not play(plan).breaches
+    assert not run_plan(plan).breaches
 
 
 def test_every_planted_bug_has_a_plan_that_detects_it() -> None:
@@ -183,7 +183,9 @@
 
 
 def test_trace_digests_do_not_depend_on_the_process_or_its_hash_seed() -> None:
-    code = "from emberlatch.faults import *; print([digest(play(draw_mixed(s))) for s in (3, 6, 11)])"
+    code = (
+        "from emberlatch.faults import *; print([trace_digest(run_plan(draw_mixed(s))) for s in (3, 6, 11)])"
+    )
     outputs = set()
     for hash_seed in ("0", "1", "4711"):
         environment = os.environ | {"PYTHONHASHSEED": hash_seed}
@@ -196,7 +198,7 @@
             check=True,
         )
         outputs.add(done.stdout)
-    assert outputs == {f"{[digest(play(draw_mixed(seed))) for seed in (3, 6, 11)]}\n"}
+    assert outputs == {f"{[trace_digest(run_plan(draw_mixed(seed))) for seed in (3, 6, 11)]}\n"}
 
 
 def test_shrink_keeps_only_the_faults_that_cause_the_breach() -> None:
@@ -222,8 +224,8 @@
     code, out = call("run", "--seeds", "0-3", "--jobs", "1")
     assert code == 0 and "4 seeds in" in out and "broken: none" in out
     code, out = call("replay", "3", "--trace", str(tmp_path / "trace"))
-    assert code == 0 and digest(play(draw_mixed(3))) in out
-    assert (tmp_path / "trace").read_text() == "".join(f"{line}\n" for line in play(draw_mixed(3)).lines)
+    assert code == 0 and trace_digest(run_plan(draw_mixed(3))) in out
+    assert (tmp_path / "trace").read_text() == "".join(f"{line}\n" for line in run_plan(draw_mixed(3)).lines)
     code, out = call("replay", "3", "--until", "1.0")
     assert (
         "ready f0" in out
@@ -245,4 +247,4 @@
     assert call("run", "--seeds", "x")[0] == 2
     code, out = call("run", "--plans", "release", "--seeds", "0", "--jobs", "1")
     assert code == 0 and "1 seeds in" in out
-    assert digest(play(draw_release(0))) in call("replay", "release:0")[1]
+    assert trace_digest(run_plan(draw_release(0))) in call("replay", "release:0")[1]
--- a/tests/faults/test_simulated_machine.py
+++ b/tests/faults/test_simulated_machine.py
@@ -180,7 +180,7 @@
             async with asyncio.timeout(30):
                 await loop.create_connection(RecordingProtocol, *SERVER_ADDRESS)
         assert server.data == b"" and client.events == []
-        network.rejoin(SERVER_ADDRESS)
+        network.end_isolation(SERVER_ADDRESS)
         await asyncio.sleep(0.05)
         assert client.events == [ConnectionResetError]
         await loop.create_connection(RecordingProtocol, *SERVER_ADDRESS)
