--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -18,8 +18,8 @@
 from typing import Any
 from unittest.mock import patch
 
-from emberlatch.directory import Ask, Drop, Failure, Question
-from emberlatch.faults import FaultKind, Report, TraceEvent, draw_release, play
+from emberlatch.directory import CancelRequest, Failure, RequestContent, SendRequest
+from emberlatch.faults import FaultKind, Report, TraceEvent, draw_release, run_plan
 
 SIZES = (1, 3, 10)
 
@@ -32,9 +32,9 @@
         self._wanted, self._backoff_s, self._ask_at = False, 0.5, -math.inf
         self._number, self._timeout_at = 0, math.inf
         self._in_flight: int | None = None
-        self._drops: list[Ask | Drop] = []
+        self._drops: list[SendRequest | CancelRequest] = []
 
-    def known(self, now: float, revision: int) -> None:
+    def start_from(self, now: float, revision: int) -> None:
         """Start from the list of this revision."""
         self.revision = revision
 
@@ -45,20 +45,20 @@
     def look_up(self) -> None:
         """Do nothing: look-ups are not part of this benchmark."""
 
-    def move(self, now: float) -> None:
+    def change_address(self, now: float) -> None:
         """Handle a move of the service to another address: drop the call, and ask for the full list."""
         if self._in_flight is not None:
-            self._drops.append(Drop(self._in_flight))
+            self._drops.append(CancelRequest(self._in_flight))
         self.revision, self._in_flight, self._ask_at, self._backoff_s = None, None, now, 0.5
 
-    def answered(self, now: float, call: int, revision: int, is_complete: bool) -> bool:
+    def on_answer(self, now: float, call: int, revision: int, is_complete: bool) -> bool:
         """Accept any response to the current call."""
         if call != self._in_flight:
             return False
         self.revision, self._in_flight, self._ask_at, self._backoff_s = revision, None, now + 0.05, 0.5
         return True
 
-    def failed(self, now: float, call: int, failure: Failure, retry_after: float = 0.0) -> bool:
+    def on_failure(self, now: float, call: int, failure: Failure, retry_after: float = 0.0) -> bool:
         """Handle a failed call: schedule the next one, and double the back-off."""
         if call != self._in_flight:
             return False
@@ -69,22 +69,22 @@
         )
         return True
 
-    def act(self, now: float) -> list[Ask | Drop]:
+    def take_actions(self, now: float) -> list[SendRequest | CancelRequest]:
         """Return the calls to make and to drop at this time."""
         done, self._drops = self._drops, []
         if self._in_flight is not None and now >= self._timeout_at:
-            done.append(Drop(self._in_flight))
-            self.failed(now, self._in_flight, Failure.ENDED)
+            done.append(CancelRequest(self._in_flight))
+            self.on_failure(now, self._in_flight, Failure.NO_VALID_ANSWER)
         if self._wanted and self._in_flight is None and now >= self._ask_at:
             self._number += 1
             wait = 0.0 if self.revision is None else 5.0
             self._in_flight, self._timeout_at = self._number, now + wait + 1.8
-            done.append(Ask(self._number, Question(self.revision, wait), False))
+            done.append(SendRequest(self._number, RequestContent(self.revision, wait), False))
         return done
 
     @property
     def due(self) -> float:
-        """Return the time at which `act` has something to do."""
+        """Return the time at which `take_actions` has something to do."""
         if self._drops:
             return -math.inf
         return self._timeout_at if self._in_flight is not None else self._ask_at if self._wanted else math.inf
@@ -161,7 +161,7 @@
 def measure(seed: int, plain: bool) -> tuple[int, bool, float, list[tuple[float, float]]]:
     """Play one release plan; return forwarders, whether it broke a drain, calls/s of each, and delays."""
     with patch("emberlatch.net.directory_membership.Client", PlainClient) if plain else nullcontext():
-        report = play(draw_release(seed))
+        report = run_plan(draw_release(seed))
     broken_drains = any(breach.rule == "drains" for breach in report.breaches)
     requests = sum(entry.event is TraceEvent.POLL for entry in report.trace)
     size = report.plan.forwarder_count
--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -53,7 +53,7 @@
 
     def start(self) -> None:
         listed = api.DirectoryUpdate(api.ListKind.CACHED, 1, tuple(self.entries.values()))
-        self.engine.listed(listed, dict.fromkeys(TARGETS, ("h", 1)))
+        self.engine.on_membership_update(listed, dict.fromkeys(TARGETS, ("h", 1)))
 
     def update(self, entries: Sequence[api.Entry], addresses: Addresses, is_complete: bool) -> None:
         """Ignore the update: the entries are fixed."""
@@ -63,15 +63,15 @@
 
     def call(self, target: api.Target, items: list[CallItem]) -> None:
         for item in items:
-            done = api.Outcome(item.ref, item.attempt, target, api.Result.OK, 0.001, closed=True)
-            asyncio.get_running_loop().call_soon(self.engine.outcome, done)
+            done = api.Outcome(item.ref, item.attempt, target, api.Result.OK, 0.001, is_final=True)
+            asyncio.get_running_loop().call_soon(self.engine.on_attempt_outcome, done)
 
     def add(self, ref: int, notice: CompletionNotice) -> None:
         self.completions[notice["ref"]].set_result(None)
-        asyncio.get_running_loop().call_soon(self.engine.confirmed, [ref])
+        asyncio.get_running_loop().call_soon(self.engine.on_notices_confirmed, [ref])
 
-    def watch(self, active: bool) -> None: ...
-    def look_up(self) -> None: ...
+    def set_watching(self, active: bool) -> None: ...
+    def request_list(self) -> None: ...
     def cancel(self, ref: int, attempt: int) -> None: ...
     def close_idle(self, target: api.Target) -> None: ...
 
@@ -79,21 +79,21 @@
 class _Responder:
     """Stores whether one message was accepted."""
 
-    gone = False
+    client_disconnected = False
 
     def __init__(self) -> None:
         self.accepted_future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
 
-    def accepted(self) -> None:
+    def respond_accepted(self) -> None:
         self.accepted_future.set_result(True)
 
-    def rejected(self, retry_after: float) -> None:
+    def respond_rejected(self, retry_after: float) -> None:
         self.accepted_future.set_result(False)
 
-    def unavailable(self, retry_after: float | None = None) -> None:
+    def respond_unavailable(self, retry_after: float | None = None) -> None:
         self.accepted_future.set_result(False)
 
-    def failed(self) -> None:
+    def respond_failed(self) -> None:
         self.accepted_future.set_result(False)
 
 
@@ -109,7 +109,7 @@
             when_durable = self._waiting.pop(0)
             await self._offload(self._source.prepare_sync())
             self._source.on_synced()
-            self.syncs, self.served = self.syncs + 1, self.served + 1
+            self.syncs, self.callbacks_run = self.syncs + 1, self.callbacks_run + 1
             when_durable()
         self._task = None
 
@@ -118,7 +118,7 @@
     """Run clients against one engine in a mode, and return the figures as a table row."""
     stubs = _EnginePortStubs()
     classes = NO_DURABLE_CLASSES if mode == "process" else DurableClasses(frozenset({"order"}))
-    store = Journal(Folder(folder), 64 << 20, durable=classes.exist)
+    store = Journal(Folder(folder), 64 << 20, durable=classes.any)
     engine = stubs.engine = Engine(SETTINGS, 1, store, Tasks(), REAL_MACHINE, classes)
     if mode == "each":
         engine.durability.sync = EachSync(store, REAL_MACHINE.offload, _ignore)
@@ -145,12 +145,12 @@
     took_s, cpu_used_s = loop.time() - started_at, time.process_time() - cpu_started_s
     latencies_s.sort()
     sync = engine.durability.sync
-    batch = sync.served / sync.syncs if sync.syncs else math.nan
+    batch = sync.callbacks_run / sync.syncs if sync.syncs else math.nan
     median, p99 = (latencies_s[int(len(latencies_s) * part)] * 1e3 for part in (0.5, 0.99))
     options = (
         f"{len(latencies_s) / took_s:9.0f} {median:8.2f} {p99:8.2f} {sync.syncs / took_s:8.0f} {batch:7.1f}"
     )
-    return f"{options} {sync.largest:8} {cpu_used_s / max(1, len(latencies_s)) * 1e6:9.0f}"
+    return f"{options} {sync.largest_batch:8} {cpu_used_s / max(1, len(latencies_s)) * 1e6:9.0f}"
 
 
 def median_sync_ms(folder: Path) -> float:
--- a/benchmarks/planted.py
+++ b/benchmarks/planted.py
@@ -8,7 +8,7 @@
 import sys
 from concurrent.futures import ProcessPoolExecutor
 
-from emberlatch.faults import DRAWS, play
+from emberlatch.faults import PLAN_GENERATORS, run_plan
 from tests.faults.planted_bugs import PLANTED_BUGS
 
 
@@ -16,7 +16,7 @@
     """Return the bug, the first seed that detects it (-1 if none does), and the rule that was violated."""
     with PLANTED_BUGS[name]():
         for seed in range(max_seeds):
-            if breaches := play(DRAWS[draw](seed)).breaches:
+            if breaches := run_plan(PLAN_GENERATORS[draw](seed)).breaches:
                 return name, seed, breaches[0].rule
     return name, -1, ""
 
--- a/emberlatch/engine/deliveries.py
+++ b/emberlatch/engine/deliveries.py
@@ -44,11 +44,11 @@
         calls.setdefault(action.target, []).extend(self._record_attempt(action))
 
     def _record_attempt(self, action: api.Send) -> Iterator[CallItem]:
-        entry = self._messages.open.get(action.ref)
+        entry = self._messages.open_messages.get(action.ref)
         if entry is None:
             # The message could not be written to the journal, so it was not accepted. The decision module has
             # already counted a lease for its first call; without an outcome that lease is never released.
-            self._post_not_executed(action.ref, 0, action.target, closed=True)
+            self._post_not_executed(action.ref, 0, action.target, is_final=True)
             return
         attempt, now = entry.attempts, self._clock.now()
         entry.attempts += 1
@@ -68,8 +68,8 @@
         timeout = min(action.timeout or remaining, remaining)
         yield CallItem(entry.ref, attempt, entry.id, entry.key, entry.body, timeout)
 
-    def _post_not_executed(self, ref: int, attempt: int, target: api.Target, closed: bool = False) -> None:
-        self._post(api.Outcome(ref, attempt, target, api.Result.NOT_EXECUTED, 0.0, closed=closed))
+    def _post_not_executed(self, ref: int, attempt: int, target: api.Target, is_final: bool = False) -> None:
+        self._post(api.Outcome(ref, attempt, target, api.Result.NOT_EXECUTED, 0.0, is_final=is_final))
 
     def start_calls(self, calls: CallsByTarget) -> None:
         """Start the calls of one decision, each with at most as many messages as its target accepts."""
@@ -90,7 +90,7 @@
         had passed, although no message had been delivered. With the latest deadline first, such an answer
         arrives only after all messages of the call have been completed, and is ignored.
         """
-        return sorted(items, key=lambda item: -self._messages.open[item.ref].deadline)
+        return sorted(items, key=lambda item: -self._messages.open_messages[item.ref].deadline)
 
     def _start_call(self, target: api.Target, items: list[CallItem]) -> None:
         """Start a call once the records of all its attempts are durable."""
@@ -103,14 +103,14 @@
         def send_remaining() -> None:
             remaining = [item for item in items if (item.ref, item.attempt) in self._awaiting_sync]
             for item in items:  # completed or cancelled during the sync, so it was not sent
-                if item not in remaining or item.ref not in self._messages.open:
+                if item not in remaining or item.ref not in self._messages.open_messages:
                     result = api.Result.NOT_EXECUTED
                     self.report(api.Outcome(item.ref, item.attempt, target, result, 0.0))
             self._awaiting_sync -= attempts
-            if remaining := [item for item in remaining if item.ref in self._messages.open]:
+            if remaining := [item for item in remaining if item.ref in self._messages.open_messages]:
                 self._send(target, remaining)
 
-        categories = [self._messages.open[item.ref].category for item in items]
+        categories = [self._messages.open_messages[item.ref].category for item in items]
         self._durability.when_durable(categories, send_remaining)
 
     def _send(self, target: api.Target, items: list[CallItem]) -> None:
@@ -131,9 +131,9 @@
 
     def _record_outcome(self, outcome: api.Outcome) -> None:
         """Write the change that an outcome makes to its message."""
-        entry = self._messages.open.get(outcome.ref)
+        entry = self._messages.open_messages.get(outcome.ref)
         self._counters.count_target(outcome.target, outcome.result.name.lower())
-        if entry is not None and outcome.closed:
+        if entry is not None and outcome.is_final:
             self._close(entry, outcome.result)
         elif entry is not None and outcome.result in NOT_EXECUTED_RESULTS:
             # After any other result the attempt stays listed as one that may have been executed.
--- a/emberlatch/faults/forwarder.py
+++ b/emberlatch/faults/forwarder.py
@@ -52,7 +52,7 @@
     def isolate(self, address: Address) -> None:
         """Isolate an address: from now on no packet leaves or reaches it."""
 
-    def rejoin(self, address: Address) -> None:
+    def end_isolation(self, address: Address) -> None:
         """End the isolation of an address; the connections that it had are reset."""
 
 
@@ -186,7 +186,7 @@
             seed=environment.plan.seed,
             connection_limits=CONNECTION_LIMITS,
             journal_bytes=DISK_BYTES,
-            known=self._known_list,
+            initial_list=self._known_list,
             raw_settings=environment.raw_settings,
             settings=environment.settings,
         )
@@ -215,7 +215,7 @@
             for action in actions:
                 if not isinstance(action, Reject | Fail):
                     continue
-                if (entry := engine.messages.open.get(action.ref)) is not None:
+                if (entry := engine.messages.open_messages.get(action.ref)) is not None:
                     environment.checks.on_given_up(environment.trace.now, entry.id)
             return actions
 
@@ -262,7 +262,7 @@
             environment.checks.on_directory_moved(now, self.name)
 
         async def move() -> None:
-            platform.move(address)
+            platform.change_address(address)
 
         self._run_in_process(move(), process)
 
--- a/tests/storm/planted.py
+++ b/tests/storm/planted.py
@@ -40,13 +40,13 @@
 
 def hears_no_waits() -> None:
     """Ignore the Retry-After of endpoints."""
-    outcome = Engine.outcome
+    outcome = Engine.on_attempt_outcome
 
     def without_retry_after(self: Engine, reported: api.Outcome) -> None:
         outcome(self, replace(reported, retry_after=0.0))
 
     PooledCarrier._set_retry_after = lambda self, target, retry_after_s: None  # type: ignore[method-assign]
-    Engine.outcome = without_retry_after  # type: ignore[assignment,method-assign]
+    Engine.on_attempt_outcome = without_retry_after  # type: ignore[assignment,method-assign]
 
 
 def passes_no_waits_on() -> None:
