--- a/emberlatch/cluster/control_plane.py
+++ b/emberlatch/cluster/control_plane.py
@@ -44,7 +44,7 @@
         membership: The other machines.
         agreed: A copy of the register's state, which the control plane updates.
         active_configuration: Adopts the agreed configuration.
-        replicator: The store that a decommission empties.
+        message_store: The store that a decommission empties.
         disk: Stores the register's record.
         tasks: Runs the background tasks of the control plane.
         announce: Sends a heartbeat immediately to report a change to the other machines.
@@ -53,7 +53,7 @@
     membership: MembershipView
     agreed: AgreedState
     active_configuration: ActiveConfiguration
-    replicator: MessageStore
+    message_store: MessageStore
     disk: Disk
     tasks: Tasks
     announce: Callable[[], None]
@@ -84,7 +84,7 @@
         self._report_basis: tuple[int, ControlState, str, bool] | None = None  # the inputs of `_report`
         self.config_service = ConfigService(self.service, self._view)
         self.decommissions = Decommissions(
-            settings.node, self._tasks, self._view, self.service, ports.replicator
+            settings.node, self._tasks, self._view, self.service, ports.message_store
         )
         self._maintenance = MaintenanceLoop(
             self.service,
--- a/emberlatch/cluster/decommission/decommissions.py
+++ b/emberlatch/cluster/decommission/decommissions.py
@@ -33,7 +33,7 @@
         tasks: Runs the evacuation.
         stores: The other stores.
         service: The agreed control state.
-        replicator: The store of this machine.
+        message_store: The store of this machine.
     """
 
     def __init__(
@@ -42,11 +42,11 @@
         tasks: Tasks,
         stores: StoreDirectory,
         service: ControlService,
-        replicator: MessageStore,
+        message_store: MessageStore,
     ) -> None:
         self._node, self._tasks, self._stores, self._service = node, tasks, stores, service
         self._state_client = ControlStateClient(service, DECISION_TIMEOUT_S)
-        self._evacuation = Evacuation(node, replicator, stores)
+        self._evacuation = Evacuation(node, message_store, stores)
         self._running = False
 
     def state_changed(self, before: ControlState, state: ControlState) -> None:
--- a/emberlatch/cluster/decommission/evacuation.py
+++ b/emberlatch/cluster/decommission/evacuation.py
@@ -15,14 +15,14 @@
 class Evacuation:
     """Empties the store of this process: hands its messages to other owners and replicates its records."""
 
-    def __init__(self, node: str, replicator: MessageStore, stores: StoreDirectory) -> None:
-        self._node, self._replicator, self._stores = node, replicator, stores
+    def __init__(self, node: str, message_store: MessageStore, stores: StoreDirectory) -> None:
+        self._node, self._message_store, self._stores = node, message_store, stores
 
     async def run(self) -> None:
         """Evacuate; return once no message is owned here and no record needs its replica on this machine."""
-        while self._replicator.phase is Phase.STARTING:
+        while self._message_store.phase is Phase.STARTING:
             await asyncio.sleep(POLL_INTERVAL_S)
-        self._replicator.enter_phase(Phase.RETIRING)
+        self._message_store.enter_phase(Phase.RETIRING)
         while not await self._step():
             await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -31,17 +31,19 @@
 
         A failed call is retried in a later step.
         """
-        replicator = self._replicator
+        message_store = self._message_store
         try:
-            if records := replicator.local_store.delivery.remove_idle():
-                await replicator.ownership.hand_over(records)
+            if records := message_store.local_store.delivery.remove_idle():
+                await message_store.ownership.hand_over(records)
             counted = self._writable()
-            under_replicated = replicator.repair.under_replicated(counted)
+            under_replicated = message_store.repair.under_replicated(counted)
             under_replicated.sort(key=lambda record: not record.is_queued)  # Undelivered messages come first.
-            await replicator.repair.add_copies(under_replicated[:MAX_RECORDS_PER_STEP], counted)
-            remaining = replicator.repair.under_replicated(self._writable())
+            await message_store.repair.add_copies(under_replicated[:MAX_RECORDS_PER_STEP], counted)
+            remaining = message_store.repair.under_replicated(self._writable())
             return not (
-                remaining or replicator.is_accepting or replicator.local_store.index.owned_by(self._node)
+                remaining
+                or message_store.is_accepting
+                or message_store.local_store.index.owned_by(self._node)
             )
         except CallFailedError:
             return False
--- a/emberlatch/cluster/message_store/__init__.py
+++ b/emberlatch/cluster/message_store/__init__.py
@@ -4,6 +4,7 @@
 from emberlatch.cluster.message_store.disk_health import DiskState
 from emberlatch.cluster.message_store.index import RecordIndex
 from emberlatch.cluster.message_store.local_store import LocalStore, Phase
+from emberlatch.cluster.message_store.message_store import MessageStore, StoreLimits
 from emberlatch.cluster.message_store.messages import (
     AcceptReply,
     AcceptRequest,
@@ -20,7 +21,6 @@
     LateBoundDeliveryQueue,
 )
 from emberlatch.cluster.message_store.record import STATE_LABELS, MessageState, Record
-from emberlatch.cluster.message_store.replicator import MessageStore, StoreLimits
 from emberlatch.cluster.message_store.request_handlers import MessageStoreHandlers
 from emberlatch.cluster.message_store.undeliverable import UndeliverableReason, log_undeliverable
 
--- a/emberlatch/cluster/message_store/request_handlers.py
+++ b/emberlatch/cluster/message_store/request_handlers.py
@@ -5,6 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
+from emberlatch.cluster.message_store.message_store import MessageStore
 from emberlatch.cluster.message_store.messages import (
     AcceptRequest,
     AssumeOwnershipRequest,
@@ -16,7 +17,6 @@
     StateReport,
 )
 from emberlatch.cluster.message_store.record import Record
-from emberlatch.cluster.message_store.replicator import MessageStore
 from emberlatch.cluster.rpc import RpcConnection, RpcMethod
 
 Handler = Callable[[RpcConnection, object], object]
@@ -26,10 +26,10 @@
 class MessageStoreHandlers:
     """Serves the calls to one message store. Handlers raise MessageDecodeError for an invalid payload."""
 
-    def __init__(self, replicator: MessageStore) -> None:
-        self._accept_service, self._replication = replicator.accept_service, replicator.replication
-        self._cancellation, self._state_commits = replicator.cancellation, replicator.state_commits
-        self._ownership, self._repair = replicator.ownership, replicator.repair
+    def __init__(self, message_store: MessageStore) -> None:
+        self._accept_service, self._replication = message_store.accept_service, message_store.replication
+        self._cancellation, self._state_commits = message_store.cancellation, message_store.state_commits
+        self._ownership, self._repair = message_store.ownership, message_store.repair
 
     def table(self) -> dict[str, Handler]:
         """Return the handler of each method."""
--- a/emberlatch/cluster/node/builder.py
+++ b/emberlatch/cluster/node/builder.py
@@ -117,14 +117,14 @@
 
     def _store(self) -> StoreParts:
         delivery = LateBoundDeliveryQueue()
-        replicator = self._replicator(delivery)
+        message_store = self._message_store(delivery)
         control = ControlPlane(
             self._settings,
             ControlPlanePorts(
                 membership=self._membership,
                 agreed=self._agreed,
                 active_configuration=self._active_configuration,
-                replicator=replicator,
+                message_store=message_store,
                 disk=self._disk,
                 tasks=self._tasks,
                 announce=self._changes.notify,
@@ -132,15 +132,15 @@
             self._incarnation,
             self._seed,
         )
-        targets, dispatcher = self._delivery(replicator)
+        targets, dispatcher = self._delivery(message_store)
         delivery.bind(dispatcher)
-        return StoreParts(replicator, control, targets, dispatcher)
+        return StoreParts(message_store, control, targets, dispatcher)
 
     def _create_database(self) -> RecordDatabase:
         assert self._settings.data_dir is not None
         return RecordDatabase(self._settings.data_dir / "records.db", self._disk, self._machine.wall)
 
-    def _replicator(self, delivery: LateBoundDeliveryQueue) -> MessageStore:
+    def _message_store(self, delivery: LateBoundDeliveryQueue) -> MessageStore:
         settings, membership, database = self._settings, self._membership, self._database
         assert database is not None
         index = RecordIndex(settings.node)
@@ -148,7 +148,7 @@
         local_store = LocalStore(settings.node, index, database, delivery)
         return MessageStore(local_store, self._tasks, membership, self._changes, limits)
 
-    def _delivery(self, replicator: MessageStore) -> tuple[TargetDirectory, Dispatcher]:
+    def _delivery(self, message_store: MessageStore) -> tuple[TargetDirectory, Dispatcher]:
         settings = self._settings
         targets = TargetDirectory(settings.heartbeat_ms / 1000)
         dispatch_settings = DispatchSettings(
@@ -159,7 +159,7 @@
             max_connections=max(MIN_TARGET_CONNECTIONS, (settings.max_fds - RESERVED_FDS) // 4),
         )
         quota_shares = QuotaShares(settings.node, settings.zone, self._membership)
-        owner = StoreDeliveryOwner(replicator, targets, quota_shares)
+        owner = StoreDeliveryOwner(message_store, targets, quota_shares)
         dispatcher = Dispatcher(dispatch_settings, self._tasks, owner)
         targets.subscribe(dispatcher.update_target)
         return targets, dispatcher
--- a/emberlatch/cluster/node/graceful_shutdown.py
+++ b/emberlatch/cluster/node/graceful_shutdown.py
@@ -61,7 +61,7 @@
         # Without a complete flush a commit is stuck or has failed; the other stores know of it already.
         if self._store is not None and flushed:
             with contextlib.suppress(OSError):
-                self._store.replicator.local_store.database.close()
+                self._store.message_store.local_store.database.close()
         log_event(Event.STOPPED, self._node)
 
     async def _drain_front(self, front: HttpListener, deadline: float) -> None:
@@ -77,14 +77,14 @@
 
     async def _drain_store(self, store: StoreParts, deadline: float) -> None:
         """Accept no new messages, hand over those that are not in flight, and finish those that are."""
-        replicator, listener = store.replicator, self._control_listener
-        replicator.enter_phase(Phase.CLOSING)
+        message_store, listener = store.message_store, self._control_listener
+        message_store.enter_phase(Phase.CLOSING)
         if listener is not None:
             listener.close_listener()
             listener.drain(True)
-        await store.dispatcher.close(replicator.ownership.hand_over, deadline)
+        await store.dispatcher.close(message_store.ownership.hand_over, deadline)
         await _wait_while(
-            lambda: replicator.is_accepting or (listener is not None and listener.pending_requests > 0),
+            lambda: message_store.is_accepting or (listener is not None and listener.pending_requests > 0),
             deadline - STORE_DRAIN_MARGIN_S,
             STORE_POLL_S,
         )
@@ -95,7 +95,7 @@
             peer.flush()
         await asyncio.sleep(NOTICE_SEND_S)
         remaining_s = deadline - FLUSH_MARGIN_S - asyncio.get_running_loop().time()
-        return await store.replicator.flush(max(0.0, remaining_s))
+        return await store.message_store.flush(max(0.0, remaining_s))
 
 
 async def _wait_while(condition: Callable[[], bool], deadline: float, poll_s: float) -> None:
--- a/emberlatch/cluster/node/heartbeats.py
+++ b/emberlatch/cluster/node/heartbeats.py
@@ -70,7 +70,7 @@
         store, revision = self._store, self.reported_revision()
         phase, disk, control = None, None, None
         if store is not None:
-            phase, disk = store.replicator.phase.value, store.replicator.local_store.disk_state
+            phase, disk = store.message_store.phase.value, store.message_store.local_store.disk_state
             control = store.control.report()
         digest = self._membership.roster.digest()
         if self._encoded is not None:
--- a/emberlatch/cluster/node/node.py
+++ b/emberlatch/cluster/node/node.py
@@ -33,9 +33,9 @@
         self._shutdown = parts.shutdown
 
     @property
-    def replicator(self) -> MessageStore | None:
+    def message_store(self) -> MessageStore | None:
         """The component that stores messages; None without a disk."""
-        return self._store.replicator if self._store is not None else None
+        return self._store.message_store if self._store is not None else None
 
     @property
     def control(self) -> ControlPlane | None:
--- a/emberlatch/cluster/node/parts.py
+++ b/emberlatch/cluster/node/parts.py
@@ -14,7 +14,7 @@
 class StoreParts:
     """Components that store and deliver messages."""
 
-    replicator: MessageStore
+    message_store: MessageStore
     control: ControlPlane
     targets: TargetDirectory
     dispatcher: Dispatcher
--- a/emberlatch/cluster/node/store_request_handlers.py
+++ b/emberlatch/cluster/node/store_request_handlers.py
@@ -32,7 +32,7 @@
         """The handler of each method."""
         control = self._store.control
         return {
-            **MessageStoreHandlers(self._store.replicator).table(),
+            **MessageStoreHandlers(self._store.message_store).table(),
             RpcMethod.CONFIGURATION: self._configuration,
             RpcMethod.TARGET: self._target,
             RpcMethod.TARGETS: self._targets,
--- a/emberlatch/cluster/node/store_service.py
+++ b/emberlatch/cluster/node/store_service.py
@@ -13,7 +13,7 @@
 
 
 class StoreService:
-    """Opens the database, starts the replicator, and runs the periodic work."""
+    """Opens the database, starts the message store, and runs the periodic work."""
 
     def __init__(
         self, store: StoreParts, membership: MembershipView, tasks: Tasks, initial_start: bool
@@ -25,11 +25,11 @@
     def open(self) -> None:
         """Open the database and read the roster of the earlier incarnation: the stores that it knew.
 
-        An unreadable disk is not an error here: the replicator opens the database again, and `run` reads the
-        roster after that.
+        An unreadable disk is not an error here: the message store opens the database again, and `run` reads
+        the roster after that.
         """
         with contextlib.suppress(OSError):
-            self._store.replicator.local_store.database.open()
+            self._store.message_store.local_store.database.open()
             self._restore_roster()
 
     def _restore_roster(self) -> None:
@@ -37,14 +37,14 @@
         self._roster_restored = True
 
     async def run(self) -> None:
-        """Start the replicator and run the periodic work until cancelled."""
-        replicator = self._store.replicator
-        await replicator.start(self._initial_start)
+        """Start the message store and run the periodic work until cancelled."""
+        message_store = self._store.message_store
+        await message_store.start(self._initial_start)
         if not self._roster_restored:
             with contextlib.suppress(OSError):  # Without the roster, the seeds report the other stores.
                 self._restore_roster()
                 self._membership.dial()
-        self._tasks.spawn(replicator.run_maintenance())
+        self._tasks.spawn(message_store.run_maintenance())
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(INTERVAL_S)
--- a/emberlatch/simulation/node.py
+++ b/emberlatch/simulation/node.py
@@ -87,9 +87,9 @@
         return self.program
 
     @property
-    def replicator(self) -> MessageStore:
-        """The replicator of a store; NodeNotStartedError on a forwarder."""
-        return self._part(self.running.replicator, "replicator")
+    def message_store(self) -> MessageStore:
+        """The message store of a store; NodeNotStartedError on a forwarder."""
+        return self._part(self.running.message_store, "replicator")
 
     @property
     def control_plane(self) -> ControlPlane:
@@ -163,8 +163,8 @@
 
     def release_disk(self) -> None:
         """Close the files that the process had open, without writing anything."""
-        if self.program is not None and self.program.replicator is not None:
-            self.program.replicator.local_store.database.close_without_commit()
+        if self.program is not None and self.program.message_store is not None:
+            self.program.message_store.local_store.database.close_without_commit()
 
     def kill(self, restart_after_s: float = RESTART_DELAY_S) -> None:
         """Send SIGKILL; the process is started again after `restart_after_s` seconds."""
--- a/emberlatch/simulation/repair_cost.py
+++ b/emberlatch/simulation/repair_cost.py
@@ -9,7 +9,7 @@
 
 from emberlatch.cluster.message_store import MessageState, Record
 from emberlatch.cluster.message_store.index import RecordIndex
-from emberlatch.cluster.message_store.replicator import MessageStore
+from emberlatch.cluster.message_store.message_store import MessageStore
 from emberlatch.simulation.cluster import SimulatedCluster
 from emberlatch.simulation.growth import peak_memory_mib
 from emberlatch.simulation.plan import Plan
@@ -76,7 +76,7 @@
 
 async def _measure_repairs(cluster: SimulatedCluster, cost: RepairCost) -> None:
     """Measure the repair, and then a second one, when no record is missing."""
-    repair, program = _replicator(cluster, OWNER).repair, cluster.nodes[OWNER].program
+    repair, program = _message_store(cluster, OWNER).repair, cluster.nodes[OWNER].program
     assert program is not None
     peer = program.membership.stores()[REPLICA]
     for repeated in (False, True):
@@ -95,14 +95,14 @@
         )
 
 
-def _replicator(cluster: SimulatedCluster, name: str) -> MessageStore:
+def _message_store(cluster: SimulatedCluster, name: str) -> MessageStore:
     program = cluster.nodes[name].program
-    assert program is not None and program.replicator is not None, f"{name} is not a running store"
-    return program.replicator
+    assert program is not None and program.message_store is not None, f"{name} is not a running store"
+    return program.message_store
 
 
 def _index(cluster: SimulatedCluster, name: str) -> RecordIndex:
-    return _replicator(cluster, name).local_store.index
+    return _message_store(cluster, name).local_store.index
 
 
 def _fill(cluster: SimulatedCluster, cost: RepairCost, waiting_share: float, rng: random.Random) -> None:
--- a/tests/cluster/support.py
+++ b/tests/cluster/support.py
@@ -116,7 +116,7 @@
     found = []
     for name, node in cluster.nodes.items():
         if node.up and node.is_store:
-            connection = node.replicator.local_store.database._db
+            connection = node.message_store.local_store.database._db
             assert connection is not None
             rows = connection.execute("SELECT id FROM records WHERE id = ?", (id,)).fetchall()
             found += [name] if rows else []
--- a/tests/cluster/test_cluster.py
+++ b/tests/cluster/test_cluster.py
@@ -124,9 +124,9 @@
         cluster = scenario.cluster
         sent = [await submit(scenario, "f0", delay_ms=2000) for _ in range(6)]
         isolate(cluster, "s0", 20.0)
-        replicator = cluster.nodes["s0"].replicator
-        await until(lambda: not replicator.ownership.may_deliver(), 3.0)
-        owned = {r.id for r in replicator.local_store.index.owned_by("s0")}
+        message_store = cluster.nodes["s0"].message_store
+        await until(lambda: not message_store.ownership.may_deliver(), 3.0)
+        owned = {r.id for r in message_store.local_store.index.owned_by("s0")}
         await asyncio.sleep(6.0)
         assert all(success_count(cluster, s.id) == 1 for s in sent)
         assert owned & {s.id for s in sent} <= cluster.history.runs.keys()
@@ -171,9 +171,9 @@
         cluster.nodes["s1"].power_off(0.5, wipe=True)
         await asyncio.sleep(2.5)
         wiped = cluster.nodes["s1"]
-        assert wiped.replicator.phase is Phase.STARTING
+        assert wiped.message_store.phase is Phase.STARTING
         assert (await call_control(cluster, "s1", "GET", "/api/configuration/retrieve")).status == 503
-        await until(lambda: wiped.replicator.phase is Phase.SERVING, 10.0)
+        await until(lambda: wiped.message_store.phase is Phase.SERVING, 10.0)
         await asyncio.sleep(1.0)
         assert all(len(stores_with_durable_copy(cluster, s.id)) >= 2 for s in sent)
 
@@ -355,9 +355,9 @@
         assert await scenario.operator.send(8)
         await asyncio.sleep(4.0)
         states = [
-            n.replicator.state_commits.message_state(MessageQuery(sent.id))
+            n.message_store.state_commits.message_state(MessageQuery(sent.id))
             for n in cluster.nodes.values()
-            if n.program is not None and n.running.replicator is not None
+            if n.program is not None and n.running.message_store is not None
         ]
         assert MessageStatus("dead_letter", "") in states and sent.id not in cluster.history.runs
 
@@ -374,9 +374,9 @@
     cross_zone_count = 0
     for id, runs in cluster.history.runs.items():
         owner = next(
-            n.replicator.local_store.index.records[id].owner
+            n.message_store.local_store.index.records[id].owner
             for n in stores.values()
-            if id in n.replicator.local_store.index.records
+            if id in n.message_store.local_store.index.records
         )
         cross_zone_count += cluster.targets[runs[-1].target].zone != stores[owner].zone
     assert len(cluster.history.runs) > 50 and cross_zone_count == 0
@@ -390,7 +390,7 @@
             assert (await submit(scenario)).status == 202
         await asyncio.sleep(2.0)
         indexes = {
-            n.name: n.replicator.local_store.index for n in scenario.cluster.nodes.values() if n.is_store
+            n.name: n.message_store.local_store.index for n in scenario.cluster.nodes.values() if n.is_store
         }
         assert sum(len(index.records) for index in indexes.values()) == 90
         for name, index in indexes.items():
--- a/tests/cluster/test_control_faults.py
+++ b/tests/cluster/test_control_faults.py
@@ -67,8 +67,8 @@
     delivering = []
     for name in nodes:
         program = scenario.cluster.nodes[name].program
-        assert program is not None and program.replicator is not None
-        if program.replicator.ownership.may_deliver():
+        assert program is not None and program.message_store is not None
+        if program.message_store.ownership.may_deliver():
             delivering.append(name)
     return delivering
 
--- a/tests/cluster/test_disks.py
+++ b/tests/cluster/test_disks.py
@@ -55,7 +55,7 @@
 
 
 def disk_state(node: SimulatedNode) -> DiskState:
-    return node.replicator.local_store.database.health.state(node.environment.loop.time())
+    return node.message_store.local_store.database.health.state(node.environment.loop.time())
 
 
 # Single components.
@@ -334,8 +334,8 @@
     assert {s.status for s in sent} == {202}
     for name in STORES:
         cluster.nodes[name].disk.fail(DiskFault.FULL)
-        cluster.nodes[name].replicator.local_store.database.write_note("probe", 1)
-        cluster.nodes[name].replicator.local_store.database.schedule_commit()
+        cluster.nodes[name].message_store.local_store.database.write_note("probe", 1)
+        cluster.nodes[name].message_store.local_store.database.schedule_commit()
     await asyncio.sleep(4.0)
     assert {disk_state(cluster.nodes[name]) for name in STORES} == {DiskState.FAILING}
     for name in STORES:
@@ -360,12 +360,12 @@
         await scenario.start()
         cluster = scenario.cluster
         sent = await submit_in_turn(scenario, 12, delay_ms=2500)
-        owned = cluster.nodes["s0"].replicator.local_store.index.owned_by("s0")
+        owned = cluster.nodes["s0"].message_store.local_store.index.owned_by("s0")
         assert owned
         cluster.nodes["s0"].disk.fail(DiskFault.FULL)
         await submit(scenario)
         await asyncio.sleep(1.2)
-        assert not cluster.nodes["s0"].replicator.local_store.index.owned_by("s0")
+        assert not cluster.nodes["s0"].message_store.local_store.index.owned_by("s0")
         lines = find_problems(await collect_reports((cluster.nodes["s1"].host, INNER_PORT)))
         assert "s0: its disk is failing" in lines, str(lines)
         await asyncio.sleep(2.5)
@@ -450,7 +450,7 @@
         cluster = scenario.cluster
         sent = await submit_in_turn(scenario, 12, delay_ms=3000)
         node = cluster.nodes["s0"]
-        assert node.replicator.local_store.index.owned_by("s0")
+        assert node.message_store.local_store.index.owned_by("s0")
 
         def unreadable(self: RecordDatabase) -> None:
             if self._path.parent == node.folder and cluster.loop.time() < healthy_at:
@@ -481,7 +481,7 @@
         cluster.nodes["s0"].disk.sync_s = 3.0
         sent = await submit(scenario, "f0")
         await asyncio.sleep(1.0)
-        known = cluster.nodes["s0"].replicator.local_store.index.records.get(sent.id)
+        known = cluster.nodes["s0"].message_store.local_store.index.records.get(sent.id)
         assert known is None or (known.owner, known.epoch) == ("s0", 1)
         cluster.nodes["s0"].disk.sync_s = 0.001
         await asyncio.sleep(6.0)
@@ -691,13 +691,13 @@
         await asyncio.sleep(0.5)
         for name in STORES:
             cluster.nodes[name].disk.fail(DiskFault.FULL, writes=1)
-            local_store = cluster.nodes[name].replicator.local_store
+            local_store = cluster.nodes[name].message_store.local_store
             found = local_store.index.records.get(sent.id)
             if found is not None:
                 local_store.merge(found, MessageState.DEAD_LETTERED, "", found.epoch, found.owner, 0)
         await asyncio.sleep(1.0)
         for name in stores_with_durable_copy(cluster, sent.id):
-            stored = cluster.nodes[name].replicator.local_store.database.load(0.0)
+            stored = cluster.nodes[name].message_store.local_store.database.load(0.0)
             assert [r.state for r in stored if r.id == sent.id] == [MessageState.DEAD_LETTERED]
 
     assert not detects_fault(steps)
--- a/tests/cluster/test_heartbeats.py
+++ b/tests/cluster/test_heartbeats.py
@@ -31,8 +31,8 @@
 def store_parts() -> Any:
     """Stubs of the components whose state a store's heartbeat reports."""
     local_store = SimpleNamespace(disk_state=DiskState.OK)
-    replicator = SimpleNamespace(phase=Phase.SERVING, local_store=local_store)
-    return SimpleNamespace(replicator=replicator, control=ControlPlaneStub())
+    message_store = SimpleNamespace(phase=Phase.SERVING, local_store=local_store)
+    return SimpleNamespace(message_store=message_store, control=ControlPlaneStub())
 
 
 def service(store: Any) -> tuple[HeartbeatService, Any, Any]:
@@ -75,9 +75,9 @@
     assert heartbeats.heartbeat() is first
     match name:
         case "phase":
-            store.replicator.phase = Phase.CLOSING
+            store.message_store.phase = Phase.CLOSING
         case "disk":
-            store.replicator.local_store.disk_state = next(
+            store.message_store.local_store.disk_state = next(
                 state for state in DiskState if state is not DiskState.OK
             )
         case "report":
@@ -91,10 +91,10 @@
     assert second == heartbeats.current().to_wire()
     revision = active_configuration.revision if store.control.majority else REVISION_WITHHELD
     expected = Heartbeat(
-        store.replicator.phase.value,
+        store.message_store.phase.value,
         revision,
         digest.value,
-        store.replicator.local_store.disk_state,
+        store.message_store.local_store.disk_state,
         store.control.current,
     )
     assert second == expected.to_wire()
--- a/tests/cluster/test_state.py
+++ b/tests/cluster/test_state.py
@@ -52,7 +52,7 @@
         process.resume(cluster.loop)
         await asyncio.sleep(3.0)
         assert all(success_count(cluster, s.id) == 1 for s in sent)
-        assert cluster.nodes["s0"].replicator.ownership.may_deliver()
+        assert cluster.nodes["s0"].message_store.ownership.may_deliver()
 
     assert not play(Plan(21), steps)[1]
 
@@ -74,7 +74,7 @@
         await until(lambda: "s0" not in cluster.nodes["s1"].running.membership.counted_stores(), 8.0)
         cluster.nodes["s1"].power_off(1.0)
         await asyncio.sleep(0.5)
-        assert cluster.nodes["s2"].replicator.ownership.may_deliver()
+        assert cluster.nodes["s2"].message_store.ownership.may_deliver()
         assert (await submit(scenario, "f1")).status in (202, 504)
         await asyncio.sleep(2.0)
         assert (await submit(scenario, "f1")).status == 202
@@ -111,7 +111,7 @@
             assert all(target.available for target in targets), node
         await asyncio.sleep(5.0)
         assert all(success_count(cluster, s.id) == 1 for s in sent)
-        epochs = {cluster.nodes["s1"].replicator.local_store.index.records[s.id].epoch for s in sent}
+        epochs = {cluster.nodes["s1"].message_store.local_store.index.records[s.id].epoch for s in sent}
         assert epochs == {1}, str(epochs)
 
     assert not play(Plan(31), steps)[1]
@@ -137,7 +137,7 @@
 def open_record(scenario: Scenario) -> Record | None:
     """Return a queued record of any store; None if there is none."""
     stores = [node for node in scenario.cluster.nodes.values() if node.is_store]
-    indexes = [store.replicator.local_store.index for store in stores]
+    indexes = [store.message_store.local_store.index for store in stores]
     return next((r for index in indexes for r in index.records.values() if r.is_queued), None)
 
 
@@ -254,7 +254,7 @@
         assert (await control(scenario, "POST", "/api/retire/s0/initiate", b'{"period_s":5}'))[0] == 200
         await asyncio.sleep(1.0)
         assert (await control(scenario, "POST", "/api/retire/s1/initiate", b"{}"))[0] == 409
-        assert cluster.nodes["s0"].replicator.phase is Phase.RETIRING
+        assert cluster.nodes["s0"].message_store.phase is Phase.RETIRING
 
     assert not play(Plan(27), steps)[1]
 
@@ -290,7 +290,7 @@
             if node.name != "s0":
                 node.power_off(0.5)
         await asyncio.sleep(1.0)
-        assert all(cluster.nodes[n].replicator.phase is Phase.SERVING for n in ("s1", "s2", "s9"))
+        assert all(cluster.nodes[n].message_store.phase is Phase.SERVING for n in ("s1", "s2", "s9"))
         assert (await submit(scenario, "f1")).status == 202
 
     assert not play(Plan(32), steps)[1]
@@ -312,16 +312,16 @@
             target.mean_run_s = 0.2
         sent = await submit_in_turn(scenario, 6, forced_status=500)
         for node in (n for n in cluster.nodes.values() if n.is_store):
-            replicator = node.replicator
+            message_store = node.message_store
             others = [n for n in ("s0", "s1", "s2") if n != node.name]
-            for record in replicator.local_store.index.owned_by(node.name):
+            for record in message_store.local_store.index.owned_by(node.name):
                 new_owner = next(n for n in others if n in record.replicas)
                 report = StateReport(record.id, MessageState.QUEUED, "", record.epoch + 1, new_owner, 0)
-                for store in (replicator, cluster.nodes[new_owner].replicator):
+                for store in (message_store, cluster.nodes[new_owner].message_store):
                     await store.state_commits.commit_states(CommitStateRequest((report,)))
         await asyncio.sleep(25.0)
         assert not [s.id for s in sent if len(cluster.history.runs[s.id]) > 5]
-        commits = cluster.nodes["s0"].replicator.state_commits
+        commits = cluster.nodes["s0"].message_store.state_commits
         states = [commits.message_state(MessageQuery(s.id)) for s in sent]
         assert MessageStatus("dead_letter", "") in states
 
@@ -402,7 +402,7 @@
         owners = {
             n.name
             for n in cluster.nodes.values()
-            if n.is_store and n.replicator.local_store.index.owned_by(n.name)
+            if n.is_store and n.message_store.local_store.index.owned_by(n.name)
         }
         assert owners == {"s0"}
         await asyncio.sleep(sent[0].sent_at + 0.9 + again / 8 - cluster.loop.time())
@@ -431,7 +431,7 @@
         sent = await submit(scenario, delay_ms=3000)
         for node in cluster.nodes.values():
             if node.is_store and node.name != "s0":
-                index = node.replicator.local_store.index
+                index = node.message_store.local_store.index
                 for known in list(index.records.values()):
                     index.remove(known)
         cluster.nodes["s0"].terminate()
@@ -463,7 +463,7 @@
         await scenario.start()
         cluster = scenario.cluster
         sent = await submit(scenario, body=b"a body")
-        local_store = cluster.nodes["s0"].replicator.local_store
+        local_store = cluster.nodes["s0"].message_store.local_store
         record = local_store.index.records[sent.id]
         await asyncio.sleep(0.05)
         local_store.merge(record, MessageState.QUEUED, "", 2, "s1", 0)
