--- a/emberlatch/cluster/dispatch/carrier.py
+++ b/emberlatch/cluster/dispatch/carrier.py
@@ -48,8 +48,8 @@
     def is_wanted(self, ref: int) -> bool:
         """Return whether the message still has to be sent."""
 
-    def on_verdict(self, ref: int, verdict: DeliveryResult, seal: str) -> None:
-        """Store the verdict on a response; the outcome of the call follows."""
+    def on_delivery_result(self, ref: int, delivery_result: DeliveryResult, seal: str) -> None:
+        """Store the delivery result of a response; the outcome of the call follows."""
 
     def on_outcome(self, outcome: Outcome) -> None:
         """Process the outcome of a call; each call has exactly one."""
@@ -94,15 +94,17 @@
     async def _on_response(self, target: Endpoint, call: Call, response: Response) -> None:
         headers = response.headers
         seal = headers.get(SEAL_HEADER, "")
-        verdict = classify_response(response.status, seal, NOT_EXECUTED_HEADER in headers)
+        delivery_result = classify_response(response.status, seal, NOT_EXECUTED_HEADER in headers)
         retry_after_s = (
-            parse_retry_after(headers.get("retry-after")) if verdict is DeliveryResult.OVERLOADED else 0.0
+            parse_retry_after(headers.get("retry-after"))
+            if delivery_result is DeliveryResult.OVERLOADED
+            else 0.0
         )
-        if verdict is DeliveryResult.UNKNOWN:
+        if delivery_result is DeliveryResult.UNKNOWN:
             log_event(Event.UNKNOWN_RESPONSE_STATUS, call.target.decode(), status=response.status)
-        self._deliveries.on_verdict(call.items[0].ref, verdict, seal)
-        result, ended = MODULE_RESULTS[verdict]
-        if response.status == 504 and verdict is DeliveryResult.UNKNOWN:
+        self._deliveries.on_delivery_result(call.items[0].ref, delivery_result, seal)
+        result, ended = MODULE_RESULTS[delivery_result]
+        if response.status == 504 and delivery_result is DeliveryResult.UNKNOWN:
             result = Result.TIMEOUT
         call.complete_all(result, ended, retry_after_s)
 
--- a/emberlatch/cluster/dispatch/delivery.py
+++ b/emberlatch/cluster/dispatch/delivery.py
@@ -48,7 +48,7 @@
         offer_count: number of offers without a lease since the last attempt.
         pool_sizes: counters of its service's deliveries in the decision module.
         locality: locality of the targets to which it was offered last.
-        verdict: verdict on the response to the call in flight; None again once the outcome is processed.
+        result: result given by the response to the call in flight; None again once the outcome is processed.
         seal: seal of that response; empty if there is none.
     """
 
@@ -58,11 +58,11 @@
         "pool_sizes",
         "record",
         "ref",
+        "result",
         "route",
         "seal",
         "send_count",
         "stage",
-        "verdict",
     )
 
     def __init__(self, record: Record) -> None:
@@ -73,7 +73,7 @@
         self.offer_count = 0
         self.pool_sizes: PoolSizes = [0, 0]
         self.locality = Locality.LOCAL
-        self.verdict: DeliveryResult | None = None
+        self.result: DeliveryResult | None = None
         self.seal = ""
 
 
--- a/emberlatch/cluster/dispatch/delivery_result.py
+++ b/emberlatch/cluster/dispatch/delivery_result.py
@@ -29,11 +29,11 @@
     DeliveryResult.WRONG_INSTANCE: (Result.NOT_EXECUTED, False),
     DeliveryResult.UNKNOWN: (Result.ERROR, False),
 }
-"""The result passed to the decision module for each verdict, and whether its delivery has ended."""
+"""The result passed to the decision module for each delivery result, and whether its delivery has ended."""
 
 
 def classify_response(status: int, seal: str, not_executed: bool) -> DeliveryResult:
-    """Return the verdict on a response.
+    """Return the delivery result of a response.
 
     `seal` is the target's proof of execution, empty if there is none; `not_executed` is true if the target
     states that it did not execute the message. A 2xx status without a seal does not prove success.
--- a/emberlatch/cluster/dispatch/dispatcher.py
+++ b/emberlatch/cluster/dispatch/dispatcher.py
@@ -151,9 +151,9 @@
         delivery = self._deliveries.by_ref.get(ref)
         return delivery is not None and self._owner.owns(delivery.record)
 
-    def on_verdict(self, ref: int, verdict: DeliveryResult, seal: str) -> None:
-        """Store the verdict on a response; the outcome of the call follows."""
-        self._outcomes.on_verdict(ref, verdict, seal)
+    def on_delivery_result(self, ref: int, delivery_result: DeliveryResult, seal: str) -> None:
+        """Store the delivery result of a response; the outcome of the call follows."""
+        self._outcomes.on_delivery_result(ref, delivery_result, seal)
 
     def on_outcome(self, outcome: api.Outcome) -> None:
         """Process the outcome of a call."""
--- a/emberlatch/cluster/dispatch/offers.py
+++ b/emberlatch/cluster/dispatch/offers.py
@@ -91,7 +91,7 @@
             locality = next(n for n in available if queue.pool_sizes[n] < MAX_IN_POOL_PER_DESTINATION)
         wait_s = min(MAX_LEASE_WAIT_S, delivery.route.nominal_start_ms / 1000 * LEASE_WAIT_SHARE)
         deadline_s = wait_s + DEADLINE_MARGIN_S
-        delivery.send_count, delivery.verdict, delivery.seal = 0, None, ""
+        delivery.send_count, delivery.result, delivery.seal = 0, None, ""
         delivery.pool_sizes, delivery.locality = queue.pool_sizes, locality
         self._deliveries.assign_ref(delivery)
         self._deliveries.change_stage(delivery, DeliveryStage.QUEUED_IN_POOL)
--- a/emberlatch/cluster/dispatch/outcomes.py
+++ b/emberlatch/cluster/dispatch/outcomes.py
@@ -32,10 +32,10 @@
         self._deliveries, self._delayed, self._inbox, self._owner = deliveries, delayed, inbox, owner
         self._loop = asyncio.get_running_loop()
 
-    def on_verdict(self, ref: int, verdict: DeliveryResult, seal: str) -> None:
-        """Store the verdict on a call's response until the outcome of the call arrives."""
+    def on_delivery_result(self, ref: int, delivery_result: DeliveryResult, seal: str) -> None:
+        """Store the delivery result of a call's response until the outcome of the call arrives."""
         if (delivery := self._deliveries.by_ref.get(ref)) is not None:
-            delivery.verdict, delivery.seal = verdict, seal
+            delivery.result, delivery.seal = delivery_result, seal
 
     def on_outcome(self, outcome: api.Outcome) -> None:
         """Process the outcome of a call that was in flight."""
@@ -44,8 +44,8 @@
         self._inbox.schedule()
         if delivery is None:
             return
-        verdict, delivery.verdict = delivery.verdict, None
-        match verdict:
+        delivery_result, delivery.result = delivery.result, None
+        match delivery_result:
             case DeliveryResult.COMPLETED:
                 self._finish(delivery, MessageState.COMPLETED, delivery.seal)
             case DeliveryResult.REJECTED_PERMANENTLY:
@@ -55,7 +55,7 @@
             case DeliveryResult.STILL_RUNNING:
                 self._retry(delivery, RUNNING_RETRY_S)
             case _:
-                if verdict is DeliveryResult.WRONG_INSTANCE:
+                if delivery_result is DeliveryResult.WRONG_INSTANCE:
                     self._owner.on_wrong_instance(outcome.target.decode())
                 self._try_other_target(delivery)
 
--- a/tests/cluster/test_carrier.py
+++ b/tests/cluster/test_carrier.py
@@ -68,7 +68,7 @@
         self.connections: list[ScriptedTarget] = []
         self.requests: list[tuple[float, ScriptedTarget, bytes]] = []
         self.outcomes: list[api.Outcome] = []
-        self.verdicts: list[tuple[int, DeliveryResult, str]] = []
+        self.delivery_results: list[tuple[int, DeliveryResult, str]] = []
         self.on_request: Callable[[ScriptedTarget, bytes], None] = lambda connection, data: None
         world.network.serve(lambda: ScriptedTarget(self), TARGET)
         settings = api.Settings(
@@ -86,8 +86,8 @@
     def is_wanted(self, ref: int) -> bool:
         return True
 
-    def on_verdict(self, ref: int, verdict: DeliveryResult, seal: str) -> None:
-        self.verdicts.append((ref, verdict, seal))
+    def on_delivery_result(self, ref: int, delivery_result: DeliveryResult, seal: str) -> None:
+        self.delivery_results.append((ref, delivery_result, seal))
 
     def on_outcome(self, outcome: api.Outcome) -> None:
         self.outcomes.append(outcome)
@@ -102,7 +102,7 @@
         """Run a call that gets the expected response."""
         await self.send(ref, id)
         await self.requests[-1][1].write(response(id))
-        assert self.verdicts[-1] == (ref, DeliveryResult.COMPLETED, "seal")
+        assert self.delivery_results[-1] == (ref, DeliveryResult.COMPLETED, "seal")
 
     @property
     def results(self) -> list[api.Result]:
@@ -135,7 +135,7 @@
         await fixture.connections[0].write(UNSOLICITED[name])
         assert fixture.connections[0].lost
         await fixture.deliver(1, "m1")
-        assert len(fixture.connections) == 2 and len(fixture.verdicts) == 2
+        assert len(fixture.connections) == 2 and len(fixture.delivery_results) == 2
 
     run_with_fixture(CarrierFixture, steps)
 
@@ -149,7 +149,7 @@
         await fixture.connections[0].write(response("m1"))
         await fixture.send(1, "m1")
         assert fixture.connections[0].msg_ids() == ["m0"] and fixture.connections[1].msg_ids() == ["m1"]
-        assert len(fixture.verdicts) == 1
+        assert len(fixture.delivery_results) == 1
 
     run_with_fixture(CarrierFixture, steps)
 
@@ -159,7 +159,10 @@
     async def steps(fixture: CarrierFixture) -> None:
         await fixture.send(0, "m0")
         await fixture.connections[0].write(response("m0", seal="first") + response("m0", seal="second"))
-        assert fixture.verdicts == [(0, DeliveryResult.COMPLETED, "first")] and fixture.connections[0].lost
+        assert (
+            fixture.delivery_results == [(0, DeliveryResult.COMPLETED, "first")]
+            and fixture.connections[0].lost
+        )
         await fixture.deliver(1, "m1")
         assert len(fixture.connections) == 2
 
@@ -174,9 +177,9 @@
         await fixture.deliver(0, "m0")
         await fixture.send(1, "m1")
         await fixture.connections[0].write(response("m0", seal="late"))
-        assert len(fixture.verdicts) == 1
+        assert len(fixture.delivery_results) == 1
         await fixture.connections[0].write(response("m1", seal="mine"))
-        assert fixture.verdicts[1:] == [(1, DeliveryResult.COMPLETED, "mine")]
+        assert fixture.delivery_results[1:] == [(1, DeliveryResult.COMPLETED, "mine")]
         assert fixture.connections[0].lost
         await fixture.deliver(2, "m2")
         assert len(fixture.connections) == 2
@@ -184,13 +187,13 @@
     run_with_fixture(CarrierFixture, steps)
 
 
-@test("only a response to another message: no verdict, a timeout, a closed connection, no retry")
+@test("only a response to another message: no delivery result, a timeout, a closed connection, no retry")
 def _() -> None:
     async def steps(fixture: CarrierFixture) -> None:
         await fixture.send(0, "m0")
         fixture.connections[0].transport.write(response("other"))
         await asyncio.sleep(GUARD_S + RESPONSE_MARGIN_S + 0.1)
-        assert not fixture.verdicts and fixture.results == [api.Result.TIMEOUT]
+        assert not fixture.delivery_results and fixture.results == [api.Result.TIMEOUT]
         assert fixture.connections[0].lost and len(fixture.requests) == 1
 
     run_with_fixture(CarrierFixture, steps)
@@ -206,12 +209,12 @@
         assert first.msg_ids() == ["m0", "m1"]
         await fixture.send(2, "m0", 1)
         await first.write(response("m0", 500))
-        assert [verdict for _, verdict, _ in fixture.verdicts] == [
+        assert [delivery_result for _, delivery_result, _ in fixture.delivery_results] == [
             DeliveryResult.ATTEMPT_FAILED,
             DeliveryResult.COMPLETED,
         ]
         await fixture.connections[1].write(response("m0", seal="second"))
-        assert fixture.verdicts[-1] == (2, DeliveryResult.COMPLETED, "second")
+        assert fixture.delivery_results[-1] == (2, DeliveryResult.COMPLETED, "second")
 
     run_with_fixture(CarrierFixture, steps)
 
@@ -228,7 +231,7 @@
             fixture.connections[0].transport.abort()
             await asyncio.sleep(2.0)
             assert len(fixture.requests) == 1 and len(fixture.outcomes) == 1
-            if fixture.verdicts:
+            if fixture.delivery_results:
                 completed_cuts.add(cut)
             else:
                 assert fixture.results == [api.Result.RESET], str(cut)
@@ -237,13 +240,17 @@
     assert completed_cuts == {len(complete)}
 
 
-@test("a truncated response that is never completed gives no verdict, and its connection is closed")
+@test("a truncated response that is never completed gives no delivery result, and its connection is closed")
 def _() -> None:
     async def steps(fixture: CarrierFixture) -> None:
         await fixture.send(0, "m0")
         fixture.connections[0].transport.write(response("m0", body=b"0123456789")[:-1])
         await asyncio.sleep(2.0)
-        assert not fixture.verdicts and fixture.results == [api.Result.RESET] and fixture.connections[0].lost
+        assert (
+            not fixture.delivery_results
+            and fixture.results == [api.Result.RESET]
+            and fixture.connections[0].lost
+        )
 
     run_with_fixture(CarrierFixture, steps)
 
--- a/tests/cluster/test_dispatch.py
+++ b/tests/cluster/test_dispatch.py
@@ -128,7 +128,7 @@
     assert quotas.try_spend(None, 0.0) and quotas.max_in_pool(limited) == 2
 
 
-@test("every verdict has a result for the decision module, and the retry backoff never decreases")
+@test("every delivery result has a result for the decision module, and the retry backoff never decreases")
 def _() -> None:
     assert MODULE_RESULTS.keys() == set(DeliveryResult)
     assert list(RETRY_BACKOFF_S) == sorted(RETRY_BACKOFF_S)
--- a/tests/cluster/test_planted.py
+++ b/tests/cluster/test_planted.py
@@ -191,7 +191,7 @@
 
     def on_outcome(self: OutcomeHandler, outcome: Outcome) -> None:
         delivery = self._deliveries.by_ref.get(outcome.ref)
-        if delivery is not None and delivery.verdict is DeliveryResult.ATTEMPT_FAILED:
+        if delivery is not None and delivery.result is DeliveryResult.ATTEMPT_FAILED:
             delivery.record.attempts += 3
         original(self, outcome)
 
--- a/tests/cluster/test_pure.py
+++ b/tests/cluster/test_pure.py
@@ -272,13 +272,13 @@
 
 @test("a response is classified by its status, its seal and whether the message was not executed")
 def _() -> None:
-    verdicts = {
+    delivery_results = {
         (200, "seal", False): DeliveryResult.COMPLETED, (200, "", False): DeliveryResult.UNKNOWN, (500, "", False): DeliveryResult.ATTEMPT_FAILED,
         (422, "", False): DeliveryResult.REJECTED_PERMANENTLY, (421, "", True): DeliveryResult.WRONG_INSTANCE, (409, "", True): DeliveryResult.STILL_RUNNING,
         (503, "", True): DeliveryResult.OVERLOADED, (429, "", True): DeliveryResult.OVERLOADED, (504, "", False): DeliveryResult.UNKNOWN,
     }  # fmt: skip
-    for (status, seal, not_executed), verdict in verdicts.items():
-        assert classify_response(status, seal, not_executed) is verdict, status
+    for (status, seal, not_executed), delivery_result in delivery_results.items():
+        assert classify_response(status, seal, not_executed) is delivery_result, status
 
 
 @test("a record decoded by a store with another clock has the same fingerprint and the same remaining times")
