--- a/emberlatch/cluster/consensus/proposer.py
+++ b/emberlatch/cluster/consensus/proposer.py
@@ -28,7 +28,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Quorum:
-    """The votes that each phase needs. `lost_voters` are those whose disks are known to be lost permanently.
+    """The votes that each phase needs.
+
+    `voters_with_replaced_disk` are those whose disks are known to be lost permanently.
 
     A phase needs a majority. If the survivors are fewer than that, all of them together decide, provided that
     every possible majority has a survivor among its members. This holds in a group of two, four or six that
@@ -37,13 +39,13 @@
     """
 
     voters: tuple[Voter, ...]
-    lost_voters: frozenset[Voter] = frozenset()
+    voters_with_replaced_disk: frozenset[Voter] = frozenset()
     min_disks: int = 1
 
     @property
     def survivors(self) -> frozenset[Voter]:
         """The voters whose disks are not lost."""
-        return frozenset(self.voters) - self.lost_voters
+        return frozenset(self.voters) - self.voters_with_replaced_disk
 
     @property
     def majority(self) -> int:
--- a/emberlatch/cluster/membership/links.py
+++ b/emberlatch/cluster/membership/links.py
@@ -51,7 +51,7 @@
         for peer in list(self.peers.values()):
             peer.close()
 
-    def inbound(self) -> list[RpcConnection]:
+    def inbound_connections(self) -> list[RpcConnection]:
         """The connections that other processes dialled to this one."""
         return (
             list(self._server_delegate_handler[0].connections)
--- a/emberlatch/cluster/membership/roster_exchange.py
+++ b/emberlatch/cluster/membership/roster_exchange.py
@@ -71,7 +71,7 @@
         payload = MembershipUpdate(self._roster.me, tuple(new_stores.values())).to_wire()
         for peer in self._links.reachable_stores():
             peer.notify(RpcMethod.MEMBERSHIP_UPDATE, payload)
-        for connection in self._links.inbound():
+        for connection in self._links.inbound_connections():
             member = self._roster.members.get(connection.name)
             if member is not None and not member.store:
                 connection.notify(RpcMethod.MEMBERSHIP_UPDATE, payload)
--- a/emberlatch/cluster/membership/view.py
+++ b/emberlatch/cluster/membership/view.py
@@ -95,7 +95,7 @@
 
     def inbound_connections(self) -> list[RpcConnection]:
         """The connections that other processes dialled to this one."""
-        return self._links.inbound()
+        return self._links.inbound_connections()
 
     def stores(self) -> dict[str, Peer]:
         """The links to the other stores, by node, whether they are up or not."""
--- a/emberlatch/cluster/message_store/accept_service.py
+++ b/emberlatch/cluster/message_store/accept_service.py
@@ -43,7 +43,7 @@
         self._pending: dict[str, asyncio.Future[AcceptReply]] = {}
 
     @property
-    def busy(self) -> bool:
+    def is_accepting(self) -> bool:
         """Whether any message is being accepted."""
         return bool(self._pending)
 
--- a/emberlatch/cluster/message_store/message_store.py
+++ b/emberlatch/cluster/message_store/message_store.py
@@ -87,7 +87,7 @@
     @property
     def is_accepting(self) -> bool:
         """Whether any message is being accepted."""
-        return self.accept_service.busy
+        return self.accept_service.is_accepting
 
     def may_start_deliveries(self) -> bool:
         """Return whether deliveries may start: outcomes can be written, and no other store has taken over."""
