--- a/emberlatch/cluster/consensus/maintenance.py
+++ b/emberlatch/cluster/consensus/maintenance.py
@@ -102,7 +102,8 @@
         return _replace_voter(state, old, new)
     spare = _best_spare(state, members)
     unreachable = next((v for v in state.voters if _lacks_contact(members.get(v.node))), None)
-    if unreachable is not None and spare is not None:  # before a decommissioned voter, which still votes
+    if unreachable is not None and spare is not None:
+        # Replace an unreachable voter before a decommissioned one, because the latter still votes.
         return _replace_voter(state, unreachable, spare)
     leaving = next((v for v in state.voters if state.decommission_mark(v.node) is not None), None)
     if leaving is not None and (spare is not None or _may_shrink(state, leaving, members, tolerance)):
@@ -115,8 +116,9 @@
 def _may_shrink(state: ControlState, leaving: Voter, members: Members, tolerance: FaultTolerance) -> bool:
     """Whether the group may lose the voter `leaving` although no spare can replace it.
 
-    It may not while a possible spare is only unreachable, nor while a staying voter is unreachable: if that
-    voter were lost permanently, the smaller group could decide nothing, not even to replace it.
+    At least `tolerance.machines` + 1 voters must remain. The group does not shrink while another
+    machine could still become a spare, nor while a remaining voter is unreachable. If that voter were lost
+    permanently, the smaller group might have no majority and could not even replace the voter.
     """
     if len(state.voters) <= tolerance.machines + 1:
         return False
@@ -151,9 +153,10 @@
 def member_to_join(state: ControlState, members: Iterable[MemberReport]) -> MemberReport | None:
     """Return a machine whose cluster this machine may join; None if it is unclear which cluster to join.
 
-    A disk of another cluster may be among new machines. Therefore, as long as the seeds have yet to found the
-    cluster, the machines of the other cluster must be as many as a majority of the seeds. Otherwise they must
-    be more than half of the reachable machines that belong to a cluster.
+    New machines may include one with a disk of an unrelated cluster. Therefore a cluster may be joined only
+    if enough reachable machines belong to it. While this machine waits for the seeds to found a cluster, that
+    number is a majority of the seeds. Otherwise it is more than half of the reachable machines that belong to
+    any cluster.
     """
     founded = [m for m in members if m.reachable and m.cluster and m.version > 0]
     for member in sorted(founded, key=lambda m: -m.version):
--- a/emberlatch/cluster/consensus/requests.py
+++ b/emberlatch/cluster/consensus/requests.py
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Install:
-    """Carries a chosen state to a machine that lacks more than one version."""
+    """Carries a chosen state to a machine that may have only an older one."""
 
     KIND: ClassVar[str] = "install"
 
--- a/emberlatch/cluster/consensus/state.py
+++ b/emberlatch/cluster/consensus/state.py
@@ -88,9 +88,9 @@
 class ControlState:
     """One version of the control state.
 
-    `version` counts instances of Paxos, `epoch` counts changes of voters and members. `history` has
-    pairs of a revision and the digest of its text, oldest first. `cluster` is a random name that is drawn at
-    the founding and keeps states of different clusters apart.
+    `version` counts instances of Paxos. `epoch` counts changes of voters, decommission marks and removed
+    members. `history` has pairs of a revision and the digest of its text, oldest first. `cluster` is a random
+    name that is drawn at the founding and distinguishes the states of different clusters.
     """
 
     version: int = 0
--- a/emberlatch/cluster/consensus/storage.py
+++ b/emberlatch/cluster/consensus/storage.py
@@ -112,7 +112,10 @@
         return self._with_vote(AcceptorRecord(identity.voter(self._node), identity.founding_voter, state))
 
     def _with_vote(self, record: AcceptorRecord) -> AcceptorRecord | None:
-        """Return the record with the vote on disk; None if that is damaged or the state before it is lost."""
+        """Return the record with the vote on disk.
+
+        None if the vote is damaged, or if the state before the version of the vote is lost.
+        """
         try:
             vote = StoredVote.from_wire(_read(self._folder / VOTE_FILE), record.state.version)
         except FileNotFoundError:
--- a/emberlatch/cluster/consensus/voter_client.py
+++ b/emberlatch/cluster/consensus/voter_client.py
@@ -51,7 +51,8 @@
     async def call(self, node: str, request: Request, timeout: float = REQUEST_TIMEOUT_S) -> Reply:
         """Send a request to a machine, this one included.
 
-        `timeout` is in seconds. Raises UnreachableError if there is no valid reply within it.
+        `timeout` is in seconds and limits only calls to other machines. Raises UnreachableError if another
+        machine sends no valid reply within it.
         """
         if self.register.record is not None and node == self.register.local_voter.node:
             return await self.register.handle(request)
--- a/emberlatch/cluster/membership/agreed_state.py
+++ b/emberlatch/cluster/membership/agreed_state.py
@@ -20,5 +20,5 @@
         self.identity = ""
 
     def update(self, control_state: ControlState, identity: str) -> None:
-        """Set both after the register of the control state has changed or was attached to a disk."""
+        """Set state and identity; called after the register has changed or was attached to a disk."""
         self.control_state, self.identity = control_state, identity
--- a/emberlatch/cluster/membership/member_reports.py
+++ b/emberlatch/cluster/membership/member_reports.py
@@ -34,7 +34,7 @@
         return unreachable
 
     def unreachable_s(self, node: str) -> float:
-        """The seconds during which a majority of the voters has not reached a machine, or 0.0."""
+        """Seconds for which more than half of the voters have not reached a machine; 0.0 otherwise."""
         self._report_own()
         return self._unreachable_s(node)
 
--- a/emberlatch/cluster/membership/view.py
+++ b/emberlatch/cluster/membership/view.py
@@ -181,7 +181,7 @@
         return self._members.unreachable()
 
     def unreachable_s(self, node: str) -> float:
-        """The seconds during which a majority of the voters has not reached a machine, or 0.0."""
+        """Seconds for which more than half of the voters have not reached a machine; 0.0 otherwise."""
         return self._members.unreachable_s(node)
 
     def reports(self) -> dict[str, MemberReport]:
--- a/emberlatch/cluster/membership/voter_contact.py
+++ b/emberlatch/cluster/membership/voter_contact.py
@@ -14,14 +14,19 @@
 
 
 class VoterContact:
-    """Two checks: one that depends on the state of the links, and a stricter one for operators' calls."""
+    """Two checks for contact with a majority of the voters.
+
+    One depends on the state of the links; the other is stricter and is for operators' calls.
+    """
 
     def __init__(self, node: str, agreed: AgreedState, links: PeerLinks, reports: StoreReports) -> None:
         self._node, self._agreed, self._links, self._reports = node, agreed, links, reports
 
     def has_majority_contact(self) -> bool:
-        """Whether each voter of a majority has a link to this process or certainly no running process: then
-        no other machine can have a majority without this one."""
+        """Whether each voter of a majority has a link to this process or has certainly stopped.
+
+        Any other majority then contains a voter with a link to this process.
+        """
         voters = self._agreed.control_state.voters
         in_contact = sum(voter.node == self._node or self._linked_or_dead(voter.node) for voter in voters)
         return 2 * in_contact > len(voters)
--- a/emberlatch/cluster/message_store/accept_service.py
+++ b/emberlatch/cluster/message_store/accept_service.py
@@ -1,6 +1,6 @@
 """Accepts messages of clients: a message is accepted once enough stores have it on disk.
 
-Otherwise the message is cancelled, and the reply says whether it surely never runs.
+Otherwise the message is cancelled, and the reply says whether it is certain never to be delivered.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
         return bool(self._pending)
 
     async def accept(self, request: AcceptRequest) -> AcceptReply:
-        """Handle ACCEPT: make a message durable, or reply why not and whether it surely never runs."""
+        """Handle ACCEPT: make a message durable, or reply why not and whether delivery is ruled out."""
         id, epoch = request.message.id, 1 + request.prior_attempts
         if (pending := self._pending.get(id)) is not None:
             return await asyncio.shield(pending)
--- a/emberlatch/cluster/message_store/cancellation.py
+++ b/emberlatch/cluster/message_store/cancellation.py
@@ -21,7 +21,7 @@
         self._local_store, self._cluster = local_store, cluster
 
     async def cancel(self, record: Record, possible_holders: set[str], epoch: int) -> bool:
-        """Cancel a message; return whether no copy of it that was written under this epoch can ever run.
+        """Cancel a message; return whether no copy that was written under this epoch can be delivered.
 
         `possible_holders` are the stores that have a copy or may still receive one.
         """
--- a/emberlatch/cluster/message_store/local_store.py
+++ b/emberlatch/cluster/message_store/local_store.py
@@ -62,7 +62,7 @@
         self.database.put(record, self._now())
 
     def add_tombstone(self, id: str, epoch: int, owner: str) -> Record:
-        """Add a tombstone for an unknown message, so that no copy written under this epoch can run."""
+        """Add a tombstone for an unknown message, so that no copy written under this epoch is delivered."""
         now = self._now()
         record = Record(id, "", "", "", "", None)
         record.state, record.epoch, record.owner = MessageState.CANCELLED, epoch, owner
--- a/emberlatch/cluster/message_store/messages.py
+++ b/emberlatch/cluster/message_store/messages.py
@@ -70,7 +70,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptReply:
-    """Reply to ACCEPT: whether the message was accepted; if not, whether it surely never runs, and why."""
+    """Reply to ACCEPT: whether the message was accepted.
+
+    If it was not, the reply has the reason, and says whether delivery is ruled out.
+    """
 
     accepted: bool
     surely_not_executed: bool = False
@@ -187,7 +190,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageStatus:
-    """Reply to MESSAGE_STATE: a name of `STATE_NAMES`, and the seal of a completed message."""
+    """Reply to MESSAGE_STATE: a name of `STATE_NAMES`, and the seal of a completed message.
+
+    The seal is the target's proof of execution.
+    """
 
     name: str
     seal: str
--- a/emberlatch/cluster/message_store/ownership.py
+++ b/emberlatch/cluster/message_store/ownership.py
@@ -19,9 +19,11 @@
 from emberlatch.cluster.message_store.repair import NEVER, Repair, split
 from emberlatch.cluster.rpc import CallFailedError, Peer, PeerState, RpcMethod
 
-LEASE_S = 2.4  # an owner unreachable for longer has surely stopped: its links timed out (`rpc.peer`)
+# An owner unreachable for longer has surely stopped delivering: its links have timed out (`rpc.peer`).
+LEASE_S = 2.4
 REFUSED_PORT_S = 0.25  # a process whose port has refused connections for longer has ended
-MAX_TICK_GAP_S = 0.7  # a longer gap shows that this process was suspended: others may have taken over
+# A longer gap between ticks shows that this process was suspended, so that others may have taken over.
+MAX_TICK_GAP_S = 0.7
 HAND_OVER_TIMEOUT_S = 1.0  # timeout of one ASSUME_OWNERSHIP call
 MAX_HANDED_OVER_RECORDS = 500  # maximum number of records in one request
 
@@ -32,7 +34,9 @@
     def __init__(self, local_store: LocalStore, repair: Repair, cluster: ClusterView) -> None:
         self._local_store, self._repair, self._cluster = local_store, repair, cluster
         self._ticked_at = asyncio.get_running_loop().time()
-        self._cut_off_at = NEVER  # last time without majority contact: we were cut off, not the peers
+        # Last time without majority contact. Until then this process was partitioned, so that the absence of
+        # peers does not show that they stopped.
+        self._cut_off_at = NEVER
         self._stalled_at = NEVER  # end of the last suspension of this process
 
     # Permission to deliver.
@@ -40,8 +44,8 @@
     def may_deliver(self) -> bool:
         """Return whether no other store can have taken over the messages that this process owns.
 
-        A majority of the voters must hear this process or be surely dead, and after a suspension this process
-        must first have compared its records with all stores that are up.
+        Each voter of a majority must be in contact with this process or surely have stopped. After a
+        suspension this process must first have compared its records with all stores that are up.
         """
         return self._cluster.has_majority_contact() and not self._may_have_lost_ownership()
 
@@ -131,7 +135,10 @@
     # Takeover.
 
     def _has_surely_stopped(self, peer: Peer, now: float) -> bool:
-        """Return whether a peer delivers nothing: ended, unable to read its disk, or out of reach."""
+        """Return whether a peer surely delivers nothing.
+
+        Its process has ended, can't read its disk, or has lost contact with a majority of the voters.
+        """
         if peer.state is PeerState.REFUSED:  # unless a new incarnation has connected to us since
             return (
                 peer.last_inbound_handshake_at < peer.state_since and now - peer.state_since > REFUSED_PORT_S
@@ -141,10 +148,13 @@
         since = max(peer.last_up_at, peer.created_at, peer.last_inbound_handshake_at, self._cut_off_at)
         if peer.up or now - since <= LEASE_S or not self.may_deliver():
             return False
-        return self._cluster.unreachable_s(peer.name) > LEASE_S  # other voters may still hear the peer
+        return self._cluster.unreachable_s(peer.name) > LEASE_S  # other voters may still reach it
 
     def take_over(self, now: float) -> None:
-        """Own, with the next epoch, messages of stopped stores whose first live replica is this process."""
+        """Become the owner, with the next epoch, of messages that stopped stores own.
+
+        This applies to messages whose first live replica is this process.
+        """
         peers = self._cluster.stores().items()
         stopped = {name for name, peer in peers if self._has_surely_stopped(peer, now)}
         if not stopped or not self._local_store.delivers:
--- a/emberlatch/cluster/message_store/ports.py
+++ b/emberlatch/cluster/message_store/ports.py
@@ -28,10 +28,10 @@
         """Yield the writable stores for one more copy, best first, besides the stores in `have`."""
 
     def has_majority_contact(self) -> bool:
-        """Return whether a majority of the voters hears this process or is surely dead."""
+        """Return whether each voter of a majority is in contact with this process or has surely stopped."""
 
     def unreachable_s(self, node: str) -> float:
-        """Return for how many seconds a majority of the voters has not heard from a machine."""
+        """Return for how many seconds a majority of the voters has not reached a machine."""
 
     def decommissioning_stores(self) -> set[str]:
         """Return the machines that are being decommissioned: their copies must not be counted."""
--- a/emberlatch/cluster/message_store/record.py
+++ b/emberlatch/cluster/message_store/record.py
@@ -22,7 +22,7 @@
     """The state of a message. The numbers are stored and sent; `rank` says which state outweighs which."""
 
     QUEUED = 0
-    CANCELLED = 1  # a tombstone: not accepted under this epoch; its client got a reply that says so or none
+    CANCELLED = 1  # a tombstone: not accepted under this epoch; the client got a reply to this effect or none
     DEAD_LETTERED = 2  # no more attempts; log event 601 names the reason
     COMPLETED = 3
 
@@ -90,6 +90,7 @@
         self.id, self.host, self.method, self.path = id, host, method, path
         self.content_type = content_type
         self.body = body  # None if the message has ended or the body is only on disk
+        # `seal` is the target's proof of execution, for a completed message; empty if there is none.
         self.state, self.seal = MessageState.QUEUED, ""
         self.owner = ""  # node name of the only store that delivers the message
         self.epoch = 0  # epoch of the ownership: each new owner has a later one; see `ownership`
--- a/emberlatch/cluster/message_store/repair.py
+++ b/emberlatch/cluster/message_store/repair.py
@@ -97,7 +97,7 @@
             request = MessageIds(tuple(ids))
             reply = await peer.call(RpcMethod.RECORDS, request.to_wire(), CALL_TIMEOUT_S)
             self._absorb(RecordBatch.from_wire(reply))
-        # A store that cannot write rejects them, and compares once it has recovered.
+        # A store that cannot write rejects records; it compares its copies again once it has recovered.
         if self._cluster.is_disk_writable(peer.name):
             await self.send(peer, newer_here)
         return len(newer_there), len(newer_here)
--- a/emberlatch/cluster/message_store/state_commits.py
+++ b/emberlatch/cluster/message_store/state_commits.py
@@ -35,7 +35,7 @@
     async def commit_states(self, request: CommitStateRequest) -> DurableReply:
         """Handle COMMIT_STATE: merge another store's reports; reply whether they are durable.
 
-        A cancellation that arrives before its copy leaves a tombstone, so that the copy does not run later.
+        A cancellation that arrives before its copy leaves a tombstone, so that the copy is not delivered.
         """
         for report in request.reports:
             self._merge(report)
--- a/emberlatch/cluster/rpc/connection.py
+++ b/emberlatch/cluster/rpc/connection.py
@@ -208,7 +208,7 @@
                 if self.closed:
                     return
                 self._receive(frame)
-        except Exception as error:  # whatever the error, it closes only this connection
+        except Exception as error:  # an error of any kind closes only this connection
             log_event(Event.MALFORMED_FRAME, peer=self.name, error=repr(error)[:MAX_LOGGED_ERROR_CHARS])
             self.abort()
 
--- a/emberlatch/cluster/rpc/incarnation.py
+++ b/emberlatch/cluster/rpc/incarnation.py
@@ -39,5 +39,5 @@
     _numbers: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
 
     def next_request_number(self) -> int:
-        """A number that no other request of this incarnation has, on any connection."""
+        """Return a new request number, unique among all connections of this incarnation."""
         return next(self._numbers)
--- a/emberlatch/cluster/rpc/peer.py
+++ b/emberlatch/cluster/rpc/peer.py
@@ -22,12 +22,13 @@
 LIVENESS_MISSED_HEARTBEATS = 2.0
 LIVENESS_SLACK_S = 0.5
 CONNECT_TIMEOUT_S = 0.6  # time limit for connecting, and again for the handshake
-# Age of the oldest unanswered request above which no call whose response is awaited is sent to the peer.
+# Age of the oldest unanswered request above which `Peer.unresponsive` is true, so that a caller that needs a
+# response can choose another peer. `Peer.call` itself does not check it.
 UNRESPONSIVE_AFTER_S = 0.25
 SLOW_AFTER_S = 0.1  # age of the oldest unanswered request above which other peers are preferred
-REDIAL_BACKOFF_S = (0.05, 0.1, 0.2, 0.3)  # delay before the next dial, by the number of consecutive failures
-# Number of consecutive dials that must find an earlier incarnation of the expected node before that
-# incarnation is accepted: the clock of its machine may have been set back.
+REDIAL_BACKOFF_S = (0.05, 0.1, 0.2, 0.3)  # delay before the next dial, by `_failed_dials`
+# Number of dials since the last established connection that must find an earlier incarnation of the expected
+# node before that incarnation is accepted: the clock of its machine may have been set back.
 EARLIER_INCARNATION_DIALS = 10
 SEED_PREFIX = "seed "  # prefix of the name of a peer whose address is known but whose node is not
 
@@ -103,8 +104,8 @@
         self.connection: RpcConnection | None = None
         self._redial_now = asyncio.Event()
         self._last_incarnation: Incarnation | None = None  # peer of the last established connection
-        self._earlier_incarnation_dials = 0  # consecutive ones
-        self._failed_dials = 0  # consecutive ones
+        self._earlier_incarnation_dials = 0  # dials that found one since the last established connection
+        self._failed_dials = 0  # dials that have ended since the last completed handshake
         self._task = tasks.spawn(self._keep_connected())
 
     @property
@@ -123,7 +124,10 @@
         return self.connection is not None and self.connection.oldest_unanswered_s() > UNRESPONSIVE_AFTER_S
 
     async def call(self, method: str, payload: object, timeout: float) -> object:
-        """The payload of the response. Raises CallFailedError if there is none within `timeout` seconds."""
+        """Send a request and return the payload of its response.
+
+        Raises CallFailedError if there is no response within `timeout` seconds.
+        """
         if self.connection is None or not self.up:
             raise CallFailedError(method, self.name, "no link", False)
         connection = self.connection
--- a/emberlatch/core/context.py
+++ b/emberlatch/core/context.py
@@ -9,7 +9,7 @@
 from emberlatch.core.records import Route
 from emberlatch.core.settings import Settings
 
-MAX_LOG_LINES = 60  # maximum number of lines that one forwarder logs
+MAX_LOG_LINES = 60  # maximum number of lines that a forwarder logs in its lifetime
 
 
 class Context:
--- a/emberlatch/core/events.py
+++ b/emberlatch/core/events.py
@@ -199,8 +199,8 @@
 class DirectoryUpdate:
     """An update of the endpoint list; an update of kind FAILED has no entries.
 
-    `may_miss_changes`: under the rules of the directory, a change that was not received may already be in
-    force.
+    `may_miss_changes`: the directory may already apply a change that this forwarder has not received, which
+    the rules of the directory permit.
     """
 
     kind: ListKind
--- a/emberlatch/core/health.py
+++ b/emberlatch/core/health.py
@@ -24,7 +24,7 @@
 from emberlatch.core.slow_start import SlowStart
 
 SLOW_LATENCY_RATIO = 3.0  # a route is slow above this multiple of its pool's baseline latency
-# A single call without a response shows that its route hangs after this many response time-outs.
+# After this many response time-outs, a single call without a response shows that its route hangs.
 SINGLE_CALL_TIMEOUTS = 1.5
 # If a smaller share of the rate limit remains, the limit explains a rejection. The value is well above 0
 # because reports of the remaining share lag and are noisy.
@@ -34,8 +34,11 @@
 RATE_DECREASE, RATE_INCREASE = 0.8, 0.03  # send rate: factor at a rejection, relative step at a success
 RATE_DECREASE_AT_LIMIT = 0.95  # send rate: factor at a success that reports a nearly exhausted rate limit
 POOL_DECREASE = 0.7  # factor for a pool's adaptive limit at each failure
-KNOWN_ROUTE_SAMPLES = 30  # successes after which a destination's latency is known and one failure suffices
-REPEATED_FAILURES = 3  # consecutive failures needed for results that also occur singly on a healthy route
+# Successes after which a destination's latency is known. From then on, one failure to connect or one time-out
+# suffices for an ejection.
+KNOWN_ROUTE_SAMPLES = 30
+# Consecutive failures needed for an ejection if the result also occurs singly on a healthy route.
+REPEATED_FAILURES = 3
 RETRY_BACKOFF_S = 0.05  # doubled with each attempt after results where other callers retry as well
 RECENT_LATENCY_WEIGHT, BASELINE_LATENCY_WEIGHT = 0.3, 0.03
 RETRY_AFTER_JITTER = 0.3
@@ -215,7 +218,9 @@
         route.send_rate = max(min(route.send_rate, 2 * recent), recent * MIN_RATE_SHARE) * RATE_DECREASE
 
     def _is_lasting(self, route: Route, result: Result) -> bool:
-        """Return whether consecutive failures show an outage and not chance, a full table or a lost response.
+        """Return whether consecutive failures show an outage.
+
+        Single failures also occur by chance, or because of a full connection table or a lost response.
 
         An ejection is expensive for a route with few calls, and one more call sent immediately is safe:
         overload comes from delayed calls that many forwarders send at the same time.
--- a/emberlatch/core/rates.py
+++ b/emberlatch/core/rates.py
@@ -44,9 +44,9 @@
         self.value, self.updated_at = 0.0, 0.0
 
     def at(self, now: float, window: float) -> float:
-        """Return the rate at `now`, averaged over `window` seconds."""
+        """Return the rate at `now`. `window` is the time constant of the decay in seconds."""
         return self.value * math.exp(-(now - self.updated_at) / window)
 
     def add(self, now: float, window: float) -> None:
-        """Count one event at `now`."""
+        """Count one event at `now`; `window` as in `at`."""
         self.value, self.updated_at = self.at(now, window) + 1 / window, now
--- a/emberlatch/core/records.py
+++ b/emberlatch/core/records.py
@@ -258,10 +258,10 @@
             self.rate_limit, self.limit_left_share = report["x1"], report.get("x0", 1.0)
 
     def demand_share(self, now: float) -> float:
-        """Return this forwarder's demand for the route in calls per second.
+        """Return this forwarder's demand for the route in messages per second.
 
-        It may amount to less than one call in the forwarder's lifetime. Even so, the demand of all forwarders
-        adds up to the total demand, however unevenly it is distributed.
+        The demand may amount to less than one message in the forwarder's lifetime. Even so, the demand of all
+        forwarders adds up to the total demand, however unevenly it is distributed.
         """
         return self.pool.demand.at(now, DEMAND_WINDOW_S) / max(1, len(self.pool.routes))
 
--- a/emberlatch/core/send_rate.py
+++ b/emberlatch/core/send_rate.py
@@ -14,10 +14,11 @@
 # The initial send rate is this multiple of an even share of a known limit, because other forwarders may need
 # less than their shares.
 INITIAL_SHARE_FACTOR = 1.5
-# Minimum send rate as a share of this forwarder's demand, and the share added to it if no calls are rejected.
+# Minimum send rate as a share of this forwarder's demand, and the share that is added in proportion to the
+# spare capacity.
 MIN_RATE_SHARE, UNCONGESTED_RATE_SHARE = 0.5, 0.7
-CONGESTION_WEIGHT = 0.05  # weight of one call in the moving average of rejected calls
-CONGESTION_PENALTY = 6.0  # decrease of the spare capacity per unit of the rejected share
+CONGESTION_WEIGHT = 0.05  # weight of one outcome in the moving average of the rejected share
+CONGESTION_PENALTY = 6.0  # the spare capacity is 1 minus this multiple of the rejected share
 MIN_SEND_RATE = 1e-6
 
 
@@ -63,9 +64,9 @@
     def rate(self, route: Route) -> float:
         """Return the permitted calls per second.
 
-        The rate is at least a share of this forwarder's demand, and all of it while few calls to any
-        destination are rejected. The guaranteed share assumes full batches, because waiting messages are sent
-        in one call.
+        The rate is at least `MIN_RATE_SHARE` of this forwarder's demand, in full batches, because waiting
+        messages are sent in one call. In proportion to the spare capacity, up to `UNCONGESTED_RATE_SHARE` of
+        the demand is added. A quota limits the result.
         """
         lowest = MIN_RATE_SHARE / route.max_batch() + UNCONGESTED_RATE_SHARE * self._congestion.spare_capacity
         rate = max(route.send_rate, lowest * route.demand_share(self._context.now), MIN_SEND_RATE)
--- a/emberlatch/core/settings.py
+++ b/emberlatch/core/settings.py
@@ -32,7 +32,7 @@
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
-    """Only the endpoint that received the first attempt."""
+    """Only the endpoint that received the attempt to be repeated."""
 
 
 class ValueDecay(Enum):
--- a/emberlatch/core/slow_start.py
+++ b/emberlatch/core/slow_start.py
@@ -75,5 +75,8 @@
         return max(context.now, route.blocked_until) + gap
 
     def fair_share(self) -> float:
-        """Return 1 for up to `UNCOORDINATED_FORWARDERS` forwarders, and proportionally less for more."""
+        """Return this forwarder's share of what forwarders may do without coordination, from 0 to 1.
+
+        It is 1 for up to `UNCOORDINATED_FORWARDERS` forwarders; more forwarders share what these may do.
+        """
         return min(1.0, UNCOORDINATED_FORWARDERS / self._context.settings.forwarders)
--- a/emberlatch/core/timers.py
+++ b/emberlatch/core/timers.py
@@ -13,7 +13,11 @@
 
 
 class WakeupSchedule:
-    """Due times by number, in a heap, so that the earliest is found without a scan."""
+    """Due times of destinations, which are identified by number.
+
+    A heap has the due times, so that the earliest is found without a scan. Outdated heap entries are dropped
+    when they become the earliest.
+    """
 
     __slots__ = ("_due", "_heap")
 
@@ -22,14 +26,14 @@
         self._due: dict[int, float] = {}
 
     def schedule(self, number: int, at: float) -> None:
-        """Set the due time of a number, replacing its previous one; infinity: never due."""
+        """Set the due time of a destination, replacing its previous one; infinity: never due."""
         if self._due.get(number, math.inf) != at:
             self._due[number] = at
             if at < math.inf:
                 heapq.heappush(self._heap, (at, number))
 
     def cancel(self, number: int) -> None:
-        """Remove a number and its due time."""
+        """Remove the due time of a destination."""
         self._due.pop(number, None)
 
     def next_due(self) -> float:
@@ -40,7 +44,7 @@
         return heap[0][0] if heap else math.inf
 
     def pop_due(self, now: float) -> list[int]:
-        """Return the numbers that are due and clear their due times."""
+        """Return the destinations that are due and clear their due times."""
         due_numbers = []
         while self.next_due() <= now:
             due_numbers.append(heapq.heappop(self._heap)[1])
