--- a/emberlatch/cluster/cli/loopback_cluster.py
+++ b/emberlatch/cluster/cli/loopback_cluster.py
@@ -72,7 +72,7 @@
 
 
 class LoopbackCluster(Environment):
-    """Stores and forwarders as processes, for the simulated clients, targets and operators of this process.
+    """Runs stores and forwarders as processes; clients, targets and operators are simulated in this process.
 
     Attributes:
         hosts: loopback address of each process by its name.
@@ -146,7 +146,7 @@
         return "\n".join(lines) + "\n"
 
     async def start(self) -> bool:
-        """Start all processes and targets, apply a configuration, and return whether it became ready."""
+        """Start all processes and targets, apply a configuration, and return whether the cluster is ready."""
         for name in self.hosts:
             self.start_process(name, True)
         for n in range(TARGET_COUNT):
--- a/emberlatch/cluster/cli/trial.py
+++ b/emberlatch/cluster/cli/trial.py
@@ -94,7 +94,7 @@
 
 
 def run(seconds: float, per_s: float, kill: bool, other: Path | None) -> ExitCode:
-    """Try a cluster under load, or, with another checkout, a roll-out from it and back.
+    """Run a cluster under load. With `other`, roll out this checkout from `other`, then roll back.
 
     Return FAILED if a message was lost or a rule was broken, UNUSABLE if `other` is not a checkout.
     """
--- a/emberlatch/cluster/cli/validation.py
+++ b/emberlatch/cluster/cli/validation.py
@@ -44,7 +44,10 @@
 
 
 def _line_of(raw: bytes, reason: str) -> int:
-    """Return the number of the first line with a name from `reason`, the last name first; 0 if none."""
+    """Return the number of the line that an error refers to; 0 if it can't be found.
+
+    Searches the file for each term of `reason` in quotes, the last term first; returns the first match.
+    """
     terms = [term.strip(":,") for term in reason.split() if len(term) >= MIN_TERM_CHARS]
     lines = raw.decode("utf-8", "replace").splitlines()
     for term in reversed(terms):
--- a/emberlatch/cluster/control_api/api.py
+++ b/emberlatch/cluster/control_api/api.py
@@ -22,7 +22,7 @@
 
 
 class ControlApi:
-    """Decodes HTTP requests into calls for `call_handler`, which is local in a store, else a forwarder."""
+    """Decodes HTTP requests into calls for `call_handler`: `LocalHandler` or `ForwardingHandler`."""
 
     def __init__(self, call_handler: CallHandler) -> None:
         self._call_handler = call_handler
--- a/emberlatch/cluster/control_api/local.py
+++ b/emberlatch/cluster/control_api/local.py
@@ -14,7 +14,8 @@
 from emberlatch.cluster.settings.configuration import MAX_CONFIGURATION_BYTES
 
 TARGET_NOTIFY_TIMEOUT_S = 0.35  # seconds that a target's call waits for the other stores to confirm a change
-HEARTBEATS_PER_NOTICE = 2  # Of this many heartbeats without a change, one is passed to the other stores.
+# A heartbeat without a change is reported to the other stores unless this divides its sequence number.
+HEARTBEATS_PER_NOTICE = 2
 MAX_ERROR_TEXT = 200  # characters
 
 STATUSES = {
@@ -39,7 +40,7 @@
     """The links of this machine to the other stores."""
 
     def reachable_stores(self) -> list[Peer]:
-        """The links to stores that are up."""
+        """The links that are up."""
 
     def has_confirmed_majority(self) -> bool:
         """Whether a majority of the voters answered a recent heartbeat."""
--- a/emberlatch/cluster/decommission/decommissions.py
+++ b/emberlatch/cluster/decommission/decommissions.py
@@ -26,7 +26,7 @@
 
 
 class Decommissions:
-    """Handles the operator's calls for any store, and empties the local store once it is marked.
+    """Handles the operator's calls for any store, and empties the local store once its machine is marked.
 
     Args:
         node: The name of this machine.
@@ -97,7 +97,7 @@
         return ControlResponse(200, b"{}")
 
     def _rejection(self, state: ControlState, node: str) -> ControlResponse | None:
-        """Return the response if a machine may not be marked; None if it may be, or is marked already."""
+        """Return the error response if a decommission is refused; None if it is allowed or has begun."""
         if state.decommission_mark(node) is not None:
             return None
         counted = self._stores.counted_stores()
@@ -114,8 +114,8 @@
     async def retrieve(self, node: str) -> ControlResponse:
         """Return the progress of a decommission.
 
-        It is completed once a majority has a state in which the machine is empty and has no vote. 404 if the
-        machine is not being decommissioned, 503 if the state can't be confirmed.
+        The decommission is completed once a majority has a state in which the machine is empty and has no
+        vote. 404 if the machine is not being decommissioned, 503 if the state can't be confirmed.
         """
         if not self._stores.has_confirmed_majority():
             return NO_MAJORITY
@@ -132,7 +132,7 @@
 
 
 def _invalid_period(body: bytes) -> str:
-    """Return why the body of an order is invalid; empty if it is valid."""
+    """Return why the body of an `initiate` call is invalid; empty if it is valid."""
     try:
         period_s = json.loads(body or b"{}").get("period_s", 0)
     except (ValueError, AttributeError, RecursionError):
--- a/emberlatch/cluster/decommission/evacuation.py
+++ b/emberlatch/cluster/decommission/evacuation.py
@@ -1,4 +1,4 @@
-"""Moves the messages and records of a store to the other stores, so that it can be removed."""
+"""Moves the messages and records of a store to the other stores, so that its machine can be removed."""
 
 from __future__ import annotations
 
--- a/emberlatch/cluster/decommission/ports.py
+++ b/emberlatch/cluster/decommission/ports.py
@@ -1,4 +1,4 @@
-"""The interface of the other stores to a decommission."""
+"""The interface by which a decommission uses the other stores."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class StoreDirectory(Protocol):
-    """The other stores, and the losses that they tolerate."""
+    """Lists the other stores, and checks whether stores suffice for the losses that the settings tolerate."""
 
     def satisfies_quorum(self, nodes: Iterable[str]) -> bool:
         """Whether a message on the disks of these machines survives the losses that the settings tolerate."""
--- a/emberlatch/cluster/discovery/target.py
+++ b/emberlatch/cluster/discovery/target.py
@@ -10,7 +10,7 @@
 
 
 class TargetState(IntEnum):
-    """State of an incarnation, which only ever increases; the numbers are those on the wire."""
+    """State of an incarnation. It changes only to a higher value; processes exchange these values."""
 
     IN_SERVICE = 0
     DRAINING = 1
--- a/emberlatch/cluster/discovery/target_directory.py
+++ b/emberlatch/cluster/discovery/target_directory.py
@@ -48,7 +48,7 @@
         self._by_address: dict[tuple[str, int], Target] = {}
 
     def subscribe(self, subscriber: Callable[[Target], None]) -> None:
-        """Call `subscriber` with a target whenever it changes in a way that matters for deliveries."""
+        """Call `subscriber` with a target whenever it is registered, or its state or lease changes."""
         self._subscribers.append(subscriber)
 
     def apply_heartbeat(self, target_id: str, fields: object, now: float) -> AppliedHeartbeat:
@@ -88,7 +88,7 @@
         self.deregister(target_id, now)
 
     def expire(self, now: float) -> None:
-        """Expire the leases of targets without heartbeats, and remove targets with an old last contact."""
+        """Expire overdue leases; remove targets whose last contact is over `TOMBSTONE_RETENTION_S` ago."""
         for target in list(self.targets_by_id.values()):
             lease_over = now - target.last_contact_at > self._lease_s
             if target.state is not TargetState.DEREGISTERED and lease_over and not target.lease_expired:
@@ -122,7 +122,7 @@
         if target.state is TargetState.DEREGISTERED:
             return
         previous = self._by_address.get(target.address)
-        if previous is not None:  # the new target took over the address; its service may differ
+        if previous is not None:  # replaced at this address, perhaps by another service's target
             self._set_state(previous, TargetState.DEREGISTERED)
         self._by_address[target.address] = target
         host, port = target.address
@@ -130,7 +130,7 @@
         self._notify(target)
 
     def _set_state(self, target: Target, state: TargetState) -> None:
-        """Increase a target's state, which is done only here; ignore a state that is not higher."""
+        """Set the state of a known target if the new state is higher; no other method changes it."""
         if state <= target.state:
             return
         target.state = state
@@ -141,7 +141,7 @@
         self._notify(target)
 
     def _set_lease_expired(self, target: Target, expired: bool) -> None:
-        """Set whether a target's lease has expired, which is done only here."""
+        """Set whether a target's lease has expired; no other method changes this."""
         target.lease_expired = expired
         log_event(Event.TARGET_LEASE_EXPIRED if expired else Event.TARGET_LEASE_RENEWED, target.id)
         self._notify(target)
--- a/emberlatch/cluster/dispatch/carrier.py
+++ b/emberlatch/cluster/dispatch/carrier.py
@@ -49,7 +49,7 @@
         """Return whether the message still has to be sent."""
 
     def on_delivery_result(self, ref: int, delivery_result: DeliveryResult, seal: str) -> None:
-        """Store the delivery result of a response; the outcome of the call follows."""
+        """Store the delivery result of a response; `on_outcome` is called for the same call afterwards."""
 
     def on_outcome(self, outcome: Outcome) -> None:
         """Process the outcome of a call; each call has exactly one."""
--- a/emberlatch/cluster/dispatch/delivery.py
+++ b/emberlatch/cluster/dispatch/delivery.py
@@ -1,7 +1,8 @@
 """The deliveries of this store and their stages.
 
 Stages of a delivery: DELAYED -> READY -> QUEUED_IN_POOL -> IN_FLIGHT, and back to DELAYED for each retry. A
-delivery that has ended, or that another store takes over, is removed from the table.
+delivery that has ended, or that another store takes over, is removed from the table. The deliveries that are
+in the decision module, in the last two stages, are called the pool.
 """
 
 from __future__ import annotations
--- a/emberlatch/cluster/dispatch/delivery_result.py
+++ b/emberlatch/cluster/dispatch/delivery_result.py
@@ -21,7 +21,7 @@
 
 MODULE_RESULTS: dict[DeliveryResult, tuple[Result, bool]] = {
     DeliveryResult.COMPLETED: (Result.OK, True),
-    # This response shows a healthy target. The module's delivery ends; a retry is a new delivery.
+    # The target is healthy although the attempt failed. A retry is offered to the module under a new `ref`.
     DeliveryResult.ATTEMPT_FAILED: (Result.OK, True),
     DeliveryResult.REJECTED_PERMANENTLY: (Result.OK, True),
     DeliveryResult.OVERLOADED: (Result.FULL, False),
@@ -29,7 +29,7 @@
     DeliveryResult.WRONG_INSTANCE: (Result.NOT_EXECUTED, False),
     DeliveryResult.UNKNOWN: (Result.ERROR, False),
 }
-"""The result passed to the decision module for each delivery result, and whether its delivery has ended."""
+"""The result passed to the decision module per delivery result, and whether the delivery ends there."""
 
 
 def classify_response(status: int, seal: str, not_executed: bool) -> DeliveryResult:
--- a/emberlatch/cluster/dispatch/destinations.py
+++ b/emberlatch/cluster/dispatch/destinations.py
@@ -36,7 +36,7 @@
 
 
 class Destinations:
-    """Numbers the destinations, and records the endpoints announced to the decision module."""
+    """Assigns a number to each destination, and records the endpoints announced to the decision module."""
 
     def __init__(self, zone: str) -> None:
         self._zone = zone
@@ -76,7 +76,7 @@
             return None
         remote = target.zone != self._zone
         locality = Locality.REMOTE if remote else Locality.LOCAL
-        # The other half of the capacity is reserved for the stores in the target's own zone.
+        # A store in another zone uses half of the capacity; the rest is for stores in the target's zone.
         capacity = max(1, target.capacity // 2) if remote else target.capacity
         entry = api.Entry(name, self.number(target.service, locality), phase, max_concurrency=capacity)
         if phase is api.Phase.REMOVED:
--- a/emberlatch/cluster/dispatch/dispatcher.py
+++ b/emberlatch/cluster/dispatch/dispatcher.py
@@ -1,7 +1,8 @@
 """Connects the deliveries of this store with the decision module and the carrier.
 
 The dispatcher creates a delivery for each message and offers it to the decision module, which chooses a
-target. The carrier calls that target; the outcome of the call goes to the module and to `OutcomeHandler`.
+target. The decision module is `Forwarder` in `emberlatch.core.forwarder`. The carrier calls the target; the
+outcome of the call goes to the module and to `OutcomeHandler`.
 """
 
 from __future__ import annotations
@@ -152,7 +153,7 @@
         return delivery is not None and self._owner.owns(delivery.record)
 
     def on_delivery_result(self, ref: int, delivery_result: DeliveryResult, seal: str) -> None:
-        """Store the delivery result of a response; the outcome of the call follows."""
+        """Store the delivery result of a response; `on_outcome` is called for the same call afterwards."""
         self._outcomes.on_delivery_result(ref, delivery_result, seal)
 
     def on_outcome(self, outcome: api.Outcome) -> None:
--- a/emberlatch/cluster/dispatch/module_settings.py
+++ b/emberlatch/cluster/dispatch/module_settings.py
@@ -8,11 +8,11 @@
 CONNECT_TIMEOUT_S = 0.5
 CONNECTION_IDLE_S = 6.0
 MAX_RETRY_AFTER_S = 2.0
-UNLIMITED = 1_000_000  # limit for the module, as this package itself limits messages and attempts
+UNLIMITED = 1_000_000  # too high to take effect in the module; this package limits messages and attempts
 
 
 class LeaseWaitCategories:
-    """Assigns a category number of the module to each pair of latency target and deadline, in seconds.
+    """Assigns a category number of the module to each pair of lease wait and deadline, in seconds.
 
     Attributes:
         settings: settings of the decision module, with all categories added so far.
--- a/emberlatch/cluster/dispatch/outcomes.py
+++ b/emberlatch/cluster/dispatch/outcomes.py
@@ -60,7 +60,7 @@
                 self._try_other_target(delivery)
 
     def on_no_lease(self, ref: int) -> None:
-        """Offer a delivery again, after `NO_LEASE_RETRY_S`, that the decision module rejected or failed."""
+        """After `NO_LEASE_RETRY_S`, offer a delivery again that the decision module rejected or failed."""
         if (delivery := self._deliveries.by_ref.get(ref)) is not None:
             delivery.offer_count += 1
             self._delayed.delay_for(delivery, NO_LEASE_RETRY_S)
@@ -74,6 +74,7 @@
         self._deliveries.remove(delivery)
         if delivery.stage in POOL_STAGES:
             self._inbox.add(api.ClientDisconnected(delivery.ref))
+        # Any stage outside the pool would do: the delivery must no longer count in the pool sizes.
         self._deliveries.change_stage(delivery, DeliveryStage.DELAYED)
         self._inbox.schedule()
 
--- a/emberlatch/cluster/dispatch/ports.py
+++ b/emberlatch/cluster/dispatch/ports.py
@@ -40,7 +40,7 @@
         """Record that another instance listens at the address of this target."""
 
     def may_start_calls(self) -> bool:
-        """Return whether calls may start: no other store owns the messages, and our disk accepts writes."""
+        """Return whether calls may start: no other store has taken over, and the disk accepts writes."""
 
     def quota_divisor(self, service: str) -> float:
         """Return the divisor that turns a service's rate limit into this store's quota share."""
--- a/emberlatch/cluster/ingress/front.py
+++ b/emberlatch/cluster/ingress/front.py
@@ -1,7 +1,7 @@
 """Handles client requests: submits messages for delivery, and answers queries about their state and body.
 
-For a submitted message, 202 means that it is durable on a quorum of disks. 429 and 503 are promises that it
-never ran and never will; if a store may have it, the response is 504.
+The response 202 to a submitted message means that the message is durable on a quorum of disks. 429 and 503
+guarantee that the message was not executed and never will be. The response is 504 if a store may have it.
 """
 
 from __future__ import annotations
--- a/emberlatch/cluster/ingress/listener.py
+++ b/emberlatch/cluster/ingress/listener.py
@@ -20,7 +20,7 @@
         "emberlatch-deadline-ms",
     }
 )
-"""Headers that a request may have only once: of two values, another program could read the other one."""
+"""Headers that a request may have only once; with two values, two programs could each use another one."""
 
 RequestHandler = Callable[[Request, Reply], Coroutine[object, object, None]]
 """Answers one request through its reply."""
--- a/emberlatch/cluster/ingress/message_queries.py
+++ b/emberlatch/cluster/ingress/message_queries.py
@@ -16,7 +16,7 @@
 
 
 class NoSuchMessageError(LookupError):
-    """Every store responded and none has the message, or its body was requested and it is completed."""
+    """Every store responded and none has the message, or the body of a completed message was requested."""
 
 
 class StoresUnreachableError(LookupError):
--- a/emberlatch/cluster/ingress/stores.py
+++ b/emberlatch/cluster/ingress/stores.py
@@ -1,4 +1,4 @@
-"""The interface of the stores to the front."""
+"""The interface by which the front finds the stores."""
 
 from __future__ import annotations
 
--- a/emberlatch/cluster/ingress/submitter.py
+++ b/emberlatch/cluster/ingress/submitter.py
@@ -9,7 +9,7 @@
 from emberlatch.cluster.message_store import AcceptReply, AcceptRequest, SubmittedMessage
 from emberlatch.cluster.rpc import CallFailedError, Peer, RpcMethod
 
-STORE_TIMEOUT_S = 0.15  # seconds for one store to accept a message while there is another candidate
+STORE_TIMEOUT_S = 0.15  # seconds for one store to accept a message; the last one gets the remaining time
 SUBMIT_TIMEOUT_S = 0.46  # seconds for all attempts, after which the client gets its response
 MIN_ATTEMPT_S = 0.02  # No attempt begins with this many seconds remaining, or fewer.
 
--- a/emberlatch/cluster/node/graceful_shutdown.py
+++ b/emberlatch/cluster/node/graceful_shutdown.py
@@ -15,9 +15,9 @@
 
 SHUTDOWN_ACCEPT_S = 2.7  # seconds after SIGTERM during which new client connections are still accepted
 SHUTDOWN_ACCEPT_SHARE = 0.45  # upper limit of that time, as a fraction of the grace period
-FRONT_DRAIN_MARGIN_S = 1.5  # The wait for clients ends this many seconds before the grace period.
-STORE_DRAIN_MARGIN_S = 1.0  # The wait for calls ends this many seconds before the grace period.
-FLUSH_MARGIN_S = 0.5  # The wait for the disk ends this many seconds before the grace period.
+FRONT_DRAIN_MARGIN_S = 1.5  # seconds from the end of the wait for clients to the end of the grace period
+STORE_DRAIN_MARGIN_S = 1.0  # seconds from the end of the wait for calls to the end of the grace period
+FLUSH_MARGIN_S = 0.5  # seconds from the end of the wait for the disk to the end of the grace period
 FRONT_POLL_S = 0.05  # seconds between two checks whether all clients have disconnected
 STORE_POLL_S = 0.02  # seconds between two checks whether all calls have been answered
 NOTICE_SEND_S = 0.03  # seconds that notices get for transmission before the links are closed
--- a/emberlatch/cluster/node/heartbeats.py
+++ b/emberlatch/cluster/node/heartbeats.py
@@ -18,7 +18,7 @@
 from emberlatch.cluster.rpc import DEFAULT_HEARTBEAT_INTERVAL_S, LocalEndpoint, Peer, RpcConnection, RpcMethod
 from emberlatch.cluster.settings import NodeSettings
 
-FULL_RATE_STORES = 6  # largest number of stores at which forwarders send heartbeats as often as stores do
+FULL_RATE_STORES = 6  # with more stores than this, forwarders send heartbeats less often than stores do
 
 
 class HeartbeatService:
--- a/emberlatch/cluster/node/quota_shares.py
+++ b/emberlatch/cluster/node/quota_shares.py
@@ -5,11 +5,14 @@
 from emberlatch.cluster.membership import primary_store
 from emberlatch.cluster.membership.view import MembershipView
 
-PRIMARY_STORE_QUOTA_SHARE = 0.8  # fraction of a zone's share that the service's primary store there gets
+PRIMARY_STORE_QUOTA_SHARE = 0.8  # fraction of a zone's share for the primary store in that zone
 
 
 class QuotaShares:
-    """Divides among all known stores, including dead ones, which may have sent a moment before they died."""
+    """Computes the share of this store in a service's rate limit.
+
+    All known stores get a share, including dead ones, which may have sent calls just before they failed.
+    """
 
     def __init__(self, node: str, zone: str, membership: MembershipView) -> None:
         self._node, self._zone, self._membership = node, zone, membership
--- a/emberlatch/cluster/node/store_service.py
+++ b/emberlatch/cluster/node/store_service.py
@@ -41,7 +41,7 @@
         message_store = self._store.message_store
         await message_store.start(self._initial_start)
         if not self._roster_restored:
-            with contextlib.suppress(OSError):  # Without the roster, the seeds report the other stores.
+            with contextlib.suppress(OSError):  # If this fails, the seeds report the other stores.
                 self._restore_roster()
                 self._membership.dial()
         self._tasks.spawn(message_store.run_maintenance())
--- a/emberlatch/cluster/settings/configuration.py
+++ b/emberlatch/cluster/settings/configuration.py
@@ -78,7 +78,7 @@
 
     @cached_property
     def by_host(self) -> dict[str, list[Route]]:
-        """The routes of each host in lower case, the longest prefix first."""
+        """The routes by host name in lower case; each host's routes are sorted, the longest prefix first."""
         routes: dict[str, list[Route]] = {}
         for route in sorted(self.route_entries, key=lambda r: -len(r.path_prefix)):
             routes.setdefault(route.host_name.lower(), []).append(route)
--- a/emberlatch/cluster/settings/node_settings.py
+++ b/emberlatch/cluster/settings/node_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: TOML with the fields of the users' DEPLOY page; ignores unknown fields."""
+"""The settings file of a process: TOML. The users' page DEPLOY lists its fields; others are ignored."""
 
 from __future__ import annotations
 
