--- a/emberlatch/directory/assumed_delivery.py
+++ b/emberlatch/directory/assumed_delivery.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliveryTerms:
-    """When the service assumes that its answer was delivered.
+    """The delays after which the service assumes that an answer was delivered.
 
     Attributes:
         after_lookup_s: seconds after the request of a look-up.
--- a/emberlatch/directory/backoff.py
+++ b/emberlatch/directory/backoff.py
@@ -7,7 +7,7 @@
 INITIAL_DELAY_S, MAX_DELAY_S = 0.15, 2.0  # first and longest delay without a Retry-After
 RETRIES_BEFORE_DEADLINE = 8.0  # caps a delay at an eighth of the time until the deadline
 MIN_DELAY_S = 0.1
-OVERDUE_DELAY_S = 0.5  # upper bound after the deadline, when faster retries are of no use
+OVERDUE_DELAY_S = 0.5  # upper limit of a delay after the deadline; a lower limit would not help
 SERVICE_TIME_PER_CALL_S = 0.2
 UNSTAGGERED_CALLERS = 3  # number of callers that may send requests at the same moment
 MAX_ROUND_S = 8.0
@@ -23,8 +23,8 @@
 
     All delays scale with the *round*, the time in which the service can answer each of its callers once. If
     forty callers send a request at the same moment, the last ones wait in the service's queue for longer than
-    it allows. If those that failed retry within a second, the queue never empties, and no request is ever
-    answered. With few callers the round is zero.
+    the service allows. If the callers that failed retry within a second, the queue never empties, and no
+    request is ever answered. With few callers the round is zero.
     """
 
     def __init__(self, seed: int, callers: int = 1) -> None:
@@ -38,7 +38,10 @@
         self._failures = 0
 
     def first_delay_s(self) -> float:
-        """Random seconds until the first request after a start or a move, when all callers begin at once."""
+        """Return a random delay before the first request after a start or a change of the address.
+
+        All callers begin at the same time then.
+        """
         return self._random.uniform(0.0, self.round_s)
 
     def next_delay_s(self, until_deadline_s: float, retry_after_s: float = 0.0) -> float:
--- a/emberlatch/directory/client.py
+++ b/emberlatch/directory/client.py
@@ -4,7 +4,8 @@
 | --- | --- | --- | --- |
 | idle | `watch(True)` | requesting | send a watch |
 | requesting | answer accepted | delayed by `WATCH_GAP_S` | |
-| requesting | answer with an older revision | delayed by the backoff | next, fetch the complete list |
+| requesting | older revision, asked after last answer | delayed by the backoff | fetch the complete list |
+| requesting | older revision, asked before last answer | delayed by `WATCH_GAP_S` | |
 | requesting | failure | delayed by the backoff | |
 | requesting | time-out | requesting | send a new watch, which supersedes the old one |
 | delayed | the delay has passed | requesting | send a watch |
@@ -30,17 +31,17 @@
 The contents of a lost answer count as delivered only after this time.
 """
 WATCH_TIMEOUT_S = 5.0
-"""Time after which an unanswered watch is sent again, following a change or a failure.
+"""Time-out of a watch at the start and after a new revision or a failure; then the watch is sent again.
 
-It doubles with each time-out up to the end of the watch's wait. By then the service sends an empty answer,
-and no answer counts as lost.
+The time-out doubles each time it passes, up to the end of the watch's wait and the grace time after that, by
+which the service has sent an answer, at least an empty one.
 """
 EMPTY_ANSWER_GRACE_S = 0.6
 """How long after the end of a watch's wait its empty answer may arrive."""
 LOOKUP_TIMEOUT_S = 2.0
 URGENT_LOOKUP_TIMEOUT_S = 1.0
 WATCH_GAP_S = 0.05
-"""Delay before the next request of a watch, which continues the watch if it arrives within 0.2 s."""
+"""Delay before the next request of a watch; the service continues the watch if it arrives within 0.2 s."""
 
 
 class Failure(Enum):
@@ -171,7 +172,8 @@
             self._watch_timeout_s = self._initial_timeout_s
         self.revision, self._accepted_at = revision, now
         if call == self._watch_call:
-            # Must precede clearing the deadline, as the answer includes what the superseded watch lost.
+            # Drop the superseded watch before the deadline is cleared: this answer includes the changes
+            # that the lost answer contained.
             self._drop_superseded()
         self.assumed_delivery.answer_accepted()
         self._backoff.reset()
@@ -181,7 +183,8 @@
     def on_failure(self, now: float, call: int, failure: Failure, retry_after: float = 0.0) -> bool:
         """Handle a failed request; `retry_after` is the delay in seconds that the service asked for.
 
-        Returns whether the failure is new: that of a dropped or superseded request was reported before.
+        Returns whether the failure must be reported; that of a dropped or superseded request has been
+        reported before.
         """
         failed_call = self._calls.pop(call, None)
         if failed_call is None:
@@ -228,7 +231,7 @@
     def _reject_older(self, now: float, call: int, answered_call: _Call) -> None:
         """Handle an answer with an older revision than the list that was accepted last."""
         if answered_call.sent_at >= self._accepted_at:
-            # The answer to a newer request has changes up to an older revision: the service lost its state.
+            # Asked after the last answer, and yet an older revision: the service has lost its state.
             self.revision = None
             self._retry_later(now, call, 0.0)
         elif call == self._watch_call:  # a late answer: another one was accepted after its request
--- a/emberlatch/engine/active_settings.py
+++ b/emberlatch/engine/active_settings.py
@@ -74,7 +74,7 @@
         """
         if message.remaining <= 0:
             raise BadMessageError("no time is left")
-        # A batch request writes both on one line, separated by spaces.
+        # A batch request contains the id and the key on one line, separated by a space.
         for value in (message.id, message.key):
             if len(value) > MAX_NAME_LENGTH or not value.isprintable() or " " in value:
                 raise BadMessageError("an id or a key cannot be passed on")
--- a/emberlatch/engine/completions.py
+++ b/emberlatch/engine/completions.py
@@ -1,4 +1,8 @@
-"""Completes messages: records, notifies once the record is durable, removes once the notice is confirmed."""
+"""Completes messages.
+
+A completion is recorded in the journal, its notice is sent once the record is durable, and the message is
+removed once the notice is confirmed.
+"""
 
 from __future__ import annotations
 
@@ -60,7 +64,8 @@
     def complete(self, entry: Entry, result: CompletionResult, retry_after_ms: int | None = None) -> None:
         """Record a completion, and send its notice once the record is durable.
 
-        Otherwise a crash could lose the record, and the sender would get a second, different notice.
+        If the notice were sent earlier, a crash could lose the record, and the sender would get a second,
+        different notice.
         """
         notice = CompletionNotice(ref=entry.id, result=result.value)
         if retry_after_ms is not None:
--- a/emberlatch/engine/counters.py
+++ b/emberlatch/engine/counters.py
@@ -15,6 +15,7 @@
 MAX_LINE_TARGETS = 200
 """Maximum number of targets in one line; the targets with the lowest counts are omitted beyond that."""
 MAX_LINE_PERIOD_S = 999.0
+"""Upper limit of the interval that a line states."""
 
 
 class Counters:
@@ -27,11 +28,11 @@
         self._reported_at = 0.0
 
     def count(self, name: str, category: str = "", by: int = 1) -> None:
-        """Add to a counter of the forwarder, or of one message class."""
+        """Add `by` to the count of an event for the forwarder, or for one message class."""
         self._counts[name, category] += by
 
     def count_target(self, target: bytes, name: str, by: int = 1) -> None:
-        """Add to a counter of one target."""
+        """Add `by` to the count of an event for one target."""
         self._targets.setdefault(target, Counter())[name] += by
 
     def total(self, name: str, category: str = "") -> int:
--- a/emberlatch/engine/durability.py
+++ b/emberlatch/engine/durability.py
@@ -9,7 +9,7 @@
 
 
 def ignore_sync_failure(_: OSError) -> None:
-    """Do nothing: the callback of forwarders without durable classes, which never sync."""
+    """Do nothing. Used by forwarders without durable classes, which never sync the journal."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/emberlatch/engine/engine.py
+++ b/emberlatch/engine/engine.py
@@ -139,7 +139,7 @@
     # Start and stop.
 
     async def start(self, received: ReceivedHandover | None = None) -> None:
-        """Restore the messages from the journal and the predecessor's state, then accept new messages."""
+        """Restore the messages in the journal and the predecessor's state, then accept new messages."""
         connected = self._connected
         connected.ports.membership.start()
         entries = self._journal.load()
@@ -318,7 +318,7 @@
     def _actions_after_failed_decision(
         self, unread: list[api.Event], pending: PendingByRef
     ) -> list[api.Action]:
-        """Return the actions to execute after a decision that raised an exception at one of its events.
+        """Return the actions to execute after a decision in which one of the events raised an exception.
 
         The actions decided before that event are included, since the decision module's state assumes that
         they are executed. The events after it are posted again; submissions among them are removed from
--- a/emberlatch/engine/machine.py
+++ b/emberlatch/engine/machine.py
@@ -22,7 +22,7 @@
 
 
 class Listener(Protocol):
-    """The used part of a listening socket's interface. It is readable while a connection is waiting."""
+    """The methods of a listening socket that are used; `fileno` is readable while a connection is waiting."""
 
     def accept(self) -> tuple[Any, Any]:
         """Return the next connection and its peer's address; raises BlockingIOError if none is waiting."""
@@ -53,8 +53,8 @@
 class Machine:
     """The facilities of a machine.
 
-    Attributes: `wall_clock` returns the wall clock (Unix time in seconds), `boot_id` the boot id (the event
-    loop's clock never jumps while the id stays the same), `listen` opens a listening socket, `files` opens a
+    Attributes: `wall_clock` returns the wall clock (Unix time in seconds), `boot_id` the boot id (while it
+    stays the same, the event loop's clock never jumps), `listen` opens a listening socket, `files` opens a
     folder whose files survive the process, and `offload` runs a blocking function outside of the event loop.
     """
 
--- a/emberlatch/engine/message_table.py
+++ b/emberlatch/engine/message_table.py
@@ -19,7 +19,8 @@
     A failed write to the journal is logged and reported by the return value, so that callers neither send nor
     accept a message whose record is missing.
 
-    Attributes: `open` and `completed` may be read by other classes, and are changed by this class only.
+    Attributes: `open_messages` and `completed` may be read by other classes, and are changed by this
+    class only.
     """
 
     def __init__(self, journal: Journal) -> None:
--- a/emberlatch/engine/ports.py
+++ b/emberlatch/engine/ports.py
@@ -49,7 +49,7 @@
     tenant: str
     destination: int
     remaining: float
-    """Seconds from now until its deadline."""
+    """Seconds from the arrival of the submission until the deadline of the message."""
     body: bytes
     resubmitted: bool = False
     """Whether the sender submits the message again after a rejection."""
@@ -167,11 +167,14 @@
 class CompletionNotifier(Protocol):
     """Sends completion notices to the senders.
 
-    Reports each confirmed one to `Engine.on_notices_confirmed`.
+    Reports each confirmed notice to `Engine.on_notices_confirmed`.
     """
 
     notifies_deliveries: bool
-    """Whether deliveries are notified too; else a message is removed with its endpoint's response."""
+    """Whether notices are also sent for delivered messages.
+
+    If not, a delivered message is removed as soon as its endpoint has accepted it.
+    """
 
     def add(self, ref: int, notice: CompletionNotice) -> None:
         """Send a notice repeatedly until it is confirmed."""
--- a/emberlatch/engine/relayed_attempts.py
+++ b/emberlatch/engine/relayed_attempts.py
@@ -32,9 +32,9 @@
         self._targets.pop((outcome.ref, outcome.attempt), None)
 
     def as_reset(self) -> list[api.Outcome]:
-        """Return a reset outcome for each attempt, for use when the relay has ended.
+        """Return an outcome with the result RESET for each attempt, for use when the relay has ended.
 
-        A reset states that the attempt may have been executed.
+        RESET states that the attempt may have been executed.
         """
         return [
             api.Outcome(ref, attempt, target, api.Result.RESET, 0.0)
--- a/emberlatch/engine/submissions.py
+++ b/emberlatch/engine/submissions.py
@@ -1,4 +1,4 @@
-"""Submissions from their arrival until the decision whether they are accepted."""
+"""Handles submissions from their arrival until the decision whether they are accepted."""
 
 from __future__ import annotations
 
@@ -127,7 +127,7 @@
     def answer(self, pending: PendingByRef, actions: list[api.Action]) -> None:
         """Answer submissions according to a decision.
 
-        Those that it neither rejects nor fails are written to the journal first.
+        A submission that the decision neither rejects nor fails is written to the journal before its answer.
         """
         negative = {action.ref: action for action in actions if isinstance(action, api.Reject | api.Fail)}
         for ref, (entry, responder) in pending.items():
--- a/emberlatch/net/call.py
+++ b/emberlatch/net/call.py
@@ -103,8 +103,8 @@
     ) -> None:
         """Report the outcome of a message.
 
-        A second outcome of the same message may only report that it was delivered after all. `retry_after_s`
-        is the Retry-After of the target in seconds, `report` its load report.
+        A second outcome of the same message may only report that the message was delivered after all.
+        `retry_after_s` is the Retry-After of the target in seconds, `report` its load report.
         """
         elapsed_s = asyncio.get_running_loop().time() - self._started_at
         retry_after_ms = round(retry_after_s * 1000)
--- a/emberlatch/net/connection_pool.py
+++ b/emberlatch/net/connection_pool.py
@@ -9,7 +9,7 @@
 from emberlatch.net.http_connection import Connection
 
 IDLE_TIMEOUT_MARGIN_S = 2.0
-"""How long before the end of the target's idle time-out a connection is no longer used."""
+"""Seconds before the end of the target's idle time-out from which an idle connection is not reused."""
 
 
 class ConnectionPool:
--- a/emberlatch/net/directory_list.py
+++ b/emberlatch/net/directory_list.py
@@ -121,5 +121,5 @@
 
 
 def _index_of(names: Sequence[str], name: str | None) -> int:
-    """The index of a name in `names`; the number of names if it is not among them."""
+    """Return the index of a name in `names`, or the length of `names` if the name is not in the list."""
     return names.index(name) if isinstance(name, str) and name in names else len(names)
--- a/emberlatch/net/directory_membership.py
+++ b/emberlatch/net/directory_membership.py
@@ -58,7 +58,7 @@
             cast(Sequence[str], settings.get("failure-domains") or ()),
             cast(Sequence[str], settings.get("machine-types") or ()),
         )
-        # With push, the agent serves this process only.
+        # With push, the service is an agent on the same machine that serves this process only.
         self._client = Client(seed, callers=1 if self._uses_push else callers)
         self._calls: dict[int, asyncio.Task[None]] = {}
         self._idle_connection: Connection | None = None  # kept for the next request
@@ -198,7 +198,7 @@
             raise _DiscoveryError(Failure.UNSENT, repr(error)) from error
 
     def _keep_connection(self, connection: Connection | None) -> None:
-        """Keep a connection for the next request and close the previous one; None to keep none."""
+        """Keep a connection for the next request, or none if it is None; close the one kept before."""
         if self._idle_connection is not None:
             self._idle_connection.close()
         self._idle_connection = connection
--- a/emberlatch/net/endpoint.py
+++ b/emberlatch/net/endpoint.py
@@ -15,8 +15,8 @@
     """A target that is listed or has a call in flight.
 
     Attributes:
-        usable_until: when the usable grace period of its draining ends, in the loop's time;
-            infinite while the target is ready.
+        usable_until: until when calls may be sent to the target, in the loop's time: for a part of the grace
+            period if the target is draining or removed, without a limit while it is ready.
         deregistered: whether the target is no longer listed.
         idle: the idle connections, the most recently used one last; only the connection pool changes them.
         in_flight: number of calls in flight.
--- a/emberlatch/net/http_connection.py
+++ b/emberlatch/net/http_connection.py
@@ -13,7 +13,7 @@
 from emberlatch.engine import Address
 from emberlatch.store import MAX_BODY_BYTES
 
-if TYPE_CHECKING:  # the platform's process does not load it, see `__main__`
+if TYPE_CHECKING:  # the platform's process does not load the `ssl` module, see `__main__`
     import ssl
 
 MAX_HEAD_BYTES = 16 * 1024
@@ -100,8 +100,8 @@
         response to an earlier one.
         """
         self._response_filter = is_expected
-        # No part of the previous response may be mistaken for this one: its status 200 would turn a failed
-        # call into a delivery. So each exchange has its own parser as well.
+        # No part of the previous response may be mistaken for the response to this request: the previous
+        # status 200 would turn a failed call into a delivery. So each exchange has its own parser as well.
         self._parser, self._response = httptools.HttpResponseParser(self), Response()
         self._response_started, self._head_complete, self._head_bytes = False, False, 0
         pending = self._pending_response = asyncio.get_running_loop().create_future()
@@ -116,7 +116,7 @@
         """Whether a request may be sent: the connection is open, and no unrequested data has arrived."""
         if not self.closed and has_unread_data(self._transport):
             # The unread data belongs to no response, or is the end of the stream. If a request were sent, the
-            # rest of a duplicate response would be mistaken for the response to it.
+            # rest of a duplicate response would be mistaken for the response to that request.
             self.close()
         return not self.closed
 
--- a/emberlatch/net/pooled_carrier.py
+++ b/emberlatch/net/pooled_carrier.py
@@ -24,7 +24,10 @@
 log = logging.getLogger(__name__)
 
 USABLE_DRAIN_GRACE_SHARE = 0.8
-"""Share of a draining target's grace period in which calls are sent; the rest is a margin for a late loop."""
+"""Share of a draining target's grace period in which calls are sent.
+
+The rest is a margin for delays of the event loop.
+"""
 
 
 class PooledCarrier(ABC):
@@ -172,7 +175,7 @@
 
     @abstractmethod
     async def _on_response(self, target: Endpoint, call: Call, response: Response) -> None:
-        """Complete each message by the response; after an exception, the others get the result ERROR."""
+        """Give each message its outcome; the caller gives ERROR to those that are left without one."""
 
     def _response_filter(self, call: Call) -> Callable[[Response], bool] | None:
         """A function that returns whether a response belongs to this call and not to an earlier one.
@@ -232,7 +235,7 @@
         if connection is None and (connection := await self._open_connection(target, call)) is None:
             return None
         if not (call.pending and self._accepts_requests(target) and self._is_wanted(call)):
-            # While the connection was established, a Retry-After or a drain began, or all messages ended.
+            # Meanwhile a Retry-After or a drain has begun, or all messages have got an outcome.
             self._release(target, connection)
             call.complete_all(Result.NOT_EXECUTED)
             return None
--- a/emberlatch/net/reply.py
+++ b/emberlatch/net/reply.py
@@ -41,7 +41,7 @@
         """Whether the connection is to be closed even if the client wants to keep it open."""
 
     def on_valid_request(self) -> None:
-        """Called before a reply is encoded whose status shows that the request was valid."""
+        """Called if the status of a reply shows that its request was valid, before the reply is encoded."""
 
     def write_replies(self) -> None:
         """Write the replies that are complete, up to the first one that is not."""
--- a/emberlatch/net/request_parser.py
+++ b/emberlatch/net/request_parser.py
@@ -1,7 +1,8 @@
 """Parses the requests of one connection and enforces limits on them.
 
-Invalid input: what the parser rejects, a head or body over its limit, a repeated header that must be unique,
-both a length and a transfer encoding, an upgrade, and too many pipelined requests.
+A request is invalid if httptools rejects it, its head or body exceeds the limit, a header that must be unique
+is repeated, it has both a length and a transfer encoding, it asks for an upgrade, or too many requests are
+pipelined.
 """
 
 from __future__ import annotations
@@ -82,7 +83,7 @@
         self.request: Request | None = None
         self._partial_head: bytes | None = b""  # the received bytes of an incomplete head; None if unknown
         self._completed_request = False  # whether the current piece of data completed a request
-        self._head_bytes = 0  # size of all pieces with a part of the current, incomplete head
+        self._head_bytes = 0  # size of all fed data that contains a part of the incomplete head
         self._header_bytes = 0  # size of the current request's headers
         self._error_status = 400
 
@@ -148,7 +149,7 @@
         request, limits = self.request, self._limits
         assert request is not None
         self._header_bytes += len(name) + len(value) + HEADER_OVERHEAD_BYTES
-        if self._header_bytes > limits.max_head_bytes:  # `_head_bytes` excludes a head that came in one piece
+        if self._header_bytes > limits.max_head_bytes:  # `_head_bytes` counts incomplete heads only
             raise self._error(431)
         key = name.decode("latin-1").lower()
         if key in limits.unique_headers and key in request.headers:
--- a/emberlatch/net/retry_after.py
+++ b/emberlatch/net/retry_after.py
@@ -1,4 +1,4 @@
-"""Retry-After: parses the header, and keeps until when no call may be sent."""
+"""Parses Retry-After headers, and stores the time until which no call may be sent to a target."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class RetryAfterTable:
-    """Keeps until when each scope is blocked, in the loop's time; of two times the later one applies."""
+    """Stores until when each scope is blocked, in the loop's time; a later end replaces an earlier one."""
 
     def __init__(self) -> None:
         self._blocked_until: dict[Scope, float] = {}
--- a/emberlatch/net/server.py
+++ b/emberlatch/net/server.py
@@ -32,21 +32,25 @@
     "x-tenant-id",
     "x-timeout-ms",
 }
-"""Headers that may occur only once in a request: of two values, other software might use another one."""
+"""Headers that may occur only once in a request: other software might use another one of several values."""
 REQUEST_TIMEOUT_S = 2.0
 """Time limit for the first request of a new connection, for the arrival of a complete request, and for a
 client to read its replies."""
 IDLE_TIMEOUT_S = 5.0
 """Maximum time between two requests of a connection."""
 DRAINING_IDLE_TIMEOUT_S = 0.5
-"""The same while the server stops or drains: idle connections with unread data are not closed at once."""
+"""Replaces IDLE_TIMEOUT_S while the server stops or drains.
+
+Idle connections with unread data are not closed at once then.
+"""
 TIMEOUT_CHECK_INTERVAL_S = 0.25
 
 
 class Server:
     """Listens for clients; `submit` gets each complete message with its reply.
 
-    `message_status`, if given, returns the state of the message with an id as JSON, None if it is not known.
+    `message_status`, if given, returns the state of the message with an id as JSON, None for an
+    unknown message.
 
     Attributes:
         stopping: whether each connection is closed after its current request; never reset.
--- a/emberlatch/net/server_connection.py
+++ b/emberlatch/net/server_connection.py
@@ -67,7 +67,7 @@
     transport: asyncio.Transport
 
     def __init__(self, server: ConnectionOwner, data: bytes = b"", proven: bool = False) -> None:
-        """`data`: bytes of a request that another process read; `proven`: it has received a valid request."""
+        """`data`: bytes that another process read; `proven`: that process received a valid request before."""
         self._server, self._initial_data, self._proven = server, data, proven
         self._parser = RequestParser(server, self)
         self._replies: deque[Reply] = deque()
--- a/emberlatch/operations/handlers.py
+++ b/emberlatch/operations/handlers.py
@@ -31,7 +31,7 @@
         }
 
     def on_started(self) -> None:
-        """Report readiness from now on, as the forwarder accepts clients."""
+        """Report the forwarder as ready from now on, because it accepts clients."""
         self._serving = True
 
     def readiness(self) -> tuple[int, str]:
@@ -51,7 +51,7 @@
         return render_metrics(engine.counters, engine.categories, open_messages, *engine.count_endpoints())
 
     def drain(self, active: bool) -> tuple[int, str]:
-        """Start or stop draining; 409 if a shutdown, which can't be cancelled, is in progress."""
+        """Start or stop draining; stopping it during a shutdown, which can't be cancelled, returns 409."""
         if self._server.stopping and not active:
             return HTTPStatus.CONFLICT, "stopping: that is not taken back\n"
         if self._server.draining != active:
--- a/emberlatch/operations/http_server.py
+++ b/emberlatch/operations/http_server.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorEndpoint:
-    """What serves a path: the method, and the handler that returns status and text of the response."""
+    """The method that a path accepts, and the handler that returns status and text of the response."""
 
     method: bytes
     handler: Callable[[], tuple[int, str]]
--- a/emberlatch/operations/reload.py
+++ b/emberlatch/operations/reload.py
@@ -21,7 +21,7 @@
 )
 """Settings that take effect at once. The others need a restart: lists and calls in flight depend on them."""
 MEMBER_LIST_KEY = "known"
-"""The list of targets: its items differ and are validated one by one, so their keys are not compared."""
+"""The key of the list of targets, which is not compared: targets differ and are validated one by one."""
 
 
 def with_reloadable(current: api.Settings, new: api.Settings) -> api.Settings:
@@ -54,7 +54,10 @@
 
 
 def _missing_key_in_list(current: Sequence[object], new: Sequence[object], path: str) -> str | None:
-    """Do the same for the objects of a list; a list with anything else is not compared."""
+    """Return the path of the first key that an object in the new list lacks, or None; see `missing_key`.
+
+    If the current list is empty or contains anything but objects, the lists are not compared.
+    """
     objects = [item for item in current if isinstance(item, Mapping)]
     if not objects or len(objects) < len(current):
         return None
--- a/emberlatch/platform/config.py
+++ b/emberlatch/platform/config.py
@@ -46,11 +46,14 @@
     raw_settings: Mapping[str, object]
     settings: api.Settings
     document: Mapping[str, object] = field(default_factory=dict)
-    """The complete file, with which a reload compares a new one."""
+    """The complete content of the file; a reload compares it with the new content."""
 
 
 def read_config(environment: Mapping[str, str]) -> PlatformConfig:
-    """Read the configuration file and the folder that the environment names; raises ConfigError."""
+    """Read the configuration file and check the state folder, both named by the environment.
+
+    Raises ConfigError.
+    """
     path, state = (str(_required(environment, name)) for name in ("EDGE_CONFIG", "EDGE_STATE"))
     if not os.access(state, os.W_OK | os.X_OK) or not Path(state).is_dir():
         raise ConfigError(f"EDGE_STATE: {state!r} is not a writable folder")
@@ -121,7 +124,10 @@
 
 
 def _operators_address(document: Mapping[str, object], environment: Mapping[str, str]) -> Address | None:
-    """Return the operators' address; the environment overrides the file, which two processes may share."""
+    """Return the operators' address.
+
+    The environment overrides the file, since two processes may share a file.
+    """
     if text := environment.get("EDGE_OPS"):
         try:
             return parse_address(text)
--- a/emberlatch/platform/forwarder.py
+++ b/emberlatch/platform/forwarder.py
@@ -93,7 +93,7 @@
         self.directory.codec.decode(config.initial_list)
 
     def is_outdated(self) -> bool:
-        """Whether the file has changed since it was read; its SIGHUP may have gone to the predecessor."""
+        """Whether the file has changed since it was read; the SIGHUP may have gone to the predecessor."""
         try:
             return bool(json.loads(Path(os.environ.get("EDGE_CONFIG", "")).read_bytes()) != self._document)
         except (OSError, ValueError):
--- a/emberlatch/platform/handover.py
+++ b/emberlatch/platform/handover.py
@@ -34,11 +34,14 @@
     # Handover to a successor.
 
     async def pause_ingress(self) -> None:
-        """Stop accepting and reading; data that clients send stays in the sockets."""
+        """Stop accepting connections and reading requests; data from clients stays in the socket buffers."""
         await self._server.pause()
 
     def freeze(self, report: Callable[[api.Outcome], None]) -> StateSnapshot:
-        """Stop deciding and writing; return the state to hand over. `report` gets outcomes from now on."""
+        """Stop decisions and writes to the journal; return the state to hand over.
+
+        `report` gets the outcomes of calls from now on.
+        """
         module = self._engine.freeze()
         self._report = report
         self._carrier.redirect_outcomes(report)
--- a/emberlatch/store/journal.py
+++ b/emberlatch/store/journal.py
@@ -174,7 +174,7 @@
         for entry in self._index.in_segment(oldest):
             self._write(self._encode(entry), entry.terms)
             self._index.move(entry, self._segments.current)
-        # The copies must be durable first; this blocks the event loop once per segment.
+        # The copies must be durable before the removal; this blocks the event loop once per segment.
         if self._segments.durable:
             self._segments.prepare_sync()()
         self._segments.remove_oldest()
--- a/emberlatch/store/journal_records.py
+++ b/emberlatch/store/journal_records.py
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TermsRecord:
-    """The number and the text of terms; entry records contain only the number."""
+    """The text of terms and the number assigned to it; entry records contain only the number."""
 
     number: int
     text: str
@@ -95,7 +95,7 @@
 
 
 def encode_removal(ref: int) -> bytes:
-    """Return the record that a message is finished."""
+    """Return the record stating that a message is finished."""
     return _encode({"ref": ref, "over": True})
 
 
--- a/emberlatch/store/segments.py
+++ b/emberlatch/store/segments.py
@@ -1,4 +1,7 @@
-"""The numbered files of a log, such as `00000007.log`: appended at the newest, removed from the oldest."""
+"""The numbered files of a log, such as `00000007.log`.
+
+Records are appended to the newest file; the oldest file is removed to free space.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,10 @@
         self._names_changed = False
 
     def read(self, remove_empty: bool = False) -> Iterator[tuple[int, str, bytes]]:
-        """Yield the number, file name and content of each existing segment, the oldest first."""
+        """Yield number, file name and content of each segment, the oldest first.
+
+        `remove_empty` removes and omits empty ones.
+        """
         for name in sorted(self._files.names()):
             stem, _, suffix = name.rpartition(".")
             if suffix != self._suffix or not stem.isdigit():
--- a/emberlatch/store/state_log.py
+++ b/emberlatch/store/state_log.py
@@ -30,7 +30,7 @@
 
 
 class StateLog:
-    """The states by key. A failed write raises OSError.
+    """A map from keys to states that is stored on disk. A failed write raises OSError.
 
     Attributes:
         states: state by key, the least recently changed first. Callers must not modify it.
@@ -53,7 +53,7 @@
         self._segments.open()
 
     def load_read_only(self) -> None:
-        """Read the stored states without writing, for a process that does not own the log. Raises OSError."""
+        """Read the stored states without writing; another process may own the log. Raises OSError."""
         for number, name, data in self._segments.read():
             for payload in decode_records(data, name):
                 try:
--- a/emberlatch/store/terms_table.py
+++ b/emberlatch/store/terms_table.py
@@ -6,7 +6,7 @@
 
 
 class TermsTable:
-    """Assigns numbers to terms. A number is never reused in the same folder."""
+    """Assigns numbers to terms. A number is not reused while a segment contains its text."""
 
     def __init__(self) -> None:
         self._numbers: dict[str, int] = {}  # number by text
@@ -23,7 +23,7 @@
         return next((text for text, known in self._numbers.items() if known == number), "")
 
     def number(self, text: str) -> int | None:
-        """Return the number of these terms, and assign one if they have none; None for empty terms."""
+        """Return the number of a text, which is assigned at the first use; None for an empty text."""
         if not text:
             return None
         if text not in self._numbers:
--- a/emberlatch/takeover/__init__.py
+++ b/emberlatch/takeover/__init__.py
@@ -1,8 +1,8 @@
 """Replaces a running process by a new one under load: hands over ownership, state and connections.
 
 Only the lock in the state folder (`FolderLock`) determines which process is the owner; the messages that the
-processes exchange over a Unix socket (`UnixConnection`) are informative. `HandoverServer` runs in the serving
-process (the predecessor), `acquire_ownership` in the process that takes over (the successor).
+processes exchange over a Unix socket (`UnixConnection`) do not change the owner. `HandoverServer` runs in the
+serving process (the predecessor), `acquire_ownership` in the process that takes over (the successor).
 """
 
 from __future__ import annotations
--- a/emberlatch/takeover/connection.py
+++ b/emberlatch/takeover/connection.py
@@ -16,7 +16,8 @@
 class HandoverConnection(Protocol):
     """A connection between predecessor and successor.
 
-    Its methods raise HandoverConnectionError if the other process has closed the connection or has ended.
+    `post` and `send` raise HandoverConnectionError if the other process has closed the connection or has
+    ended; `receive` raises it if the connection breaks.
     """
 
     closed: bool
--- a/emberlatch/takeover/messages.py
+++ b/emberlatch/takeover/messages.py
@@ -96,9 +96,9 @@
     def from_body(cls, body: Fields) -> StateSnapshot:
         """Return the state in a frame. Raises InvalidMessageError if a required part is invalid.
 
-        If a call in flight were ignored, a second copy of its messages could be sent. So one invalid call
-        makes the state invalid as a unit. Send rates and endpoint health are not validated here: the decision
-        module validates each of their values when it reads them.
+        One invalid call in flight invalidates the complete state: if the call were skipped instead, its
+        messages could be sent a second time. Send rates and endpoint health are not validated here: the
+        decision module validates each of their values when it reads them.
         """
         if (version := body.get("version")) != VERSION:
             raise InvalidMessageError(f"state is in format {version!r}, expected {VERSION}")
--- a/emberlatch/takeover/ports.py
+++ b/emberlatch/takeover/ports.py
@@ -18,7 +18,7 @@
         """Whether this process holds the lock."""
 
     def acquire(self) -> bool:
-        """Try to acquire the lock without waiting; return whether this process holds it now."""
+        """Try to acquire the lock without waiting; return whether this process holds the lock now."""
 
     def release(self) -> None:
         """Release the lock."""
@@ -45,21 +45,21 @@
     def client_connections(self) -> Iterator[tuple[int, ClientConnection]]:
         """Yield the descriptor and the state of each client connection that can be handed over.
 
-        Each connection is closed when the next one is requested.
+        Each connection is closed when the iterator advances to the next one.
         """
 
     def target_connections(self) -> Iterator[tuple[int, bytes]]:
         """Yield the descriptor and the target of each idle connection.
 
-        Each connection is closed when the next one is requested.
+        Each connection is closed when the iterator advances to the next one.
         """
 
     def begin_drain(self) -> None:
-        """Reject remaining clients and wait for calls in flight: another process owns the folder."""
+        """Stop everything except calls in flight, and reject clients: another process owns the folder."""
 
     @property
     def in_flight(self) -> int:
-        """The number of calls in flight, plus that of attempts whose outcomes its own predecessor relays."""
+        """The number of calls in flight, plus the attempts whose outcomes are relayed to this process."""
 
     @property
     def has_clients(self) -> bool:
--- a/emberlatch/takeover/predecessor.py
+++ b/emberlatch/takeover/predecessor.py
@@ -79,7 +79,7 @@
             self._listener = None
 
     async def wait_until_decided(self) -> None:
-        """Wait until no hand-over is in progress whose result, the owner of the folder, is unknown."""
+        """Wait until it is known which process owns the folder, if a hand-over is in progress."""
         await self._decided.wait()
 
     def _accept(self) -> None:
--- a/emberlatch/takeover/relay.py
+++ b/emberlatch/takeover/relay.py
@@ -18,8 +18,8 @@
 
 log = logging.getLogger(__name__)
 
-IN_FLIGHT_POLL_S = 0.1  # poll interval, needed since a call that ends without an outcome is not notified
-CLIENT_LINGER_S = 2.5  # time for which clients are served whose connections could not be handed over
+IN_FLIGHT_POLL_S = 0.1  # poll interval: the end of a call that has no outcome sets no event
+CLIENT_LINGER_S = 2.5  # time limit for serving clients whose connections could not be handed over
 CLIENT_POLL_S = 0.02  # interval between checks for connected clients
 
 Item = TypeVar("Item")
@@ -63,7 +63,7 @@
         """Hand over connections, relay outcomes until nothing is in flight, and wait for remaining clients.
 
         Attempts whose outcomes this process's own predecessor relays count as in flight, and their outcomes
-        are passed on. Raises HandoverConnectionError if the successor closes the connection before that.
+        are passed on. Raises HandoverConnectionError if the connection ends before all outcomes are relayed.
         """
         connection_end = asyncio.ensure_future(self._connection.receive())
         try:
--- a/emberlatch/takeover/state_machine.py
+++ b/emberlatch/takeover/state_machine.py
@@ -10,7 +10,7 @@
 | handing over | no answer in time, or the connection broke | reclaiming | try to acquire the lock |
 | reclaiming | lock acquired | serving | resume normal operation |
 | reclaiming | ownership taken | relaying | hand over connections, relay outcomes |
-| reclaiming | the connection broke, and another process holds the lock | ended | exit: another process owns |
+| reclaiming | the connection broke, and another process holds the lock | ended | exit |
 | relaying | nothing is in flight | ended | exit |
 | relaying | the connection broke | ended | exit: outcomes cannot be relayed |
 | serving | SIGTERM | shutting down | shut down gracefully |
@@ -46,7 +46,7 @@
 
 
 class HandoverStateMachine:
-    """Implements the transitions in the table of this module.
+    """Implements the transitions in the table at the start of this module.
 
     Attributes:
         state: the current state; changed by the methods of this class only.
--- a/emberlatch/takeover/successor.py
+++ b/emberlatch/takeover/successor.py
@@ -26,7 +26,7 @@
 log = logging.getLogger(__name__)
 
 LOCK_RETRY_S = 0.05  # interval between attempts to acquire the lock
-RELEASED_LOCK_RETRY_S = 0.002  # the same, after the owner has sent its state and is about to release the lock
+RELEASED_LOCK_RETRY_S = 0.002  # interval once the owner has sent its state and is about to release the lock
 HANDOVER_TIMEOUT_S = 3.0  # maximum time for the owner to send its state and release the lock
 
 
--- a/emberlatch/takeover/unix_socket.py
+++ b/emberlatch/takeover/unix_socket.py
@@ -46,7 +46,7 @@
 def connect(path: Path) -> socket.socket:
     """Connect to the process that listens at `path`. Raises OSError if there is none."""
     connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
-    connection.setblocking(False)  # connecting succeeds at once, or fails because the backlog is full
+    connection.setblocking(False)  # connecting succeeds or fails at once; with a full backlog it fails
     try:
         _with_address(path, connection.connect)
     except OSError:
