--- a/emberlatch/as2/carrier.py
+++ b/emberlatch/as2/carrier.py
@@ -49,7 +49,7 @@
 
 
 class UnsentError(OSError):
-    """A message that can't be sent at present; the text says why."""
+    """A message can't be sent at present; the error's text gives the reason."""
 
 
 @dataclass(slots=True)
--- a/emberlatch/as2/certificates.py
+++ b/emberlatch/as2/certificates.py
@@ -26,7 +26,7 @@
 
 
 class CertificateError(ValueError):
-    """No certificate or key that can be used; the text says why."""
+    """A certificate or key is missing or can't be used; the error's text gives the reason."""
 
 
 def expires_at(certificate: x509.Certificate) -> float:
--- a/emberlatch/as2/crypto_service.py
+++ b/emberlatch/as2/crypto_service.py
@@ -1,5 +1,6 @@
 """The interface that seals and opens messages, and an implementation that runs in the calling process.
 
+To seal is to compress, sign and encrypt a message as agreed with its partner; to open is the reverse.
 `crypto_worker` has an implementation that runs in a child process.
 """
 
--- a/emberlatch/as2/errors.py
+++ b/emberlatch/as2/errors.py
@@ -19,7 +19,7 @@
 
 
 class As2Error(Exception):
-    """A message that can't be accepted: the modifier for its sender, and the cause, which is never sent.
+    """A message that can't be accepted: `modifier` is reported to the sender, `cause` is never sent.
 
     An invalid signature and a content that can't be decrypted are reported with the same modifier: two
     modifiers would be a padding oracle (RFC 8551, 6).
--- a/emberlatch/as2/ledger.py
+++ b/emberlatch/as2/ledger.py
@@ -44,7 +44,7 @@
 
     def document(self) -> dict[str, object]:
         """Encode the record as it is stored."""
-        # `dataclasses.asdict` makes a deep copy, which takes as long as the rest of a write.
+        # `dataclasses.asdict` is not used: its deep copy would double the duration of a write.
         values = {key: getattr(self, name) for name, key in STORED_KEYS.items()}
         return values | {key: list(values[key]) for key in ("attempts", "disputes", "receipts")}
 
--- a/emberlatch/as2/order_log.py
+++ b/emberlatch/as2/order_log.py
@@ -9,7 +9,7 @@
 from emberlatch.as2.orders import Order
 from emberlatch.store.state_log import State, StateLog
 
-log = logging.getLogger("emberlatch.as2.front")  # Operators know these log lines by this name.
+log = logging.getLogger("emberlatch.as2.front")  # Operators search log lines for this name.
 
 EXPIRY_BATCH = 200  # number of orders that one call checks for expiry
 
--- a/emberlatch/as2/orders.py
+++ b/emberlatch/as2/orders.py
@@ -129,7 +129,10 @@
 
 
 def resolve_pending(order: Order, journaled: Container[str]) -> Order | None:
-    """Return a stored order, accepted if it was pending at a crash and the journal has its id; else None."""
+    """Return a stored order after a restart, or None if the engine did not accept the order.
+
+    An order that was pending at a crash is set to accepted if the journal has its id.
+    """
     if order.accepted:
         return order
     if order.id not in journaled:
--- a/emberlatch/as2/profile.py
+++ b/emberlatch/as2/profile.py
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderDefaults:
-    """Defaults for values that an order does not specify; an empty one has to be specified in each order."""
+    """Defaults for values that an order does not specify; each order must specify those left empty."""
 
     category: str = ""
     tenant: str = ""
--- a/emberlatch/cli/as2_exchange.py
+++ b/emberlatch/cli/as2_exchange.py
@@ -1,4 +1,4 @@
-"""Sends one AS2 message without the running gateway, to a partner or to a stand-in of it."""
+"""Sends one AS2 message without the running gateway, to a partner or to a local stand-in."""
 
 from __future__ import annotations
 
--- a/emberlatch/cli/common.py
+++ b/emberlatch/cli/common.py
@@ -61,7 +61,7 @@
 
 
 def query_gateway(config_path: Path, command: Command) -> JsonObject:
-    """Query the running gateway of a configuration; exit with 2 if none answers or the command fails."""
+    """Query the running gateway of a configuration; exit with 2 without an answer or if the command fails."""
     from emberlatch.standalone import send_command
 
     config = load_configuration(config_path)
--- a/emberlatch/cli/faults.py
+++ b/emberlatch/cli/faults.py
@@ -26,7 +26,7 @@
 
 
 def _plan_at(source: str) -> Plan:
-    """Return the plan of a seed (12, or release:12 for another draw), or the plan in a file."""
+    """Return the plan in a file, or the plan that a generator makes from a seed: `12` or `release:12`."""
     draw, colon, seed = source.rpartition(":")
     if seed.isdigit() and (not colon or draw in PLAN_GENERATORS):
         return PLAN_GENERATORS[draw or DEFAULT_DRAW](int(seed))
--- a/emberlatch/cli/storm.py
+++ b/emberlatch/cli/storm.py
@@ -89,7 +89,7 @@
 
 
 def _plan_of(path: Path | None, seed: int | None, members: int, seconds: float) -> Plan:
-    """Return the plan in a file or of a seed; raises OSError or PlanError."""
+    """Return the plan in the file `path`, or generate one from `seed`; raises OSError or PlanError."""
     if path is not None:
         return parse_plan(path.read_text())
     return generate_plan(seed or 0, members, seconds)
--- a/emberlatch/fleet/endpoint_exchange.py
+++ b/emberlatch/fleet/endpoint_exchange.py
@@ -11,14 +11,14 @@
 from emberlatch.fleet.log_events import EventLog, FleetEvent
 
 MIN_HOLD_S = 0.05
-"""Holds not longer than this are not shared; a hold must end later than a known one by more than this."""
+"""A hold is shared only if it is longer than this, and ends later than a known hold by more than this."""
 
 
 class EndpointObserver(Protocol):
     """Acts on the endpoint updates of other members."""
 
     def on_endpoint_hold(self, target: str, seconds: float) -> None:
-        """Do not call an endpoint for `seconds`, as it requested of another member."""
+        """Do not call an endpoint for `seconds`: the endpoint has asked another member for this hold."""
 
     def on_endpoint_report(self, target: str, phase: Phase) -> None:
         """Apply the phase that another member's endpoint list gives an endpoint."""
--- a/emberlatch/fleet/endpoint_reports.py
+++ b/emberlatch/fleet/endpoint_reports.py
@@ -1,8 +1,8 @@
 """Keeps the newest report on each endpoint from the endpoint lists of all members. No I/O.
 
-Each member has its own list, and the lists change at different times. If an endpoint is draining or gone in
-one list, all members are informed. A report that it is ready again revokes only such a report; it does not
-override what a member's own list says.
+Each member has its own list, and the lists change at different times. If an endpoint is draining or removed
+in one list, all members are informed. A later report that the endpoint is ready cancels only the earlier
+report: an endpoint that is draining in a member's own list stays draining there.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from emberlatch.fleet.frames import EndpointReport
 
 MAX_ENDPOINTS = 1000  # endpoints whose report is kept; the oldest report is dropped first
-ORDER_TOLERANCE_S = 0.5  # the order of reports closer than this is unknown: the more severe one counts
+ORDER_TOLERANCE_S = 0.5  # reports closer together have no known order: the more severe one is kept
 SEVERITY = {Phase.READY: 0, Phase.DRAINING: 1, Phase.REMOVED: 2}
 
 
@@ -45,6 +45,6 @@
         return self.of(now, self._reports)
 
     def of(self, now: float, targets: Iterable[str]) -> tuple[EndpointReport, ...]:
-        """Return the reports on some endpoints."""
+        """Return the reports on the endpoints `targets`; each must have a report."""
         reports = ((target, *self._reports[target]) for target in targets)
         return tuple(EndpointReport(target, phase, max(0.0, now - since)) for target, since, phase in reports)
--- a/emberlatch/fleet/generation_store.py
+++ b/emberlatch/fleet/generation_store.py
@@ -23,7 +23,7 @@
             return int(json.loads(self._files.read(GENERATION_FILE).splitlines()[-1])), False
         except (FileNotFoundError, IndexError):
             return 0, True
-        except (ValueError, TypeError):  # a kill cut the last line short: use the complete lines
+        except (ValueError, TypeError):  # last line not a number, as after a kill: use the highest number
             lines = self._files.read(GENERATION_FILE).splitlines()
             found = [int(line) for line in lines if line.isdigit()]
             return max(found, default=0), not found
@@ -32,7 +32,8 @@
         """Append a generation; raises OSError if it can't be written."""
         files = self._files
         if GENERATION_FILE in files.names() and len(files.read(GENERATION_FILE)) > MAX_FILE_BYTES:
-            files.remove(GENERATION_FILE)  # after a kill at this point, the peers report the generation
+            # If the process is killed after this, the next one gets the generation from the peers.
+            files.remove(GENERATION_FILE)
         handle = files.append_to(GENERATION_FILE)
         try:
             files.write(handle, memoryview(f"{generation}\n".encode()))
--- a/emberlatch/fleet/link_manager.py
+++ b/emberlatch/fleet/link_manager.py
@@ -182,7 +182,7 @@
     def on_ready(self, link: Link, handshake: Handshake) -> None:
         """Start using an identified link.
 
-        Of two links to a member, use the one to the later generation; if they are equal, the newer link.
+        Of two links to a member, use the one to the later generation; in one generation, use the newer link.
         """
         self._unidentified.pop(link, None)
         old = self._links.get(handshake.name)
--- a/emberlatch/fleet/membership/actions.py
+++ b/emberlatch/fleet/membership/actions.py
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class IncarnationChanged:
-    """Store the generation of this member's new incarnation, and announce the incarnation on each link."""
+    """Store the generation of a new `incarnation`, and announce the incarnation on each link."""
 
     incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
 class Halt:
-    """End this process, because another one has this member's name."""
+    """End this process, because another process has this member's name."""
 
     reason: str
 
--- a/emberlatch/fleet/membership/identity.py
+++ b/emberlatch/fleet/membership/identity.py
@@ -38,7 +38,7 @@
         self.incarnation = first_incarnation(process.generation)
         self.is_leaving = False
         self.is_halted = False
-        self.joined_at = math.inf  # from then on, an update of a later generation is of another process
+        self.joined_at = math.inf  # end of the join window; a later generation is of another process then
         self._health, self._queue, self._outbox = health, instance.queue, instance.outbox
 
     @property
@@ -109,7 +109,7 @@
             self._outbox.log(FleetEvent.HALTED, why=reason)
             self._outbox.add(Halt(reason))
         elif update.state is not MemberState.ALIVE or update.run_id < self.run_id:
-            self._advance_to(first_incarnation(other + 1))  # of two with one generation, one advances
+            self._advance_to(first_incarnation(other + 1))  # of two processes in one generation, one advances
 
     def _advance_to(self, incarnation: int) -> None:
         self.incarnation = incarnation
--- a/emberlatch/fleet/membership/isolation.py
+++ b/emberlatch/fleet/membership/isolation.py
@@ -20,10 +20,11 @@
 
 
 class IsolationDetector:
-    """Begins an isolation by the view of the peers, and ends it only by answers to pings sent after that.
+    """Begins an isolation if too few peers are present or the process has stalled.
 
-    `reason` and `since` are why and when the isolation began, or NONE and when it ended. Times are in seconds
-    on the machine's clock.
+    The isolation ends only once a majority has answered pings that were sent after its beginning. `reason` is
+    why the present isolation began, or NONE; `since` is when the latest one began or ended. Times are in
+    seconds on the machine's clock.
     """
 
     def __init__(self, instance: ProtocolInstance, now: float) -> None:
@@ -34,7 +35,7 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Whether this member has no contact with a majority, or has not confirmed it yet."""
+        """Whether this member has no contact with a majority, or has not confirmed the contact yet."""
         return self.reason is not IsolationReason.NONE
 
     @property
@@ -43,7 +44,7 @@
         return self._next_confirmation_at if self.is_isolated else math.inf
 
     def review(self, now: float) -> None:
-        """Begin or end an isolation, according to the present view."""
+        """Begin an isolation if too few peers are present; end one if a majority has answered."""
         majority = self._peers.configured_size // 2 + 1
         if not self.is_isolated and self._peers.present_count < majority:
             self.begin_isolation(now, IsolationReason.NO_MAJORITY)
--- a/emberlatch/fleet/membership/machine.py
+++ b/emberlatch/fleet/membership/machine.py
@@ -1,7 +1,7 @@
 """The membership machine: composes its parts, and passes frames and the time to them in order.
 
-A view of the fleet may be wrong: it suggests when to try something, but decides nothing that may happen only
-once.
+A member's view of the fleet may be wrong. The view may therefore influence when something is tried, but must
+not decide anything that may happen only once.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
         self.due = now
         self.configure(now, member_names)
 
-    # Requests.
+    # Operations that the caller requests.
 
     def take_actions(self) -> list[Action]:
         """Return and remove the actions that were requested since the last call."""
@@ -98,7 +98,7 @@
         """Announce that this member leaves the fleet."""
         self._gossiper.announce_leaving(self.identity.leave())
 
-    # Events.
+    # Events on links.
 
     def on_handshake(self, now: float, handshake: Handshake) -> None:
         """Handle a new link to a member, or a linked member's new incarnation."""
@@ -168,7 +168,7 @@
             else:
                 self._transitions.apply(now, update)
 
-    # Time.
+    # Timer and stall detection.
 
     def tick(self, now: float) -> None:
         """Do everything that is due at this time."""
@@ -188,7 +188,7 @@
     def _detect_stall(self, now: float) -> None:
         """Begin an isolation if this process did not run for a while.
 
-        Its view is then out of date, so this comes before the handling of any event.
+        The view is out of date after a stall, so each event handler calls this method first.
         """
         late_s = now - self.due
         if now <= self.due + self.parameters.stall_s:
@@ -205,7 +205,7 @@
             self.partition.due,
             self._gossiper.due,
             self._anti_entropy.due,
-            now + self.parameters.stall_s / 2,  # detects a stall in time even while probes are rare
+            now + self.parameters.stall_s / 2,  # limits `due`, for `_detect_stall`, if probes are rare
             *self._transitions.deadlines,
         ]
         self.due = max(now, min(times))
--- a/emberlatch/fleet/membership/parameters.py
+++ b/emberlatch/fleet/membership/parameters.py
@@ -17,7 +17,7 @@
     max_updates_per_frame: int = 8
     retransmissions: float = 4.0  # how often an update is sent, times log10 of the fleet size
     suspicion_intervals: float = 2.0  # shortest suspicion in probe intervals, times log10 of the members
-    suspicion_max_factor: float = 4.0  # ratio of an unconfirmed suspicion to the shortest one
+    suspicion_max_factor: float = 4.0  # ratio of the longest (unconfirmed) suspicion to the shortest
     suspicion_confirmations: int = 3  # confirmations that make a suspicion the shortest
     max_health_score: int = 4  # maximum of Lifeguard's local health score
     sync_interval_s: float = 10.0  # mean interval of anti-entropy
--- a/emberlatch/fleet/membership/probing.py
+++ b/emberlatch/fleet/membership/probing.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Relay:
-    """The request on behalf of which a ping was sent, and when a Nack is due for it."""
+    """A PingRequest that this member answers as a relay; at `nack_at`, it sends a Nack to the requester."""
 
     requester: str
     sequence: int
@@ -44,7 +44,7 @@
     started_at: float
     indirect_at: float  # when indirect probes are requested if there is no answer
     is_answered: bool = False
-    relays: int = 0  # relays that were requested; 1 if there was no peer to use as one
+    relays: int = 0  # number of relays that were asked; 1 if no peer could serve as a relay
     nacks: int = 0
 
     @property
@@ -72,7 +72,7 @@
         self._sequence = 0
         self._unprobed: list[str] = []  # peers still to be probed in this round; the last is next
 
-    # Sending.
+    # Sending pings and requests.
 
     def ping(self, now: float, name: str) -> None:
         """Send a ping to a peer."""
@@ -100,7 +100,7 @@
             self._outbox.send(relay, PingRequest(self._sequence, target, self._queue.take()))
         return len(relays)
 
-    # Answers.
+    # Handling answers.
 
     def on_ack(self, now: float, sender: str, ack: Ack) -> None:
         """Match an answer with its ping; if the ping was sent for a requester, forward the answer to it."""
@@ -131,7 +131,7 @@
         if self._probe is not None and sequence in self._sent_pings:
             self._probe.nacks += self._sent_pings[sequence].target == self._probe.target
 
-    # Time.
+    # Intervals and time-outs.
 
     @property
     def due(self) -> float:
@@ -143,7 +143,7 @@
         return min(times)
 
     def tick(self, now: float) -> None:
-        """Request indirect probes, send Nacks and remove old pings, as far as each is due."""
+        """Request indirect probes, send Nacks and discard old pings, each only if due."""
         probe = self._probe
         if probe is not None and probe.awaits_timeout and now >= probe.indirect_at:
             relays = self.request_indirect(now, probe.target)
@@ -207,7 +207,7 @@
         self._unprobed = [name for name in self._unprobed if name not in names]
 
     def restart(self, now: float) -> None:
-        """Discard all pings after a stall: answers to them do not show the present state of the peers."""
+        """Discard the pings sent before a stall: answers to them do not show the present state of peers."""
         self._probe = None
         self._sent_pings.clear()
         self.next_interval_at = now
--- a/emberlatch/fleet/membership/protocol_instance.py
+++ b/emberlatch/fleet/membership/protocol_instance.py
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProtocolInstance:
-    """One instance of the membership protocol; each process of a member runs one.
+    """The state of one run of the membership protocol; each process of a member has its own.
 
     Attributes:
-        parameters: the times and counts of the protocol.
+        parameters: the intervals, time-outs and limits of the protocol.
         rng: the generator of all random draws; with a given seed, the draws depend on the order of calls.
         peers: this member's view of the other members.
         queue: the updates that are to be sent with the next frames.
-        outbox: the actions that the parts have requested.
+        outbox: the actions requested since the caller last took them.
     """
 
     parameters: ProtocolParameters
--- a/emberlatch/fleet/quota_shares.py
+++ b/emberlatch/fleet/quota_shares.py
@@ -22,10 +22,10 @@
     """The treatment of a class's messages while the member is isolated, as named in the configuration."""
 
     FULL_SHARE = "own"
-    """Accepted; if any class has this policy, the member uses its full share for all classes."""
+    """Messages are accepted. If any class has this policy, the member uses its full share for all classes."""
     REDUCED_SHARE = "least"
-    """Accepted; the member uses `ISOLATED_FRACTION` of its share unless another class has FULL_SHARE."""
-    REFUSE = "refuse"  # rejected at once, with a retry-after time
+    """Messages are accepted. The member uses `ISOLATED_FRACTION` of its share if no class has FULL_SHARE."""
+    REFUSE = "refuse"  # messages are rejected at once, with a retry-after time
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
     """
 
     def __init__(self, policies: Mapping[str, IsolationPolicy], now: float) -> None:
-        """`policies` has the policy of each class by its name."""
+        """`policies` maps the name of each class to its policy."""
         self._policies = dict(policies)
         self._fleet_size, self._is_isolated = 1, True
         self._ramp_start_fraction, self._changed_at = self._isolated_fraction, now
@@ -65,9 +65,9 @@
         return math.floor((now - self._changed_at) / RAMP_STEP_S + ROUNDING_STEPS)
 
     def _used_fraction(self, now: float) -> float:
-        """Return the fraction of its share that this member uses: it drops at once and grows by a ramp.
+        """Return the fraction of its share that this member uses: a drop is immediate, an increase a ramp.
 
-        The ramp prevents that all members return to a partner's full limit at the same moment.
+        The ramp keeps the members from returning to their full shares of a limit all at the same moment.
         """
         steps = 0 if self._is_isolated else self._steps(now)
         ramp = (1 - ISOLATED_FRACTION) * steps * RAMP_STEP_S / RAMP_S
--- a/emberlatch/fleet/service.py
+++ b/emberlatch/fleet/service.py
@@ -44,7 +44,7 @@
         """Apply a changed quota share or changed closed classes from now on."""
 
     def on_halt(self, reason: str) -> None:
-        """End this process, because another one has this member's name."""
+        """End this process, because another process has this member's name."""
 
 
 class FleetService:
--- a/emberlatch/inventory/groups.py
+++ b/emberlatch/inventory/groups.py
@@ -12,7 +12,7 @@
 """Receives a location, a field (may be empty), what is wrong there, and the remedy."""
 
 _FIELDS_OF_GROUPS = ("partner", "kind", "wing", "destination")
-"""Fields that an undefined group might have set; a row of it is not also reported for missing them."""
+"""Fields that an undefined group might have set: they are not reported as missing in its rows."""
 
 
 class Groups:
--- a/emberlatch/inventory/membership.py
+++ b/emberlatch/inventory/membership.py
@@ -85,7 +85,7 @@
         return self.inventory.names.get(partner)
 
     def start(self) -> None:
-        """Report all endpoints, without a slow start for any, and start to watch the files."""
+        """Report all endpoints, none of which needs a slow start, and begin to watch the files."""
         entries = tuple(self._entry(endpoint) for endpoint in self.inventory.endpoints.values())
         addresses = {target: endpoint.address for target, endpoint in self.inventory.endpoints.items()}
         self._revision += 1
--- a/emberlatch/inventory/model.py
+++ b/emberlatch/inventory/model.py
@@ -81,9 +81,9 @@
     def target(self) -> bytes:
         """The endpoint's identity in the decision module and in the journal.
 
-        The wing is part of it: an endpoint that moved to another wing is a new one, since a keyed
-        message that may have run in the old wing must not be repeated in the new one. The destination is
-        part of it because only messages to that destination may be sent to the endpoint.
+        The identity includes the wing: an endpoint that moved to another wing counts as a new endpoint, since
+        a keyed message that may have run in the old wing must not be repeated in the new one. The identity
+        includes the destination because only messages to that destination may be sent to the endpoint.
         """
         return f"{self.id}@{self.wing}/{self.destination}".encode()
 
--- a/emberlatch/inventory/partners.py
+++ b/emberlatch/inventory/partners.py
@@ -59,7 +59,7 @@
 
 
 def _assigned_numbers(rows: list[ResolvedRow], add_problem: AddProblem) -> dict[str, int]:
-    """Return the destination number of each partner that has one in a row."""
+    """Return the destination number of each partner that stands with a number in any row."""
     uses: dict[str, dict[int, list[SourceLocation]]] = {}
     for row, partner, number in _rows_with_both(rows):
         uses.setdefault(partner, {}).setdefault(number, []).append(row.location("destination"))
@@ -72,7 +72,7 @@
 def _names_by_number(
     rows: list[ResolvedRow], number_of: dict[str, int], add_problem: AddProblem
 ) -> dict[int, str]:
-    """Return the partner of each destination number that a row has."""
+    """Return the partner of each assigned destination number."""
     uses: dict[int, dict[str, list[SourceLocation]]] = {}
     for row, partner, _ in _rows_with_both(rows):
         names = uses.setdefault(number_of[partner], {})
--- a/emberlatch/inventory/writer.py
+++ b/emberlatch/inventory/writer.py
@@ -18,7 +18,7 @@
 
 
 def cells(endpoint: Endpoint) -> dict[str, str]:
-    """Return the cells of an endpoint by field; empty where the reader derives the value."""
+    """Return the cells of an endpoint by field; a cell is empty if the reader derives its value."""
     derived = endpoint.destination >= FIRST_DERIVED_DESTINATION
     return {
         "id": endpoint.id,
--- a/emberlatch/inventory/yaml_nodes.py
+++ b/emberlatch/inventory/yaml_nodes.py
@@ -45,11 +45,11 @@
 
     @property
     def empty(self) -> bool:
-        """Whether no value was written."""
+        """Whether the scalar has no value: an empty text, `~` or `null`, without quotes."""
         return self.plain and self.text in ("", "~", "null")
 
     def ambiguity(self, numbers: bool) -> str:
-        """Why another YAML reader could interpret the scalar as something other than text, or an empty text.
+        """Why another YAML reader might not read the scalar as text; empty if the scalar is unambiguous.
 
         Plain numbers are unambiguous where a number is expected.
         """
--- a/emberlatch/standalone/answers.py
+++ b/emberlatch/standalone/answers.py
@@ -68,7 +68,10 @@
 
 
 class PoolAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The pool of a destination that is in use or has a fault. Times are in seconds."""
+    """The pool of one destination. Times are in seconds.
+
+    Only pools are listed that are in use or have an endpoint that gets no calls.
+    """
 
     partner: str
     destination: int
--- a/emberlatch/standalone/commands.py
+++ b/emberlatch/standalone/commands.py
@@ -56,7 +56,7 @@
         return handlers
 
     async def status(self) -> JsonObject:
-        """Return the status: the keys of `StatusAnswer`, and other figures of the decision module."""
+        """Return the status: the keys of `StatusAnswer`, and all other keys of the engine's status."""
         names = {number: name for name, number in self._membership.inventory.names.items()}
         engine_status = self._engine.status()
         pools = [{**pool, "partner": names.get(pool["destination"], "")} for pool in engine_status["pools"]]
--- a/emberlatch/standalone/errors.py
+++ b/emberlatch/standalone/errors.py
@@ -21,7 +21,7 @@
 
 
 class StorageFailedError(GatewayError):
-    """A sync of the state folder failed: what was confirmed is on disk, but nothing more can be promised."""
+    """A sync of the state folder failed: everything confirmed is on disk, but later writes may be lost."""
 
     def __init__(self, error: OSError) -> None:
         super().__init__("state", f"cannot sync to disk: {error}")
--- a/emberlatch/standalone/fleet_integration.py
+++ b/emberlatch/standalone/fleet_integration.py
@@ -40,7 +40,10 @@
         machine: Machine,
         request_stop: Callable[[], None],
     ) -> None:
-        """`settings` are the decision module's without a fleet; `request_stop` shuts the process down."""
+        """`settings` are the decision module's settings before the fleet's quota share is applied.
+
+        `request_stop` shuts the process down.
+        """
         assert config.fleet is not None
         self._config, self._settings, self._core = config, settings, core
         self._request_stop = request_stop
@@ -141,8 +144,8 @@
     def on_endpoint_report(self, target: str, phase: int) -> None:
         """Apply another member's report of an endpoint's phase. See `FleetObserver`.
 
-        An endpoint that is ready in the gateway's own list is drained until a report says that it is ready
-        again. A report never overrides another phase in the gateway's own list.
+        An endpoint that is ready in the gateway's own list is drained from the report of another phase
+        until a report that the endpoint is ready again. Reports on all other endpoints are ignored.
         """
         entry, address = self._own_endpoints.get(target.encode(), (None, None))
         if entry is None or address is None or entry.phase is not api.Phase.READY:
@@ -153,7 +156,7 @@
         self._core.engine.on_membership_update(update, {entry.target: address})
 
     def on_halt(self, reason: str) -> None:
-        """Stop this process, because another one has this member's name. See `FleetObserver`."""
+        """Stop this process, because another process has this member's name. See `FleetObserver`."""
         log.error("stopping: %s", reason)
         self._request_stop()
 
--- a/emberlatch/standalone/gateway.py
+++ b/emberlatch/standalone/gateway.py
@@ -47,7 +47,7 @@
     """
 
     def __init__(self, config: Gateway, machine: Machine = REAL_MACHINE) -> None:
-        """Compose the gateway; raises StartError, or RefusedError without a valid inventory to start with."""
+        """Compose the gateway. Raises StartError, or RefusedError if no valid inventory is available."""
         self._config, self._machine = config, machine
         self._state = config.path(config.state)
         self.stop_requested = asyncio.Event()
--- a/emberlatch/standalone/outcome_log.py
+++ b/emberlatch/standalone/outcome_log.py
@@ -44,7 +44,7 @@
 
 
 class OutcomeLog:
-    """Confirms each outcome once its line is written, and keeps the newest `max_in_memory` for look-ups."""
+    """Stores outcomes, confirms them to the engine, and keeps the newest `max_in_memory` for look-ups."""
 
     notifies_deliveries = True
 
@@ -57,10 +57,10 @@
         offload: Offload | None = None,
         on_storage_failure: Callable[[OSError], None] = _ignore_failure,
     ) -> None:
-        """`limit_bytes` is for both files of the log.
+        """`limit_bytes` limits the size of both files of the log together.
 
-        With `offload`, an outcome can be found and is confirmed only once its line is synced to disk;
-        `on_storage_failure` is called if a sync fails.
+        An outcome is confirmed, and can be found, once its line is written or, with `offload`, once its line
+        is synced to disk; `on_storage_failure` is called if a sync fails.
         """
         self._file = OutcomeFile(folder, limit_bytes)
         self._sync = GroupSync(self._file, offload, on_storage_failure) if offload is not None else None
@@ -76,7 +76,7 @@
 
     @property
     def pending(self) -> bool:
-        """Whether any outcome is not on disk yet."""
+        """Whether any outcome is not written or not synced yet."""
         return bool(self._unwritten or self._unsynced)
 
     def find(self, message: str) -> StoredOutcome | None:
@@ -119,7 +119,7 @@
             self._sync.when_durable(lambda: self._complete(outcomes))
 
     def _complete(self, outcomes: Mapping[int, StoredOutcome]) -> None:
-        """Confirm outcomes that are on disk, and make them available to `find`."""
+        """Confirm outcomes that are written and, with `offload`, synced; make them available to `find`."""
         for ref, outcome in outcomes.items():
             self._unsynced.pop(ref, None)
             if ref not in self._written_before:
--- a/emberlatch/standalone/resources.py
+++ b/emberlatch/standalone/resources.py
@@ -27,8 +27,8 @@
 def connection_limits(descriptors: int, reserved: int) -> ConnectionLimits:
     """Return the connection limits for a number of descriptors, of which `reserved` are for other use.
 
-    Raise the process's descriptor limit if it is too low. StartError if that fails, or if too few descriptors
-    remain for connections.
+    Raise the process's descriptor limit if it is too low. Raises StartError if that fails or if
+    too few descriptors remain for connections.
     """
     _raise_descriptor_limit(descriptors)
     try:
--- a/emberlatch/standalone/service.py
+++ b/emberlatch/standalone/service.py
@@ -1,4 +1,4 @@
-"""Runs a gateway process: SIGTERM and SIGINT stop it, SIGHUP reloads its files."""
+"""Runs a gateway process: SIGTERM and SIGINT stop it, SIGHUP reloads the inventory and the fleet members."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     stop_requested_early = asyncio.Event()  # set by a signal before the gateway exists
     for number in STOP_SIGNALS:
         loop.add_signal_handler(number, stop_requested_early.set)
-    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # the start reads the inventory anyway
+    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # no reload: the start reads the inventory
     gateway = StandaloneGateway(config, machine)
     if stop_requested_early.is_set():
         gateway.stop_requested.set()
