--- a/emberlatch/faults/as2/result_checks.py
+++ b/emberlatch/faults/as2/result_checks.py
@@ -146,7 +146,7 @@
             self._breach(f"{message.id} was reported delivered but was never executed")
 
     def _check_disputes(self, deliveries: Deliveries, side: As2Side) -> None:
-        """Check that the ledger lists each message whose reported result contradicts a proving receipt."""
+        """Check that the ledger lists each message not reported delivered although a receipt confirms it."""
         listed = {str(dispute.get("message")) for dispute in side.evidence.disputes()}
         proven = {
             receipt.original
--- a/emberlatch/faults/endpoint.py
+++ b/emberlatch/faults/endpoint.py
@@ -12,7 +12,7 @@
 from emberlatch.standins import CallOutcome, Condition, EndpointModel, Message, PartnerServer
 from emberlatch.standins.endpoint_model import OUTAGES, IdempotencyKeys
 
-LONG_HANG_S = 6.0  # duration of a hang from which the checks expect forwarders to know of it
+LONG_HANG_S = 6.0  # duration of a hang after which the checks expect forwarders to have detected it
 ONLY_FORWARDER = "f0"
 """The caller's name on real sockets, which don't show the calling process; such runs have one forwarder."""
 
--- a/emberlatch/faults/virtual_takeover.py
+++ b/emberlatch/faults/virtual_takeover.py
@@ -1,4 +1,4 @@
-"""Simulations of the operating system's facilities for a takeover of one process from another.
+"""Simulated operating system facilities with which one process takes over from another.
 
 The real code of both processes uses this module's lock, connection and inherited listening socket.
 """
--- a/emberlatch/simulation/control_cost.py
+++ b/emberlatch/simulation/control_cost.py
@@ -224,7 +224,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Measure each size and print one JSON object per line."""
+    """Measure each deployment size and print one JSON object per line."""
     logging.disable(logging.CRITICAL)
     options = vars(_parser().parse_args(arguments))
     for size in options.pop("sizes"):
--- a/emberlatch/simulation/control_day.py
+++ b/emberlatch/simulation/control_day.py
@@ -64,7 +64,7 @@
 
 
 class Day:
-    """Plays the day of a plan."""
+    """Runs the simulated day that a plan describes."""
 
     def __init__(self, plan: DayPlan) -> None:
         self.plan = plan
--- a/emberlatch/simulation/control_disk.py
+++ b/emberlatch/simulation/control_disk.py
@@ -24,7 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """The identity of a disk; a seed's also has the address that stands for it until the group is founded."""
+    """The identity of a disk.
+
+    For the disk of a seed, `founding_address` stands for the identity until the voter group is founded.
+    """
 
     identity: str
     founding_address: str | None
--- a/emberlatch/simulation/control_operators.py
+++ b/emberlatch/simulation/control_operators.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A machine's answer; that to a read has the revision and the digest of the text that was read."""
+    """A machine's answer; an answer to a read has the revision and the digest of the text that was read."""
 
     status: int | None  # None if there was no answer
     revision: int
@@ -118,7 +118,7 @@
         return sent.new_text(sent.highest_revision + rng.randrange(1, 4), self.name)
 
     async def _send(self, text: ConfigurationText) -> None:
-        """Send a text; while there is no clear answer, send it again with some probability."""
+        """Send a text; after a 503 or no answer, resend it at random, at most `MAX_RESENDS` times."""
         for _ in range(1 + MAX_RESENDS):
             status = await self.replace(self._random_machine(), text)
             if status not in (None, 503) or self.rng.random() < 0.3:
--- a/emberlatch/simulation/history.py
+++ b/emberlatch/simulation/history.py
@@ -142,7 +142,10 @@
             )
 
     def judge_rate(self, service: str, rate_per_s: float, window_s: float, excess: float) -> None:
-        """Check that no sliding window has more requests than the rate limit, times `excess`, allows."""
+        """Check the number of requests in each sliding window of `window_s` seconds.
+
+        It may be `excess` times that of the rate limit, plus `TOLERATED_RATE_BURST`.
+        """
         times = self.arrivals.get(service, [])
         limit = rate_per_s * window_s * excess + TOLERATED_RATE_BURST
         for first, start in enumerate(times):
--- a/emberlatch/simulation/plan_generator.py
+++ b/emberlatch/simulation/plan_generator.py
@@ -106,7 +106,7 @@
 def _draw_closing_fault(
     rng: random.Random, faults: list[Fault], stores: int, duration_s: float, beyond_tolerance: bool
 ) -> list[Fault]:
-    """At most one fault of the entire deployment, just before the traffic ends."""
+    """Draw at most one fault of all nodes or all stores, which begins just before the traffic ends."""
     kind = rng.choice(CLOSING_FAULTS)
     if kind is None:
         return []
--- a/emberlatch/simulation/repair_cost.py
+++ b/emberlatch/simulation/repair_cost.py
@@ -15,7 +15,7 @@
 from emberlatch.simulation.plan import Plan
 from emberlatch.simulation.scenario import Scenario, play
 
-BODY_BYTES = 1000  # body size of a waiting message
+BODY_BYTES = 1000  # body size of a queued message
 RECORD_BYTES = 120  # approximate size of a record without its body
 OWNER, REPLICA = NODES = "s0", "s1"
 BLOCKING_PROBE_S = 0.0002  # simulated seconds between two readings of the real clock
@@ -58,7 +58,7 @@
 def measure(records: int, missing: int, waiting_share: float = 0.02, seed: int = 1) -> RepairCost:
     """Measure the repair between two stores of `records` records, of which one lacks `missing`.
 
-    `waiting_share` is the share of records that are of waiting messages, and so include a body.
+    `waiting_share` is the share of records whose messages are queued; only these records have a body.
     """
     cost = RepairCost(records, missing)
 
@@ -106,7 +106,7 @@
 
 
 def _fill(cluster: SimulatedCluster, cost: RepairCost, waiting_share: float, rng: random.Random) -> None:
-    """Put records into both indexes, but the newest `missing` ones only into that of the owner."""
+    """Put records into both indexes, but the newest `missing` ones only into the owner's index."""
     complete, incomplete = (_index(cluster, name) for name in NODES)
     now = cluster.loop.time()
     for number in range(cost.records):
--- a/emberlatch/storm/client_load.py
+++ b/emberlatch/storm/client_load.py
@@ -2,8 +2,9 @@
 
 A client submits a message to another member if the message was rejected or could not be sent. If a message
 was sent and no answer came, the client does so only if the effect of the message's class is `safe`. A keyed
-message must not be sent to another member then, because that member does not know in which wing and in which
-idempotency window the first copy was executed.
+message must not be sent to another member then, because that member does not know in which wing (the
+endpoints of a partner that share idempotency keys) and in which idempotency window the first copy was
+executed.
 """
 
 from __future__ import annotations
--- a/emberlatch/storm/fault_player.py
+++ b/emberlatch/storm/fault_player.py
@@ -124,7 +124,7 @@
                 self._spawn(self._send_garbage(member, self._began_at + fault.until))
 
     async def _restart(self, member: MemberProcess, fault: Fault, ending: Awaitable[None]) -> None:
-        """Wait for `ending`, which ends the process, and start the member's next process.
+        """Await `ending`, which ends the member's process, and then start its next process.
 
         A killed member without an `amount` is not restarted here: it stays down until the end of the storm.
         """
--- a/emberlatch/storm/membership_rules.py
+++ b/emberlatch/storm/membership_rules.py
@@ -47,14 +47,14 @@
 )
 # Limit from RECOVERED, when the last process serves again, until all members see each other alive.
 HEAL_LIMIT_S = 8.0
-# Limit of quiet time in which a member that is down must be detected, also by members that distrust their own
-# probes.
+# Limit of quiet time in which a member that is down must be detected, also by members that probe more slowly
+# because of a raised local health score (Lifeguard).
 DETECTION_LIMIT_S = 10.0
 QUIET_S = 4.0  # quiet time before an event after which no earlier disturbance counts as its cause
-QUIET_BEFORE_WAIT_S = 3.0  # quiet time before an answer whose wait all members must obey
+QUIET_BEFORE_WAIT_S = 3.0  # quiet time before an answer whose Retry-After all members must obey
 MIN_REPORTED_SUSPENSION_S = 1.2  # shortest suspension that a process must report as a stall
-WAIT_PROPAGATION_S = 0.2  # time until all members have learned of a wait that one member was asked for
-WAIT_TOLERANCE_S = 0.02  # time by which a call may precede the end of a wait
+WAIT_PROPAGATION_S = 0.2  # time until all members have learned of a Retry-After that one received
+WAIT_TOLERANCE_S = 0.02  # time by which a call may precede the end of a Retry-After
 IMPAIRMENT_BEFORE_WAIT_S = 2.0  # a link impairment within this time before an answer excuses later calls
 MAX_SHARE_SUM = 1.0 + 1e-4
 HALT_LIMIT_S = 6.0  # limit from the second process's SERVING until one of the two has exited
@@ -145,7 +145,7 @@
 
 
 def _find_quiet_start(disturbances: list[Span], begin: float, end: float) -> float | None:
-    """Return the first time in a downtime that begins `DETECTION_LIMIT_S` of quiet; None if there is none."""
+    """Return when `DETECTION_LIMIT_S` without disturbances first begin in a downtime; None if never."""
     for since in sorted({begin, *(span_end for _, span_end in disturbances if begin <= span_end < end)}):
         until = since + DETECTION_LIMIT_S
         later = [span for span in disturbances if span[1] > since + SIMULTANEOUS_S]
@@ -238,7 +238,10 @@
 def _must_be_known_as_left(
     history: History, availability: Availability, event: HistoryEvent, terminated_at: float
 ) -> bool:
-    """Return whether a member that was asked to leave is still down, and no disturbance hid its departure."""
+    """Return whether an observer must know that a member left and did not fail.
+
+    This holds if the member is still down and no disturbance can have hidden its departure from others.
+    """
     if availability.extend_deadline(event.member, terminated_at, 0.0) < event.at:
         return False
     disturbances = find_disturbances(history, without=event.member)
@@ -314,7 +317,7 @@
 
 def _check_shared_waits(history: History) -> Iterator[Breach]:
     impairments, disturbances = LinkImpairments(history), find_disturbances(history)
-    # By endpoint: the start and the end of its wait that ends last, and the member that it asked to wait.
+    # By endpoint: start and end of the Retry-After that ends last, and the member that received it.
     waits: dict[str, tuple[float, float, str]] = defaultdict(lambda: (0.0, 0.0, ""))
     for event in history.of_kind(EventKind.CALL_ANSWERED, EventKind.CALL_STARTED):
         member, endpoint = event.member, event.source
--- a/emberlatch/storm/membership_views.py
+++ b/emberlatch/storm/membership_views.py
@@ -11,7 +11,7 @@
     """The beliefs of all members at one moment, computed from the events that they had logged by then."""
 
     def __init__(self, history: History, until: float = math.inf) -> None:
-        """`until` is in seconds since the storm began; the history must be in order up to it."""
+        """`until` is in seconds since the storm began; the events up to that time must be in order."""
         self._states: dict[str, dict[str, str]] = {}
         self._partition_causes: dict[str, str] = {}
         for event in history.events:
--- a/emberlatch/storm/partners.py
+++ b/emberlatch/storm/partners.py
@@ -87,7 +87,7 @@
 
     def __init__(self, name: str, members: Iterable[str], seed: int, record: Recorder) -> None:
         self.name, self.record = name, record
-        # A partner's endpoints in one wing share such keys; here a partner has one endpoint in each wing.
+        # A partner's endpoints in one wing share idempotency keys; in a storm, each wing has one of them.
         self.keys = IdempotencyKeys(IDEMPOTENCY_WINDOW_S)
         self.model = EndpointModel(BEHAVIOURS[name[:2]], self.keys, seed=seed)
         self.call_numbers = itertools.count(1)
--- a/emberlatch/storm/plan.py
+++ b/emberlatch/storm/plan.py
@@ -57,7 +57,7 @@
     GARBAGE = "rubbish"
     """Unknown clients send invalid data to the member's fleet port."""
 
-    # Faults of links; each direction is impaired by itself.
+    # Faults of links; each direction is impaired independently.
     PARTITION = "cut"
     """Nothing is delivered until the fault ends; then all data that was sent arrives in order."""
     DELAY = "delay"
--- a/tests/cluster/consensus_model.py
+++ b/tests/cluster/consensus_model.py
@@ -246,7 +246,7 @@
         return system._replace(attempts=(*system.attempts[:index], attempt, *system.attempts[index + 1 :]))
 
     def _count(self, system: SystemState, attempt: Attempt) -> list[Attempt]:
-        """Return what an attempt may become when it receives votes that were sent."""
+        """Return the states that an attempt may reach by receiving votes that the voters have sent."""
         key = (attempt, tuple(disk.sent for disk in system.disks))
         if key not in self._attempts_after:
             self._attempts_after[key] = self._code.count(attempt, self._code.replies(system.disks))
@@ -357,7 +357,7 @@
             self._check_recovery(system, learned, max((version for version, _ in chosen), default=0))
 
     def _chosen(self, system: SystemState) -> set[tuple[int, Hashable]]:
-        """Return the versions and batches that the sent votes choose, even if no proposer has detected it."""
+        """Return the versions and batches that the sent votes choose, also those no proposer knows of yet."""
         return {
             (self._states[attempt.base].version + 1, attempt.batch)
             for attempt in system.attempts
--- a/tests/cluster/consensus_scenarios.py
+++ b/tests/cluster/consensus_scenarios.py
@@ -54,17 +54,20 @@
     max_losses=1,
     symmetric=(0, 1),
 )
-"""A disk is lost at any moment; its machine returns empty and becomes a voter again between two texts."""
+"""A disk is lost at any moment, and its machine returns with an empty disk.
+
+The machine becomes a voter again between two changes of the configuration text.
+"""
 
 SECOND_LOSS = replace(
     REPLACEMENT, batch_choices=((DUE_CHANGE,), (TEXT_A,)), may_lose=(2, 0, 1, 3), max_losses=2, symmetric=()
 )
-"""After a completed replacement any other disk is lost."""
+"""Once the replacement of a lost disk is complete, any one of the other disks is lost."""
 
 SECOND_LOSS_TOO_EARLY = replace(
     SECOND_LOSS, batch_choices=((TEXT_A, DUE_CHANGE), (TEXT_B,)), max_version=2, max_losses_at_once=2
 )
-"""Two disks are lost at any moments: more than is tolerated, so decisions may block but not conflict."""
+"""Two disks are lost, each at any moment: more than is tolerated, so decisions may block but not conflict."""
 
 READ_ACROSS = replace(REPLACEMENT, batch_choices=((TEXT_A,), (DUE_CHANGE,)), reads=True)
 """A read runs at any moment of a replacement."""
--- a/tests/cluster/rpc_support.py
+++ b/tests/cluster/rpc_support.py
@@ -134,7 +134,7 @@
                 self.send(Identify(VERSION, me.node, me.number, frame.node, frame.incarnation))
 
     def send(self, *frames: Frame) -> None:
-        """Write the frames in one piece."""
+        """Write all frames with a single call of the transport."""
         self.transport.write(b"".join(map(encode, frames)))
 
     def requests(self) -> list[Request]:
--- a/tests/cluster/test_capacity.py
+++ b/tests/cluster/test_capacity.py
@@ -40,7 +40,7 @@
 def _() -> None:
     for stores in (6, 12):
         few, many = frames(growth(6, stores).busiest_store), frames(growth(12, stores).busiest_store)
-        # The share of one forwarder's frames that one store gets.
+        # Frames per second between one forwarder and one store: heartbeat requests and their responses.
         share = 2 * FULL_RATE_STORES / DEFAULT_HEARTBEAT_INTERVAL_S / stores
         assert 0 < many - few <= 6 * share * TOLERANCE, (stores, few, many)
 
@@ -49,7 +49,7 @@
 def _() -> None:
     for forwarders, stores in ((6, 6), (12, 6), (6, 12), (12, 12)):
         of_forwarders = forwarders * 2 * FULL_RATE_STORES / DEFAULT_HEARTBEAT_INTERVAL_S / stores
-        # Each sends the other a request and a response.
+        # Per heartbeat interval, two stores exchange two requests and two responses.
         of_stores = (stores - 1) * 2 * 2 / DEFAULT_HEARTBEAT_INTERVAL_S
         most = (of_forwarders + of_stores) * TOLERANCE + TARGETS_FRAMES
         assert frames(growth(forwarders, stores).busiest_store) <= most, (forwarders, stores)
--- a/tests/cluster/test_carrier.py
+++ b/tests/cluster/test_carrier.py
@@ -332,7 +332,7 @@
 def _() -> None:
     async def steps(fixture: CarrierFixture) -> None:
         def on_request(connection: ScriptedTarget, data: bytes) -> None:
-            # The failure of the first attempt is sent repeatedly; later attempts get no response.
+            # The first attempt gets the same failure response five times; later attempts get no response.
             if len(fixture.requests) == 1:
                 for delay in (0.0, 0.1, 0.2, 0.3, 0.4):
                     fixture.world.loop.call_later(delay, connection.transport.write, response("m0", 500))
--- a/tests/core/test_forwarder.py
+++ b/tests/core/test_forwarder.py
@@ -151,7 +151,7 @@
 
 
 def test_the_longest_retry_after_of_the_messages_of_a_call_applies() -> None:
-    """Only the retry-after of the first message in a call was used; found on the standard days."""
+    """Only the retry-after of the first message in a call was used; found in the standard simulated days."""
     forwarder, sends = one_call_with_two_messages()
     assert [s.ref for s in sends] == [1, 2]
     full = [api.Outcome(s.ref, 0, s.target, Result.FULL, 0.01, retry_after=0.2 * s.ref) for s in sends]
@@ -164,7 +164,10 @@
 
 
 def rejected_at_share(remaining_share: float) -> Forwarder:
-    """Return a forwarder whose calls were rejected with reports of this unused share of the limit."""
+    """Return a forwarder whose calls were rejected.
+
+    Each rejection reports that `remaining_share` of the limit is unused.
+    """
     forwarder, sends = one_call_with_two_messages()
     forwarder.handle(0.2, [api.Outcome(s.ref, 0, s.target, Result.OK, 0.1, True) for s in sends])
     now = 0.3
@@ -242,7 +245,7 @@
 
 
 def test_a_message_is_answered_when_its_timer_fires_a_rounding_error_early() -> None:
-    """A message was never answered, because the clock counts in microseconds; found at full size."""
+    """A message was never answered, because the clock counts in microseconds; found in a full-size run."""
     forwarder = Forwarder(make_settings(), 1)
     forwarder.handle(0.0, [api.DirectoryUpdate(api.ListKind.CACHED, 1)])
     (timer,) = forwarder.handle(0.1, [api.Arrival(1, 0, 0, 2.0000004)])
@@ -252,7 +255,7 @@
 
 
 def test_the_forwarder_is_woken_only_when_something_is_due() -> None:
-    """Processing every pool every 20 ms exceeded the CPU limit of simulated days; found at full size."""
+    """Processing every pool every 20 ms exceeded the CPU limit of simulated days; found in full-size runs."""
     forwarder = Forwarder(make_settings(), 1)
     entries = tuple(api.Entry(bytes([d]), d) for d in range(50))
     forwarder.handle(0.0, [api.DirectoryUpdate(api.ListKind.CACHED, 1, entries)])
@@ -334,7 +337,10 @@
 
 
 def test_a_full_token_bucket_is_ready_without_a_timer() -> None:
-    """A cold route with a full bucket woke the forwarder thousands of times a second; found on sockets."""
+    """A cold route with a full bucket woke the forwarder thousands of times a second.
+
+    Found on real sockets.
+    """
     bucket = TokenBucket()
     for now in (5.0, 5.1):
         assert bucket.refill(now, 0.5, 1.0) == 1
@@ -344,7 +350,7 @@
 
 
 def test_a_rarely_called_route_is_ejected_after_two_failures_but_not_after_one() -> None:
-    """One lost answer or one full table ejected a rarely called route; found at full size."""
+    """One lost answer or one full connection table ejected a rarely called route; found in full-size runs."""
     for result in (Result.CONNECT_FAILED, Result.TIMEOUT):
         forwarder, sends = one_call_with_two_messages()
         outcomes = [api.Outcome(s.ref, 0, s.target, result, 0.5) for s in sends]
@@ -360,7 +366,10 @@
 
 @pytest.mark.parametrize("fails", [True, False])
 def test_idle_connections_are_closed_if_connecting_failed_and_few_calls_reuse_them(fails: bool) -> None:
-    """Idle connections of 40 forwarders filled tables; 48% of attempts got none. Found at full size."""
+    """Idle connections of many forwarders filled the connection tables of endpoints.
+
+    Found in a full-size run with 40 forwarders, in which 48% of the attempts got no connection.
+    """
     chosen = dataclasses.replace(make_settings(), connection_idle=15.0)
     forwarder, entries = Forwarder(chosen, 1), (api.Entry(b"x", 0), api.Entry(b"y", 1))
     forwarder.handle(0.0, [api.DirectoryUpdate(api.ListKind.CACHED, 1, entries)])
@@ -372,7 +381,7 @@
 
 
 def test_a_stall_of_the_process_itself_ejects_no_route() -> None:
-    """Forwarders whose process was stalled for two seconds ejected every route; found at full size."""
+    """Forwarders whose process was stalled for two seconds ejected every route; found in a full-size run."""
 
     def is_ejected_after(stalled: bool) -> bool:
         forwarder = Forwarder(make_settings(slots=12), 1)
@@ -395,7 +404,7 @@
 
 
 def test_forwarders_resume_at_different_times_after_the_same_retry_after() -> None:
-    """All trials scheduled during a long retry-after were due at its end; found at full size."""
+    """All trials scheduled during a long retry-after were due at its end; found in a full-size run."""
     early_trials = 0
     for seed in range(40):
         forwarder = Forwarder(dataclasses.replace(make_settings(), forwarders=40), seed)
@@ -408,7 +417,10 @@
 
 
 def test_many_forwarders_together_do_not_overload_a_small_destination() -> None:
-    """A minimum of one call for each of many forwarders overloaded one; found on Head-campus-later big-2."""
+    """A minimum of one call for each of many forwarders overloaded a small destination.
+
+    Found in the run `Head-campus-later big-2`.
+    """
     forwarder_count, rate, rules = 100, 3.0, make_settings().rules
     chosen = dataclasses.replace(make_settings(), forwarders=forwarder_count)
     fleet = [Forwarder(chosen, seed) for seed in range(forwarder_count)]
@@ -495,7 +507,7 @@
 
 
 def test_the_deploy_file_lists_each_policy_module_and_each_is_under_400_lines() -> None:
-    """A former limit of 1,200 lines for all modules together was replaced by one for each module."""
+    """A former limit of 1,200 lines for all modules together was replaced by a limit for each module."""
     modules = {path.stem for path in (ROOT / "emberlatch" / "core").glob("*.py")}
     assert {f"emberlatch/core/{name}.py" for name in modules - NON_POLICY_MODULES} == set(POLICY)
     for name in POLICY:
@@ -534,7 +546,10 @@
 
 
 def test_a_scarce_slot_is_used_for_the_call_with_most_messages() -> None:
-    """Without a free slot, hundreds waited for a healthy target that takes ten a call; found on sockets."""
+    """While slots were scarce, hundreds of messages waited for a healthy target that takes ten in a call.
+
+    Found on real sockets.
+    """
     assert {(send.target, send.ref) for send in sent_when_busy((1, 10, 1))} == {
         (b"\x01", n) for n in range(2, 12)
     }
@@ -542,7 +557,10 @@
 
 
 def test_the_minimum_send_rate_counts_calls_with_full_batches_not_messages() -> None:
-    """Counted in messages it exceeded the limit of a destination that takes ten a call; found on sockets."""
+    """A minimum in messages exceeded the rate limit of a destination that takes ten messages in a call.
+
+    Found on real sockets.
+    """
     note = api.Category("note", api.Effect.SAFE, latency_target=3.0, deadline=12.0)
     rates = {}
     for batch_limit in (1, 10):
--- a/tests/core/test_send_rate.py
+++ b/tests/core/test_send_rate.py
@@ -27,7 +27,7 @@
 
 
 def answer(made: Forwarder, ref: int, at: float, result: Result, remaining_share: float) -> None:
-    """Submit a message and answer its call with a report of this unused share of the limit."""
+    """Submit a message and answer its call; the answer reports `remaining_share` of the limit as unused."""
     sent = [a for a in made.handle(at, [api.Arrival(ref, 0, 7, 12.0)]) if isinstance(a, api.Send)]
     while not sent:
         at = made.timer.next_at
@@ -69,7 +69,10 @@
 
 
 def slow_start_duration(forwarders: int, last_failure: float) -> float:
-    """Return the seconds of slow start of a route ejected at 10 s, last failing as given, serving at 30 s."""
+    """Return the duration in seconds of a route's slow start after an outage.
+
+    The route is ejected at 10 s, fails for the last time at `last_failure` and serves again at 30 s.
+    """
     made, route = limited_forwarder(forwarders)
     made.context.now = 10.0
     made.health.eject(route, EjectionReason.NO_RESPONSE)
--- a/tests/core/test_slow_start.py
+++ b/tests/core/test_slow_start.py
@@ -77,7 +77,7 @@
     made = healthy_forwarder(5.0)
     rules = made.context.settings.rules
     sent = fail_calls(made, Result.ERROR).run(5.1 + rules.overload_window, lambda _: Result.OK)
-    # A rough weight of 5 counts as a limit of 3.5, and slow start allows a share of that.
+    # The bound is computed from the listed weight of 5; the forwarder takes a rough 5 as a limit of 3.5.
     assert 2 <= len(sent) <= rules.overload_factor * rules.slow_start_share * 5.0 * rules.overload_window
 
 
@@ -107,7 +107,10 @@
 
 @pytest.mark.parametrize("hangs", [False, True])
 def test_slow_start_uses_the_share_of_the_known_limit_unless_the_route_hangs(hangs: bool) -> None:
-    """Recent demand was low and many messages wait; the known limit counts only after fast failures."""
+    """Recent demand was low and many messages wait, so a rate from demand alone is too low.
+
+    The known limit raises the rate, but only after fast failures, not after a hang.
+    """
     made = healthy_forwarder(20.0)
     fail_calls(made, Result.TIMEOUT if hangs else Result.FULL)
     route = made.endpoints[b"t"].route
@@ -141,7 +144,10 @@
 
 
 def test_a_serving_route_keeps_its_gap_after_a_short_retry_after() -> None:
-    """A short retry-after indicates a limit: calling at its end each time cost ra1e1c0 0.07 of its score."""
+    """A short retry-after indicates a rate limit, so calls keep their usual gap after it.
+
+    Calling at the end of each retry-after cost ra1e1c0 0.07 of its score.
+    """
     for seed in range(10):
         made = module()
         made.context.random.seed(seed)
@@ -180,7 +186,7 @@
 
 
 def test_an_ejection_for_a_hang_withdraws_the_extra_trial_of_an_earlier_error() -> None:
-    """A call that hangs may be load on the route, so no call may exceed the slow-start rate."""
+    """A call that hangs may still load the route, so no call beyond the slow-start rate is allowed."""
     made = healthy_forwarder(5.0)
     fail_calls(made, Result.ERROR)
     route = made.endpoints[b"t"].route
