--- a/emberlatch/cluster/consensus/__init__.py
+++ b/emberlatch/cluster/consensus/__init__.py
@@ -1,7 +1,7 @@
 """Consensus on the control state: a replicated register whose versions a group of voters decides in turn.
 
 Version n + 1 is decided by one instance of single-decree Paxos (Lamport, "Paxos Made Simple", 2001) among
-the voters that version n names. A change of the group is therefore decided by consensus as well. Only the
+the voters that version n names. A change of the group is therefore decided in the same way. Only the
 newest state is kept, as in CASPaxos (Rystsov, 2018): there is no log and no leader. See
 docs/design/control.md.
 """
--- a/emberlatch/cluster/consensus/acceptor.py
+++ b/emberlatch/cluster/consensus/acceptor.py
@@ -42,8 +42,8 @@
 class AcceptorRecord:
     """What a machine keeps on disk.
 
-    `voter` names the machine and its disk. `founding_voter` has the machine's address as a seed, under
-    which it votes on the founding only; None if it takes no part in the founding, because it is no seed or
+    `voter` names the machine and its disk. `founding_voter` has the address under which the machine votes on
+    the founding as a seed. It is None if the machine takes no part in the founding, because it is no seed or
     its first disk was lost. `promised` and `accepted` are about the version after `state`.
     `last_batch` is the batch that produced `state`; it is not stored on disk.
     """
@@ -143,9 +143,9 @@
     def _reply_unless_next(
         self, record: AcceptorRecord, voter: Voter, request: Prepare | Accept | Learn
     ) -> Reply | None:
-        """Return the reply to a request that is not about the record's next version; None if it is.
+        """Return the reply to a request that can't be handled, because it is not about the next version.
 
-        A request of another group of voters is declined here too.
+        Also decline a request that names another group of voters. Return None if the request can be handled.
         """
         local_version = record.state.version
         if local_version == request.version and record.last_batch is not None:
@@ -176,5 +176,5 @@
 
 
 def adopt_state(record: AcceptorRecord, state: ControlState) -> AcceptorRecord:
-    """Return the record with another machine's state; the caller has checked that it is to be replaced."""
+    """Return the record with another machine's state; the caller has checked that this state is newer."""
     return replace(record, state=state, promised=None, accepted=None, last_batch=None)
--- a/emberlatch/cluster/consensus/commands.py
+++ b/emberlatch/cluster/consensus/commands.py
@@ -23,7 +23,7 @@
 from emberlatch.cluster.consensus.wire import as_sequence, decode_by_kind
 from emberlatch.cluster.rpc.errors import MessageDecodeError
 
-MAX_TRACKED_NODES = 512  # limit of each list of decommissioned and of removed machines; the newest are kept
+MAX_TRACKED_NODES = 512  # limit of the lists of decommissions and of removed machines; the newest stay
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,7 +62,7 @@
 class SetVoters:
     """Change the group of voters from the next version on.
 
-    `epoch` is that of the state for which the change was computed.
+    `epoch` is the epoch of the state for which the change was computed.
     """
 
     KIND: ClassVar[str] = "voters"
@@ -73,8 +73,8 @@
     def apply(self, state: ControlState) -> ControlState:
         """Add, remove or replace a single voter; a change that was computed for another epoch has no effect.
 
-        As only one server changes at a time, a majority of the old group and one of the new group have voters
-        in common.
+        Only one voter changes at a time, so every majority of the old group and every majority of the new
+        group have a voter in common.
         """
         before, after = set(state.voters), set(self.voters)
         if self.epoch != state.epoch or not after or before == after:
@@ -108,10 +108,10 @@
     text: bytes
 
     def apply(self, state: ControlState) -> ControlState:
-        """Bind the revision to the first text committed under it. The text of the highest revision is
-        in force.
+        """Bind the revision permanently to the first text committed under it.
 
-        The binding is permanent. A revision below the one in force is only recorded in the history.
+        The text of the highest revision is in force. A revision below the one in force is only recorded in
+        the history.
         """
         digest = text_digest(self.text)
         if state.revision_status(self.revision, digest) is not RevisionStatus.ABSENT:
@@ -147,7 +147,10 @@
     mark: DecommissionMark
 
     def apply(self, state: ControlState) -> ControlState:
-        """Advance the mark, never back; no second machine is marked before the first one is empty."""
+        """Advance the mark, which never goes back.
+
+        A machine is not marked while another one is marked and not empty.
+        """
         marks = dict(state.decommissions)
         current = marks.get(self.node)
         if current is not None and current >= self.mark:
@@ -176,7 +179,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RemoveMember:
-    """Remove a machine from the membership after it was unreachable for long, until it is readmitted."""
+    """Remove a machine that was unreachable for long from the membership; it may be readmitted later."""
 
     KIND: ClassVar[str] = "give up"
 
@@ -242,7 +245,8 @@
 def is_founding(batch: Batch) -> bool:
     """Whether a batch founds the cluster.
 
-    The seeds decide no other batch: it would take the place of the founding, which could then never happen.
+    The seeds decide no other batch. Another batch would become version 1, and the cluster could never be
+    founded then.
     """
     return len(batch) == 1 and isinstance(batch[0], CreateVoterGroup)
 
--- a/emberlatch/cluster/consensus/coordinator.py
+++ b/emberlatch/cluster/consensus/coordinator.py
@@ -19,7 +19,7 @@
 from emberlatch.cluster.consensus.voter_client import VoterClient
 
 DELEGATION_TIMEOUT_S = 0.3  # time that the preferred proposer has to get a batch decided
-BASE_BACKOFF_S = 0.004  # the random backoff is at most this times 2 ** collisions
+BASE_BACKOFF_S = 0.004  # the random backoff is at most BASE_BACKOFF_S * 2 ** collisions
 MAX_BACKOFF_S = 0.12
 MAX_DOUBLINGS = 10  # limit of the exponent in the bound of the backoff
 MAX_BATCH_COMMANDS = 64
@@ -47,7 +47,7 @@
         self._proposing = False
 
     async def submit(self, command: Command, timeout: float) -> ControlState:
-        """Have a command decided; returns a state to which it was applied, or to which it no longer applies.
+        """Have a command decided; returns a state in which it was applied or superseded.
 
         `timeout` is in seconds. Raises UndecidedError if the outcome is not known by then; the command may
         still be decided later.
@@ -125,7 +125,7 @@
     def _next_batch(self) -> Batch:
         """Return the commands to propose next; a change of voters is proposed alone.
 
-        Otherwise a command could be decided by a group that another command of the same batch replaces.
+        Otherwise the group that the change replaces could decide other commands of the same batch.
         """
         commands = [pending.command for pending in self._pending]
         if self._register.state.version == 0:
--- a/emberlatch/cluster/consensus/durable_record.py
+++ b/emberlatch/cluster/consensus/durable_record.py
@@ -36,8 +36,8 @@
     """The current record, and the storage to which it is synced; both are None until the disk is open.
 
     `lock` serializes changes of the record: a caller acquires it before it computes the next record, and
-    releases it once that record is durable. `disk_failing` is True if the last use of the disk failed; the
-    machine does not vote then.
+    releases it once that record is durable. `disk_failing` is True if the last use of the disk failed. A vote
+    that can't be written is not sent.
     """
 
     def __init__(self, record: AcceptorRecord | None, storage: Storage | None, ports: RegisterPorts) -> None:
--- a/emberlatch/cluster/consensus/maintenance.py
+++ b/emberlatch/cluster/consensus/maintenance.py
@@ -27,8 +27,8 @@
 class MemberReport:
     """The information that a process has about a machine with a disk.
 
-    `voter` has the node and the identity on its disk, as the machine reports them. `counted` is True for the
-    machines that may vote and whose loss is tolerated. `reachable` says whether this process can call the
+    `voter` has the node and the identity on its disk, as the machine reports them. `counted` is True if the
+    machine may vote and its loss must be tolerated. `reachable` says whether this process can call the
     machine. `unreachable_s` is the number of seconds for which a majority of the voters has not reached it, 0
     if they reach it. `version` is the version of the state on its disk. `cluster` is the name of the cluster
     to which its disk belongs, empty before the founding.
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultTolerance:
-    """The numbers of machines, zones and regions that may be lost at the same time."""
+    """How many machines, zones or regions may be lost at the same time."""
 
     machines: int = 1
     zones: int = 0
@@ -63,7 +63,7 @@
 
 
 def _best_spread(placed: Iterable[MemberReport], candidates: Iterable[MemberReport]) -> MemberReport | None:
-    """Return the candidate whose region, and then zone, has the fewest of the machines placed already."""
+    """Return the candidate with the fewest placed machines in its region; if equal, in its zone."""
     others = list(placed)
 
     def placement_order(member: MemberReport) -> tuple[int, int, str]:
--- a/emberlatch/cluster/consensus/maintenance_loop.py
+++ b/emberlatch/cluster/consensus/maintenance_loop.py
@@ -1,7 +1,7 @@
 """Maintains the group of voters: founds it, learns newer states, and has due changes decided.
 
-Every process with a disk runs the loop, which is safe. The functions of `maintenance` compute which change is
-due; random pauses keep the processes from proposing it all at once.
+Every process with a disk runs the loop; concurrent loops are safe. The functions of `maintenance` compute
+which change is due. Because of random pauses, the processes do not all propose it at the same time.
 """
 
 from __future__ import annotations
@@ -109,9 +109,10 @@
         return self._due_founding(state)
 
     def _due_founding(self, state: ControlState) -> CreateVoterGroup | None:
-        """Return the founding of a full group at once, or of a smaller one after a wait for missing members.
+        """Return the command that founds the cluster: at once if the group is full, otherwise after a wait.
 
-        A smaller group tolerates fewer faults; one that tolerates no loss of a machine is never founded.
+        The wait is for the missing members, as a smaller group tolerates fewer faults. A group of at most
+        `tolerance.machines` voters is never founded: it would not tolerate the loss of that many machines.
         """
         if not self._may_found(state):
             return None
@@ -125,7 +126,7 @@
         return command if waited_s >= missing * FOUNDING_WAIT_PER_MEMBER_S else None
 
     def _may_found(self, state: ControlState) -> bool:
-        """Whether this machine votes on the founding, and its recorded seeds are those of its settings."""
+        """Whether this machine votes on the founding, and its state has the seeds of its settings."""
         record = self._service.register.record
         if record is None or record.founding_voter is None or record.founding_voter not in state.voters:
             return False
--- a/emberlatch/cluster/consensus/ports.py
+++ b/emberlatch/cluster/consensus/ports.py
@@ -20,7 +20,7 @@
         """Return the node of a voter as last reported; None if it is not known."""
 
     def voters_with_replaced_disk(self, voters: Iterable[Voter]) -> frozenset[Voter]:
-        """Return those of these voters whose own machine has since reported another disk identity."""
+        """Return the voters among `voters` whose machines have since reported another disk identity."""
 
     async def call(self, node: str, request: list[object], timeout: float) -> object:
         """Send an encoded request and return the encoded reply.
--- a/emberlatch/cluster/consensus/proposer.py
+++ b/emberlatch/cluster/consensus/proposer.py
@@ -1,7 +1,8 @@
-"""The proposer of Paxos: one attempt to decide the next version, and one read of the newest one, without I/O.
+"""The proposer of Paxos: an attempt to decide the next version, and a round of a read of the newest one.
 
-Any process may propose. If two proposers collide, the one with the lower ballot retries under a higher one.
-A batch that an earlier proposer may have got chosen is completed before any other batch is decided.
+This module does no I/O. Any process may propose. If two proposers collide, the one with the lower ballot
+retries under a higher one. A batch that an earlier proposer may have got chosen is completed before any
+other batch is decided.
 """
 
 from __future__ import annotations
@@ -30,12 +31,12 @@
 class Quorum:
     """The votes that each phase needs.
 
-    `voters_with_replaced_disk` are those whose disks are known to be lost permanently.
+    `voters_with_replaced_disk` are the voters whose disks are known to be lost permanently.
 
-    A phase needs a majority. If the survivors are fewer than that, all of them together decide, provided that
-    every possible majority has a survivor among its members. This holds in a group of two, four or six that
-    has lost half of its voters. A chosen batch is durable on at least `min_disks` disks, or on all disks of
-    a smaller group.
+    Phase 1 needs the votes of a majority. Phase 2 also needs at least `min_disks` votes, or all votes of a
+    smaller group. If there are fewer survivors than votes needed, the votes of all survivors are enough, but
+    only if each possible majority includes a survivor. This is so in a group of two, four or six that has
+    lost half of its voters.
     """
 
     voters: tuple[Voter, ...]
@@ -115,7 +116,7 @@
         return Learn(self.version, self.state.group, self.decision)
 
     def receive(self, reply: Reply) -> Request | None:
-        """Count a reply; returns a request that its voter needs before it can vote, if any.
+        """Count a reply; returns a request to send to its voter before that voter can vote, or None.
 
         The caller reads `stage` to find out whether the phase has ended.
         """
--- a/emberlatch/cluster/consensus/reader.py
+++ b/emberlatch/cluster/consensus/reader.py
@@ -47,7 +47,8 @@
     def _shared_read(self) -> asyncio.Task[ControlState]:
         """Return a read that begins after this call.
 
-        All calls during one read share the next read: the running one began too early to confirm for them.
+        All calls that arrive during one read share the next read. The running read began before these calls,
+        so it cannot confirm that its state is new enough for them.
         """
         if self._current is None or self._current.done():
             self._current, self._next = self._client.spawn(self._read(require_durable=False)), None
--- a/emberlatch/cluster/consensus/register.py
+++ b/emberlatch/cluster/consensus/register.py
@@ -1,7 +1,7 @@
 """The replicated register on one machine: its votes, and the newest state that it knows.
 
-The modules `acceptor` and `proposer` decide without I/O what is promised, accepted and chosen; this module
-connects them to the disk. A process without a disk has no vote and only learns chosen states.
+The module `acceptor` decides without I/O what is promised and accepted; this module connects it to the disk.
+A process without a disk has no vote and only learns chosen states.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
     @property
     def local_voter(self) -> Voter:
-        """The voter that this machine and its disk are; node and identity are empty without a disk."""
+        """The voter of this machine with its present disk; node and identity are empty without a disk."""
         record = self._durable.current
         return record.voter if record is not None else Voter("", "")
 
@@ -68,7 +68,7 @@
         """Start to vote with a disk that could not be opened until now."""
         self._durable.attach(record, storage)
         if record.state.version >= self._state.version and record.state != self._state:
-            self._state = record.state  # also before the founding, when the state names the seeds
+            self._state = record.state  # even at version 0: the state names the seeds then
             self._listener.state_changed(record.state)
         self._durable.report_disk_result(None)
 
@@ -83,7 +83,7 @@
     # Learning.
 
     def _advance_state(self, state: ControlState) -> None:
-        """Replace the known state if `state` is newer; besides this only `attach` replaces it."""
+        """Replace the known state if `state` is newer. Only this method and `attach` replace it."""
         if state.version > self._state.version and self._state.cluster in ("", state.cluster):
             self._state = state
             self._listener.state_changed(state)
--- a/emberlatch/cluster/consensus/replies.py
+++ b/emberlatch/cluster/consensus/replies.py
@@ -1,7 +1,7 @@
 """Replies of a voter to requests about one version of the control state. This module does no I/O.
 
-Each reply names its voter. A late or duplicated reply therefore counts once, and only for the disk identity
-that sent it.
+Each reply names its voter. A duplicated reply therefore counts once, and a late reply counts only for the
+disk identity that sent it.
 """
 
 from __future__ import annotations
@@ -120,7 +120,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The newest state on the voter's disk; after Prepare or Accept: that version is decided already."""
+    """The newest state on the voter's disk.
+
+    As a reply to Prepare or Accept it means that the requested version is decided already.
+    """
 
     KIND: ClassVar[str] = "snapshot"
 
--- a/emberlatch/cluster/consensus/requests.py
+++ b/emberlatch/cluster/consensus/requests.py
@@ -1,7 +1,7 @@
 """Requests to a voter about one version of the control state. This module does no I/O.
 
-Prepare, Accept and Learn name a version and the group of voters that decides it. A voter whose state names
-another group for that version declines the request.
+Prepare, Accept and Learn name a version and the group of voters that decides this version. A voter declines
+the request if its own state names another group for the version.
 """
 
 from __future__ import annotations
--- a/emberlatch/cluster/consensus/service.py
+++ b/emberlatch/cluster/consensus/service.py
@@ -18,7 +18,7 @@
 class ControlService:
     """Composes the register, its client, the proposer and the reader of one process.
 
-    `proposer_id` is unique to this incarnation of the process, `min_disks` the number of disks on which a
+    `proposer_id` is unique to this incarnation of the process. `min_disks` is the number of disks on which a
     chosen batch has to be durable.
     """
 
@@ -52,7 +52,7 @@
         return (await self.register.handle(request)).to_wire()
 
     async def submit(self, command: Command, timeout: float) -> ControlState:
-        """Have a command decided; returns a state to which it was applied, or to which it no longer applies.
+        """Have a command decided; returns a state in which it was applied or superseded.
 
         `timeout` is in seconds. Raises UndecidedError if the outcome is not known by then; the command may
         still be decided later.
--- a/emberlatch/cluster/consensus/state.py
+++ b/emberlatch/cluster/consensus/state.py
@@ -1,7 +1,7 @@
 """The control state that all machines agree on. This module does no I/O.
 
-A state depends only on its predecessor and a batch of commands, so that processes which apply the same
-batches have the same state. Its size does not grow with the number of changes.
+A state depends only on its predecessor and a batch of commands. Processes that apply the same batches
+therefore have the same state. Its size does not grow with the number of changes.
 """
 
 from __future__ import annotations
@@ -66,7 +66,7 @@
 class DecommissionMark(IntEnum):
     """The progress of a machine's decommission; it never goes back."""
 
-    MARKED = 1  # an operator ordered it; replicas on the machine no longer count
+    MARKED = 1  # the decommission was ordered; replicas on the machine no longer count
     EMPTY = 2  # no record has its only replica on the machine
 
 
@@ -121,7 +121,10 @@
 
     @cached_property
     def excluded_nodes(self) -> frozenset[str]:
-        """Nodes that are not waited for: empty after a decommission, or removed from the membership."""
+        """Nodes for which other machines need not wait.
+
+        They are empty after a decommission, or were removed from the membership.
+        """
         empty = {node for node, mark in self.decommissions if mark is DecommissionMark.EMPTY}
         return frozenset(empty | set(self.removed_members))
 
@@ -132,7 +135,10 @@
 
     @property
     def awaiting_founding(self) -> bool:
-        """Whether the seeds have yet to found the cluster; others' states may then be of another cluster."""
+        """Whether the seeds still have to found the cluster.
+
+        Until they have, the state of another machine may be of another cluster.
+        """
         return self.version == 0 and bool(self.voters)
 
     def follows(self, other: ControlState) -> bool:
--- a/emberlatch/cluster/consensus/storage.py
+++ b/emberlatch/cluster/consensus/storage.py
@@ -32,7 +32,8 @@
 class DiskIdentity:
     """The content of the identity file.
 
-    `founding_address` is the machine's address as a seed, None if it takes no part in the founding.
+    `founding_address` is the address under which the machine votes on the founding as a seed, or None if the
+    machine takes no part in the founding.
     """
 
     identity: str
@@ -51,12 +52,12 @@
         raise MessageDecodeError(IDENTITY_FILE, f"{payload!r:.60}")
 
     def voter(self, node: str) -> Voter:
-        """Return the voter that a node with this disk is."""
+        """Return the voter for a node with this disk."""
         return Voter(node, self.identity)
 
     @property
     def founding_voter(self) -> Voter | None:
-        """The voter on the founding; None if the machine takes no part in the founding."""
+        """The voter as which the machine votes on the founding; None if it takes no part in the founding."""
         return None if self.founding_address is None else Voter(self.founding_address, "")
 
 
@@ -133,7 +134,8 @@
 
         `founding_address` is this machine's address if it takes part in the founding.
         """
-        for name in (IDENTITY_FILE, VOTE_FILE):  # the identity first, as a crash may interrupt the rest
+        # The identity is removed first. If a crash interrupts the rest, the disk has no identity.
+        for name in (IDENTITY_FILE, VOTE_FILE):
             (self._folder / name).unlink(missing_ok=True)
             sync_folder(self._folder)
         identity = DiskIdentity(secrets.token_hex(IDENTITY_BYTES), founding_address)
--- a/emberlatch/cluster/consensus/voter_client.py
+++ b/emberlatch/cluster/consensus/voter_client.py
@@ -17,10 +17,13 @@
 from emberlatch.cluster.rpc.errors import MessageDecodeError
 
 REQUEST_TIMEOUT_S = 0.35  # limit of one request to a voter, including the sync to its disk
-PHASE_TIMEOUT_S = 0.5  # time that a quorum of voters has to reply
+PHASE_TIMEOUT_S = 0.5  # a quorum of voters must reply within this time
 
 ReplyHandler = Callable[[Reply], Request | None]
-"""Handles a reply; returns a request to send to that voter before the same request is repeated, if any."""
+"""Handles a reply of a voter.
+
+If it returns a request, that is sent to the voter first, and the original request is then repeated once.
+"""
 
 Result = TypeVar("Result")
 
--- a/emberlatch/core/attempts.py
+++ b/emberlatch/core/attempts.py
@@ -6,12 +6,15 @@
 from emberlatch.core.records import Endpoint, Message
 from emberlatch.core.settings import Effect, Scope
 
-# A repeated attempt must reach the endpoint at least this long before the endpoint drops the idempotency key.
+# Safety margin of the dedup window: a repeated attempt must reach the endpoint at least this long before the
+# endpoint drops the idempotency key.
 DEDUP_MARGIN_S = 0.1
 
 
 class AttemptPolicy:
-    """Decides whether a message may be sent again or rejected when an earlier attempt may have been executed.
+    """Decides whether a message may be sent again, and whether it may be rejected.
+
+    Both depend on whether an earlier attempt of the message may have been executed.
 
     Has no state of its own.
     """
@@ -61,7 +64,7 @@
     def allows_another_attempt(self, message: Message) -> bool:
         """Return whether the category allows another attempt.
 
-        A suitable endpoint does not have to be listed now: one may be listed at any time.
+        The result does not depend on the endpoints listed now: a suitable one may be listed at any time.
         """
         if message.attempts >= message.max_attempts:
             return False
--- a/emberlatch/core/bulkhead.py
+++ b/emberlatch/core/bulkhead.py
@@ -38,8 +38,8 @@
     def lease_limit(self, pool: Pool) -> int:
         """Return the maximum number of leases for a pool.
 
-        This is its peak concurrency with headroom or its adaptive limit, whichever is larger, but at most the
-        limit for healthy or for unhealthy pools.
+        The limit is the larger of the pool's peak concurrency with headroom and its adaptive limit. It is at
+        most `healthy_pool_limit`, or `unhealthy_pool_limit` if the pool is unhealthy.
         """
         wanted = math.ceil(max(pool.peak_rate, pool.window_arrivals) * pool.baseline_latency * POOL_HEADROOM)
         wanted += pool.latency_samples > 0
@@ -50,8 +50,8 @@
     def has_unhealthy_quota(self) -> bool:
         """Return whether another call may use an unhealthy route.
 
-        Several unhealthy destinations, each within its own limit, could occupy every slot together. Therefore
-        all calls on unhealthy routes share one half of the slots.
+        Several unhealthy destinations could together occupy every slot, even if each is within its own limit.
+        Therefore all calls on unhealthy routes share one half of the slots.
         """
         return self.unhealthy_calls < self.unhealthy_pool_limit
 
--- a/emberlatch/core/calls.py
+++ b/emberlatch/core/calls.py
@@ -15,7 +15,7 @@
 from emberlatch.core.pools import PoolTable
 from emberlatch.core.records import Call, Message, UncertainAttempt
 
-# A call is taken to be stuck, not just slow, once this many later calls were answered before it.
+# Once this many later calls were answered before a call, the call counts as stuck, not just slow.
 OVERTAKING_CALLS = 3
 MAX_BACKOFF_DOUBLINGS = 5
 STILL_RUNNING = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
@@ -64,7 +64,7 @@
         """Handle the end of an attempt: complete its message, queue it for another attempt, or end it."""
         call = self.in_flight.pop((event.ref, event.attempt), None)
         if call is None:
-            if event.is_final:  # a late outcome of an unknown call, but its message is completed
+            if event.is_final:  # the call is not known here, but its message is completed
                 self._queue.remove(event.ref)
             return
         message = call.messages.pop((event.ref, event.attempt))
@@ -94,7 +94,7 @@
     def _requeue(self, message: Message, call: Call, result: Result) -> None:
         """Queue a message for its next attempt, after a backoff if the result requires one.
 
-        After FULL and ERROR the backoff doubles with each attempt, because other callers retry there as well.
+        After FULL and ERROR the backoff doubles with each attempt, because other callers retry then too.
         """
         context, entry = self._context, call.endpoint.entry
         if result in BACKOFF_RESULTS:
@@ -109,7 +109,7 @@
             self._queue.finish(message)
 
     def _cancel_overtaken(self, answered: Call) -> None:
-        """Cancel late calls that later calls to the same endpoint have overtaken, if their leases are needed.
+        """Cancel late calls if later calls to the same endpoint were answered first and a lease is needed.
 
         An endpoint answers its calls in the order in which they were sent, even if it is slow. An overtaken
         call therefore has a connection that does not respond.
@@ -131,8 +131,8 @@
     def _is_late(self, call: Call, timeout: float) -> bool:
         """Return whether a call is late and may be cancelled.
 
-        The time-out doubles with each earlier unknown outcome, because the message itself may be slow to
-        execute.
+        The time-out doubles with each earlier attempt with an unknown outcome, because the message itself may
+        be slow to execute.
         """
         unknown = max((len(message.unknown_outcomes) for message in call.messages.values()), default=0)
         if self._context.now - call.sent_at <= timeout * 2.0**unknown:
--- a/emberlatch/core/context.py
+++ b/emberlatch/core/context.py
@@ -17,7 +17,7 @@
 
     Attributes:
         settings: current settings; `Forwarder` replaces them.
-        rules: rules at the start of the forwarder; they do not change with the settings.
+        rules: rules of the initial settings; a change of the settings does not replace them.
         random: the only source of random numbers; the order of draws is part of the behaviour.
         now: time of the present turn in seconds; set by `Forwarder`.
         actions: actions of the present turn; all parts append to it.
--- a/emberlatch/core/dispatcher.py
+++ b/emberlatch/core/dispatcher.py
@@ -22,10 +22,11 @@
 # Latency that each additional message adds to a call, relative to a call with one message. This is an
 # estimate, because endpoint kinds differ.
 BATCH_ITEM_COST = 0.35
-RETRY_HORIZON_S = 2.0  # assumed delay until the next chance to send a message that gets no lease now
+RETRY_HORIZON_S = 2.0  # a message that gets no lease now is assumed to be sent this much later
 WAIT_PENALTY = 1.1  # weight of a message's value if sent now, relative to its value after RETRY_HORIZON_S
 FEE_WEIGHT = 20.0  # the cost of an endpoint is its delay times (1 + FEE_WEIGHT * fee)
-# Time-out of an attempt: generous, because a slow message is not necessarily lost.
+# Time-out of an attempt, as a minimum and as a multiple of the baseline latency. Both are generous, because a
+# slow message is not necessarily lost.
 MIN_ATTEMPT_TIMEOUT_S, ATTEMPT_TIMEOUT_LATENCIES = 2.0, 20.0
 SHUTDOWN_MARGIN_LATENCIES = 3.0  # minimum time between the start of a call and the shutdown, in latencies
 MIN_LATENCY_S = 0.01
@@ -68,7 +69,7 @@
         self._open_batches: dict[Target, Call] = {}
 
     def dispatch(self) -> None:
-        """Give free leases to the waiting messages that lose most value by waiting, per second of lease."""
+        """Give free leases first to the messages that lose most value by waiting, per second of lease."""
         self._open_batches = {}
         ranked: list[tuple[float, Message]] = []
         for pool in self._pools.dirty.values():
@@ -84,7 +85,7 @@
                 and not self._assign(message, pool)
                 and not message.unknown_outcomes
             ):
-                full.add(pool)  # no other message finds an endpoint if one that may use any did not
+                full.add(pool)  # this message may use any endpoint and found none, so no other will
 
     def _has_lease(self, pool: Pool) -> bool:
         bulkhead = self._bulkhead
@@ -170,7 +171,10 @@
         return timeout * 2.0 ** len(message.unknown_outcomes)
 
     def _accepts_call(self, route: Route) -> bool:
-        """Return whether a route may get another call now: a trial if ejected, else by its send rate."""
+        """Return whether a route may get another call now.
+
+        An ejected route gets trials only. The calls to any other route are limited by its send rate.
+        """
         now = self._context.now
         if not route.ejected:
             has_token = self._rates.has_token(route)
--- a/emberlatch/core/endpoint_list.py
+++ b/emberlatch/core/endpoint_list.py
@@ -12,8 +12,10 @@
 from emberlatch.core.settings import Weights
 from emberlatch.core.slow_start import SlowStart
 
-MIN_CONNECTION_REUSE = 5.0  # expected calls for which an idle connection is kept open during a shortage
-CONNECTION_SHORTAGE_S = 30.0  # time for which connections count as short after a failure to connect
+# During a shortage of connections, an idle connection stays open only if it is expected to serve this many
+# calls before its idle time-out.
+MIN_CONNECTION_REUSE = 5.0
+CONNECTION_SHORTAGE_S = 30.0  # duration of an assumed shortage after a failure to connect
 POLL_BACKOFF_S, MAX_POLL_BACKOFF_S, MIN_POLL_WAIT_S = 0.5, 4.0, 2.0
 POLL_INTERVAL_SHARE = 0.8  # ratio of the poll interval to the longest one that the rules allow
 WEIGHT_CONFIDENCE = {Weights.NOMINAL: 1.0, Weights.ROUGH: 0.7, Weights.OFF: 0.0, Weights.LIVE: 0.0}
@@ -31,7 +33,11 @@
         self._backoff = POLL_BACKOFF_S
 
     def on_update(self, kind: ListKind) -> None:
-        """Schedule the next request, after a backoff if this one failed, else within the rules' interval."""
+        """Schedule the next request after an update.
+
+        After a failed request the next one follows after a backoff. After a received list it follows within
+        the interval that the rules allow, if the directory must be polled. A cached list changes nothing.
+        """
         context = self._context
         if kind is ListKind.FAILED:
             self.next_at = context.now + self._backoff
@@ -60,7 +66,8 @@
         endpoints: listed endpoints, and removed ones that are still needed (see `_forget_retired`).
         retired: the endpoints among these that are no longer listed.
         may_miss_updates: an endpoint may be draining although no update about it was received.
-        connections_short_until: by kind, the time until which endpoints count as short of connections.
+        connections_short_until: for each kind of endpoint, the time at which its assumed shortage of
+            connections ends.
     """
 
     __slots__ = (
--- a/emberlatch/core/events.py
+++ b/emberlatch/core/events.py
@@ -101,9 +101,9 @@
 class MessageRecovered:
     """A message that an earlier incarnation of this forwarder accepted and did not answer.
 
-    `attempts`: number of the message's next attempt. `unknown_outcomes` include the calls that were in flight
-    when that incarnation ended. `terms`: the terms at acceptance; if None, the current terms of the category
-    apply. `relayed`: the last attempt is still in flight in the previous process and is therefore not an
+    `attempts`: number of the message's next attempt. `unknown_outcomes` include the attempts that were in
+    flight when that incarnation ended. `terms`: the terms at acceptance; if None, the current terms of the
+    category apply. `relayed`: the last attempt is still in flight in the previous process, so it is not an
     unknown outcome.
     """
 
@@ -199,8 +199,8 @@
 class DirectoryUpdate:
     """An update of the endpoint list; an update of kind FAILED has no entries.
 
-    `may_miss_changes`: the directory may already apply a change that this forwarder has not received, which
-    the rules of the directory permit.
+    `may_miss_changes`: a change that this forwarder has not received may already be in force. The rules of
+    the directory permit this.
     """
 
     kind: ListKind
--- a/emberlatch/core/forwarder.py
+++ b/emberlatch/core/forwarder.py
@@ -180,7 +180,10 @@
         )
 
     def _on_handover_received(self, event: HandoverReceived) -> None:
-        """Continue from the state of the previous process; its calls in flight occupy leases and slots."""
+        """Continue from the state of the previous process.
+
+        The calls that were in flight there occupy leases and slots here.
+        """
         state = handover.module_state(event.state)
         for message_state in state["messages"]:
             if (message := self.open_messages.get(message_state["ref"])) is not None:
@@ -221,7 +224,7 @@
             self.health.on_probe_result(endpoint, event)
 
     def _on_peer_retry_after(self, event: PeerRetryAfter) -> None:
-        """Apply a retry-after that another forwarder got; jitter makes them resume at different times."""
+        """Apply another forwarder's retry-after. Jitter makes the forwarders resume at different times."""
         endpoint = self.endpoints.get(event.target)
         if endpoint is not None and event.retry_after > 0:
             self.health.apply_retry_after(endpoint.route, event.retry_after)
--- a/emberlatch/core/handover.py
+++ b/emberlatch/core/handover.py
@@ -1,8 +1,9 @@
 """The state that one process hands over to the next: plain values, in a form that other versions can read.
 
-Each table maps a record's field to its key in the state. A key stays the same when its field is renamed.
-Times are on the clock that the event loops of both processes share. The two processes may run different
-versions: unknown keys are ignored, and a field whose key is missing keeps its initial value.
+Each table, such as `POOL_KEYS`, maps the fields of a record to their keys in the state. A key stays the same
+when its field is renamed. Times are on the clock that the event loops of both processes share. The two
+processes may run different versions: unknown keys are ignored, and a field whose key is missing keeps its
+initial value.
 """
 
 from __future__ import annotations
--- a/emberlatch/core/health.py
+++ b/emberlatch/core/health.py
@@ -26,20 +26,23 @@
 SLOW_LATENCY_RATIO = 3.0  # a route is slow above this multiple of its pool's baseline latency
 # After this many response time-outs, a single call without a response shows that its route hangs.
 SINGLE_CALL_TIMEOUTS = 1.5
-# If a smaller share of the rate limit remains, the limit explains a rejection. The value is well above 0
-# because reports of the remaining share lag and are noisy.
+# A rejection is attributed to the rate limit if a smaller share of that limit remains. The value is well
+# above 0 because reports of the remaining share lag and are noisy.
 EXHAUSTED_LIMIT_SHARE = 0.3
-LIVENESS_S = 1.0  # time for which a success proves that an endpoint serves
-OUTAGE_GAP_S = 2.0  # shortest gap between two successes that may contain an outage
-RATE_DECREASE, RATE_INCREASE = 0.8, 0.03  # send rate: factor at a rejection, relative step at a success
-RATE_DECREASE_AT_LIMIT = 0.95  # send rate: factor at a success that reports a nearly exhausted rate limit
+LIVENESS_S = 1.0  # an endpoint counts as serving for this time after a success
+OUTAGE_GAP_S = 2.0  # a gap between two successes counts as an outage only if it is longer
+# A rejection lowers the send rate by the factor `RATE_DECREASE`. A success adds about the share
+# `RATE_INCREASE` of the rate to it.
+RATE_DECREASE, RATE_INCREASE = 0.8, 0.03
+# A success that reports a nearly exhausted rate limit multiplies the send rate by this.
+RATE_DECREASE_AT_LIMIT = 0.95
 POOL_DECREASE = 0.7  # factor for a pool's adaptive limit at each failure
 # Successes after which a destination's latency is known. From then on, one failure to connect or one time-out
 # suffices for an ejection.
 KNOWN_ROUTE_SAMPLES = 30
-# Consecutive failures needed for an ejection if the result also occurs singly on a healthy route.
+# Consecutive failures needed for an ejection if a single failure of this kind also occurs on a healthy route.
 REPEATED_FAILURES = 3
-RETRY_BACKOFF_S = 0.05  # doubled with each attempt after results where other callers retry as well
+RETRY_BACKOFF_S = 0.05  # doubled with each attempt after FULL and ERROR (see calls.py)
 RECENT_LATENCY_WEIGHT, BASELINE_LATENCY_WEIGHT = 0.3, 0.03
 RETRY_AFTER_JITTER = 0.3
 
@@ -87,7 +90,7 @@
             self._context.actions.append(Probe(self._context.random.choice(targets)))
 
     def response_timeout_at(self, route: Route) -> float:
-        """Return when missing responses to its calls in flight will show that a route hangs."""
+        """Return the time from which a route counts as hanging if its calls in flight get no response."""
         timeout, pool = route.pool.response_timeout(), route.pool
         calls = iter(route.calls)
         hangs_at = math.inf
@@ -111,8 +114,8 @@
     def reinstate(self, route: Route) -> None:
         """Mark a route as serving.
 
-        If it did not serve for long enough that there may have been an outage, its caches and pools may be
-        cold: slow start begins.
+        Slow start begins if the route has not served for so long that there may have been an outage. Its
+        caches and pools may then be cold.
         """
         now = self._context.now
         had_outage = (route.ejected or route.consecutive_failures) and (
@@ -123,15 +126,16 @@
         if route.ejected:
             self._context.log(route, "answers again")
         if route.ejection_reason == EjectionReason.FULL:
-            # Rejections of every call do not show where a rate limit is: count all of them as one.
+            # If every call was rejected, the rejections do not show where the rate limit is. All of them
+            # together lower the send rate only as much as a single rejection would.
             route.send_rate = max(route.send_rate, route.last_good_rate * RATE_DECREASE)
         extra_allowed = route.extra_trial_allowed
         route.ejected, route.probe_passed, route.extra_trial_allowed = False, False, False
         route.ejection_reason = EjectionReason.NONE
         if had_outage:
             # The route recovered at an unknown time since its last failure, on average half-way. The errors
-            # in the estimates of many forwarders even out; with fewer forwarders, `fair_share` lowers the
-            # estimate, down to 0 for at most `UNCOORDINATED_FORWARDERS`.
+            # in the estimates of many forwarders even out. With fewer forwarders, `fair_share` lowers the
+            # estimate. It is 0 with at most `UNCOORDINATED_FORWARDERS` forwarders.
             estimated_warm_time = (1 - self._slow_start.fair_share()) * (now - route.last_failure_at) / 2
             route.slow_start_until = now + max(0.0, self._context.rules.slow_start - estimated_warm_time)
             route.next_trial_at = now if extra_allowed else self._slow_start.next_call_at(route)
@@ -149,7 +153,7 @@
     def apply_retry_after(self, route: Route, seconds: float) -> None:
         """Block a route that asked to get no calls for some seconds.
 
-        Add jitter, because other forwarders of the same sender wait for the end of the same period.
+        Jitter is added, because other forwarders of the same sender wait for the end of the same period.
         """
         context = self._context
         jitter = min(seconds, OUTAGE_GAP_S) * context.random.uniform(0.0, RETRY_AFTER_JITTER)
@@ -194,9 +198,9 @@
             never_connected = result is Result.CONNECT_FAILED and event.elapsed > MIN_RESPONSE_TIMEOUT_S
             self.eject(route, EjectionReason.NO_RESPONSE if never_connected else EJECTION_REASONS[result])
         if result is Result.ERROR and (route.ejected or now < route.slow_start_until):
-            # The outage continues, and the calls that failed so far are no load on the recovering route.
-            # The next call may follow after a short backoff, and one extra call after it: if only most calls
-            # fail, a single success does not show that the route has recovered.
+            # The outage continues, and calls that fail with an error are no load on a recovering route.
+            # The next call may follow after a short backoff, and one extra call may follow right after it.
+            # If most calls fail but not all, a single success does not show that the route has recovered.
             route.next_trial_at = now + RETRY_BACKOFF_S * self._context.random.uniform(0.5, 1.5)
             route.extra_trial_allowed = self._slow_start.is_frequent(route)
 
@@ -212,7 +216,8 @@
         return result is Result.FULL and endpoint.route.limit_left_share < EXHAUSTED_LIMIT_SHARE
 
     def _reduce_send_rate(self, route: Route, batched: int) -> None:
-        # Demand in calls a second, if each carries as many messages as the rejected one.
+        # Demand in calls per second, if each call has as many messages as the rejected one. The message of
+        # this outcome is no longer in the call, hence 1 + batched.
         demand = route.demand_share(self._context.now) / (1 + batched)
         recent = max(demand, route.rate_limit / self._context.settings.forwarders / 2)
         route.send_rate = max(min(route.send_rate, 2 * recent), recent * MIN_RATE_SHARE) * RATE_DECREASE
@@ -220,7 +225,8 @@
     def _is_lasting(self, route: Route, result: Result) -> bool:
         """Return whether consecutive failures show an outage.
 
-        Single failures also occur by chance, or because of a full connection table or a lost response.
+        A single failure may also occur by chance, or because of a full connection table or a lost response. A
+        series of rejections as full must also have lasted longer than `OUTAGE_GAP_S`.
 
         An ejection is expensive for a route with few calls, and one more call sent immediately is safe:
         overload comes from delayed calls that many forwarders send at the same time.
@@ -249,7 +255,7 @@
             # Reduce the rate before calls are rejected, because rejected calls also count against the limit.
             route.send_rate *= RATE_DECREASE_AT_LIMIT
         elif route.send_rate < math.inf:
-            # The increases of all forwarders add up to the same sum, whatever their number.
+            # The sum of the increases of all forwarders does not depend on their number.
             step = RATE_INCREASE * (route.send_rate + self._slow_start.fair_share())
             route.send_rate = min(route.send_rate + step, route.rate_limit or math.inf)
         route.last_good_rate = route.send_rate
--- a/emberlatch/core/key_order.py
+++ b/emberlatch/core/key_order.py
@@ -47,14 +47,14 @@
     def on_outcome(self, message: Message, quiet_until: float) -> None:
         """Count the end of an attempt.
 
-        If `quiet_until` is finite, no other message with this key is sent until then.
+        If `quiet_until` is finite, no other message with this key is sent until then. This message is exempt.
         """
         if message.key:
             self._in_flight[message.key] -= 1
             if not self._in_flight[message.key]:
                 del self._in_flight[message.key]
             if quiet_until > -math.inf:
-                self._quiet.pop(message.key, None)  # reinserted at the end, to keep the oldest periods first
+                self._quiet.pop(message.key, None)  # insert at the end: oldest period first
                 self._quiet[message.key] = quiet_until, message.ref
 
     def quiet_periods(self) -> list[tuple[int, float, int]]:
@@ -70,7 +70,7 @@
         return self._quiet.get(key, (-math.inf, -1))[0]
 
     def is_next(self, message: Message, now: float) -> bool:
-        """Return whether earlier messages of the same key are answered and none of their attempts may run."""
+        """Return whether the key's earlier messages are answered and none of their attempts may still run."""
         while self._quiet and next(iter(self._quiet.values()))[0] <= now:
             del self._quiet[next(iter(self._quiet))]
         key = message.key
--- a/emberlatch/core/messages.py
+++ b/emberlatch/core/messages.py
@@ -17,11 +17,12 @@
 from emberlatch.core.wait_policy import SubmissionStatistics, WaitPolicy
 
 PEAK_RETENTION = 0.95  # factor by which a peak rate decays each second
-# A message is answered at least this long and two decision intervals before its deadline.
+# A message is answered before its deadline by at least this time plus two decision intervals.
 ANSWER_MARGIN_S = 0.005
-# A message whose remaining time is shorter than its category's deadline by more than this is a resubmission.
+# A message counts as resubmitted if its remaining time is shorter than its category's deadline by more than
+# this.
 RESUBMITTED_TOLERANCE_S = 0.1
-SHED_SHARE = 20  # denominator of the share of open messages that is shed at a time (1/20)
+SHED_SHARE = 20  # 1/20 of the limit of open messages is kept free by shedding
 RETRY_AFTER_MARGIN_S = 0.1  # added to the estimated time in which the backlog is processed
 
 
@@ -111,7 +112,7 @@
         return message
 
     def expire_waiting(self, pool: Pool) -> None:
-        """End a pool's messages that used up their time or attempts or cannot be expected to be delivered."""
+        """End a pool's messages that have no time or attempts left, or whose delivery cannot be expected."""
         if not pool.waiting:
             return
         now, waits = self._context.now, self.waits
@@ -122,7 +123,7 @@
             has_waited = is_bounded and not message.resubmitted and now >= waits.ends_at(message, pool, limit)
             is_waiting = not (is_expired or has_waited)
             if outage and is_waiting and now >= waits.undeliverable_from(message, pool, outage):
-                # Keep one message for each possible trial call, which finds out when a route serves again.
+                # Keep one message for each route that can get a trial, which shows if the route serves again.
                 has_waited, available_trials = available_trials <= 0, available_trials - 1
             if is_expired or (has_waited and self._attempts.may_reject(message)):
                 self.finish(message)
--- a/emberlatch/core/pools.py
+++ b/emberlatch/core/pools.py
@@ -5,7 +5,8 @@
 from emberlatch.core.records import DEMAND_WINDOW_S, Pool
 from emberlatch.core.timers import WakeupSchedule
 
-MIN_REMEMBERED_ARRIVALS = 0.01  # an unused pool with fewer arrivals in the demand window is removed
+# An unused pool is removed once its decayed count of arrivals in the demand window is below this.
+MIN_REMEMBERED_ARRIVALS = 0.01
 
 
 class PoolTable:
--- a/emberlatch/core/rates.py
+++ b/emberlatch/core/rates.py
@@ -27,8 +27,8 @@
         """Return when a token will be available.
 
         If a token is available already, return the time of the last refill without the rounding margin, so
-        that the result is not in the future. Otherwise a message that waits for something else would set a
-        timer that is due immediately, again and again, on a clock without steps.
+        that the result is not in the future. Otherwise, on a clock with a fine resolution, a message that
+        waits for something else would again and again set a timer that is due immediately.
         """
         if self.tokens >= 1:
             return self.refilled_at
--- a/emberlatch/core/records.py
+++ b/emberlatch/core/records.py
@@ -13,7 +13,7 @@
 from emberlatch.core.rates import DecayingRate, TokenBucket
 from emberlatch.core.settings import Terms, ValueDecay
 
-# Demand is averaged over this time, which is longer than a burst and shorter than an outage that matters.
+# Demand is averaged over this time. It is longer than a burst and shorter than a serious outage.
 DEMAND_WINDOW_S = 10.0
 MIN_RESPONSE_TIMEOUT_S, RESPONSE_TIMEOUT_LATENCIES = 0.8, 6.0
 MAX_IDLE_S = 60.0
@@ -52,13 +52,13 @@
     """A message that must get one final answer.
 
     Attributes:
-        key: ordering key; 0: the message is not ordered.
+        key: ordering key; 0 if the message is not ordered.
         deadline_at: time after which the message has no value.
-        answer_due_at: latest time of its answer, a margin before the deadline.
+        answer_due_at: time at which it must be answered at the latest; earlier than the deadline by a margin.
         on_time_until: time until which a delivery meets the latency target.
         resubmitted: the client submitted the message again, or it was taken over from another forwarder.
         attempts: number of attempts made; also the number of the next attempt.
-        call: the call that the message is in; None while it waits.
+        call: the call that carries its attempt in flight; None while the message waits.
         not_before: end of the backoff after its last attempt.
         unknown_outcomes: attempts that may have been executed.
     """
@@ -157,8 +157,8 @@
     """A call in flight, with one lease and one or more messages. `Endpoint.start_call` creates it.
 
     Attributes:
-        is_trial: whether the call tests if an ejected route serves again.
-        failure_counted: whether its failure is already counted; a call of many messages counts once.
+        is_trial: whether the call is sent to find out if an ejected route serves again.
+        failure_counted: whether its failure is already counted. A call with many messages counts once.
         overtaken_by: number of calls to its endpoint that were sent after it and answered before it.
     """
 
@@ -193,12 +193,13 @@
         failing_since: start of the current series of `consecutive_failures`.
         last_failure_at: time of the last failure or ejection.
         blocked_until: end of the retry-after; no calls are sent before it.
-        unanswered_since: time since which it has had calls and served none; infinity: it serves.
+        unanswered_since: earliest start of the calls that were in flight at its last success or were sent
+            after it; infinity without such calls.
         ejected: whether it gets no calls except trials.
         unhealthy: whether it is ejected, in slow start, or slow.
         probe_passed: whether a health check has passed since its ejection.
-        extra_trial_allowed: whether one call may exceed the slow-start rate, because the outage failed the
-            previous one.
+        extra_trial_allowed: whether one call may exceed the slow-start rate, because the previous call failed
+            with an error.
         next_trial_at: earliest time of the next call while it is ejected or in slow start.
         limit_left_share: unused share of the rate limit in the last report.
         rate_limit: calls per second allowed to all forwarders together; 0: unknown.
@@ -260,8 +261,8 @@
     def demand_share(self, now: float) -> float:
         """Return this forwarder's demand for the route in messages per second.
 
-        The demand may amount to less than one message in the forwarder's lifetime. Even so, the demand of all
-        forwarders adds up to the total demand, however unevenly it is distributed.
+        The result may amount to less than one message in the forwarder's lifetime and is not rounded up. The
+        results of all forwarders thus add up to the total demand, however unevenly it is distributed.
         """
         return self.pool.demand.at(now, DEMAND_WINDOW_S) / max(1, len(self.pool.routes))
 
@@ -279,7 +280,7 @@
     Attributes:
         leases: number of calls in flight.
         unhealthy_calls: number of calls in flight on unhealthy routes.
-        adaptive_limit: limit of leases that successes raise and failures lower.
+        adaptive_limit: limit on the number of leases; successes raise it and failures lower it.
         baseline_latency: latency while the routes are healthy.
         peak_rate: decaying peak of arrivals per second.
         window_start, window_arrivals: start of the current counting second and arrivals since then.
@@ -331,5 +332,5 @@
         self.window_arrivals += 1
 
     def response_timeout(self) -> float:
-        """Return the time without a response after which a call shows that its route hangs."""
+        """Return the time in seconds after which a call without a response shows that its route hangs."""
         return max(MIN_RESPONSE_TIMEOUT_S, RESPONSE_TIMEOUT_LATENCIES * self.baseline_latency)
--- a/emberlatch/core/send_rate.py
+++ b/emberlatch/core/send_rate.py
@@ -14,8 +14,8 @@
 # The initial send rate is this multiple of an even share of a known limit, because other forwarders may need
 # less than their shares.
 INITIAL_SHARE_FACTOR = 1.5
-# Minimum send rate as a share of this forwarder's demand, and the share that is added in proportion to the
-# spare capacity.
+# Minimum send rate as a share of this forwarder's demand. The second share is added to it, in proportion to
+# the spare capacity.
 MIN_RATE_SHARE, UNCONGESTED_RATE_SHARE = 0.5, 0.7
 CONGESTION_WEIGHT = 0.05  # weight of one outcome in the moving average of the rejected share
 CONGESTION_PENALTY = 6.0  # the spare capacity is 1 minus this multiple of the rejected share
@@ -27,7 +27,7 @@
 
     Attributes:
         rejected_share: moving average of the share of rejected calls, over all destinations.
-        spare_capacity: from 1, if hardly any calls are rejected, to 0, if many are.
+        spare_capacity: a value from 0 to 1; 1 if no calls are rejected, 0 if a sixth of them or more are.
     """
 
     __slots__ = ("rejected_share", "spare_capacity")
@@ -52,7 +52,7 @@
     def has_token(self, route: Route) -> bool:
         """Return whether the route's token bucket has a token now. A call takes the token when it starts."""
         context = self._context
-        if route.send_rate == math.inf:  # a burst could exceed a known limit before any call is rejected
+        if route.send_rate == math.inf:  # set it now: a burst could exceed a known limit
             share = INITIAL_SHARE_FACTOR * route.rate_limit / context.settings.forwarders
             route.send_rate = share or math.inf
         rate, quota = self.rate(route), self.quota(route)
@@ -64,9 +64,9 @@
     def rate(self, route: Route) -> float:
         """Return the permitted calls per second.
 
-        The rate is at least `MIN_RATE_SHARE` of this forwarder's demand, in full batches, because waiting
-        messages are sent in one call. In proportion to the spare capacity, up to `UNCONGESTED_RATE_SHARE` of
-        the demand is added. A quota limits the result.
+        The rate is at least `MIN_RATE_SHARE` of this forwarder's demand. This minimum counts full batches,
+        because waiting messages are sent in one call. In proportion to the spare capacity, up to
+        `UNCONGESTED_RATE_SHARE` of the demand is added. A quota limits the result.
         """
         lowest = MIN_RATE_SHARE / route.max_batch() + UNCONGESTED_RATE_SHARE * self._congestion.spare_capacity
         rate = max(route.send_rate, lowest * route.demand_share(self._context.now), MIN_SEND_RATE)
--- a/emberlatch/core/settings.py
+++ b/emberlatch/core/settings.py
@@ -32,7 +32,7 @@
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
-    """Only the endpoint that received the attempt to be repeated."""
+    """Only the endpoint to which the earlier attempt was sent."""
 
 
 class ValueDecay(Enum):
@@ -103,8 +103,8 @@
     """Limits that apply to all forwarders of a destination together.
 
     After an outage a destination is in slow start for `slow_start` seconds. In this time its capacity grows
-    from `slow_start_share` of its full capacity to all of it. It is overloaded by calls above
-    `overload_factor` times its capacity in any period of `overload_window` seconds.
+    from `slow_start_share` of its full capacity to all of it. A destination is overloaded if the calls in any
+    period of `overload_window` seconds exceed `overload_factor` times its capacity.
     """
 
     drain_grace: float = 0.0
@@ -130,8 +130,9 @@
 class Settings:
     """The configuration of a forwarder.
 
-    `slots` limits the calls in flight, `open_cap` the messages without a final answer. `separate_routes` and
-    `batch_limits` (maximum number of messages in one call) are indexed by endpoint kind, `zone_fees` by zone.
+    `slots` limits the number of calls in flight. `open_cap` limits the number of messages without a final
+    answer. `batch_limits` has the maximum numbers of messages in one call. `separate_routes` and
+    `batch_limits` are indexed by endpoint kind. `zone_fees` is indexed by zone.
     """
 
     categories: tuple[Category, ...]
--- a/emberlatch/core/slow_start.py
+++ b/emberlatch/core/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: limits the call rate of a route that recovers from an outage, over all forwarders.
+"""Slow start: limits the rate at which all forwarders together call a route that recovers from an outage.
 
 The rules state the rate that a recovering destination can process while its caches and pools are cold. No
 forwarder knows what the others send, so each uses its share of that rate.
@@ -11,10 +11,11 @@
 from emberlatch.core.context import Context
 from emberlatch.core.records import EjectionReason, Route
 
-# All forwarders together may use this share of the load that would overload a recovering route.
+# The load of all forwarders together may reach this share of the load that would overload a recovering route.
 SLOW_START_BUDGET = 0.75
 MIN_TRIAL_CALLS = 4.0  # calls per overload window that all forwarders may send even to a small route
-# Up to this many forwarders may each act as if they were alone; more forwarders share what these may do.
+# Each of up to this many forwarders may act as if it were alone. If there are more, all of them together may
+# do as much as this many.
 UNCOORDINATED_FORWARDERS = 3
 FAST_FAILURES = (
     EjectionReason.NONE,
@@ -58,12 +59,15 @@
     def next_call_at(self, route: Route) -> float:
         """Return when this forwarder may send its next call.
 
-        The gap before it is random if calls are rare, and begins at the end of a retry-after.
+        That is after a gap, which begins now, or at the end of the retry-after if there is one. The gap is
+        random if calls are rare.
 
-        On an ejected route, a retry-after states when the outage ends, and all forwarders that got it resume
-        then. Up to `MIN_TRIAL_CALLS` forwarders each call at once; of more, each calls at a random time in
-        its gap. On a route that serves calls, a retry-after indicates a rate limit: a forwarder that called
-        at its end each time would be rejected more often, so the gap is not shortened.
+        If the route is ejected, a retry-after states when the outage ends. All forwarders that got it resume
+        then. Up to `MIN_TRIAL_CALLS` forwarders call at once. If there are more, each calls after a shortened
+        random gap.
+
+        If the route serves calls, a retry-after indicates a rate limit. A forwarder that called at the end of
+        each retry-after would be rejected more often. The gap is therefore not shortened.
         """
         context = self._context
         rate = self.rate(route)
@@ -77,6 +81,7 @@
     def fair_share(self) -> float:
         """Return this forwarder's share of what forwarders may do without coordination, from 0 to 1.
 
-        It is 1 for up to `UNCOORDINATED_FORWARDERS` forwarders; more forwarders share what these may do.
+        The share is 1 for up to `UNCOORDINATED_FORWARDERS` forwarders. If there are more, their shares add up
+        to that number.
         """
         return min(1.0, UNCOORDINATED_FORWARDERS / self._context.settings.forwarders)
--- a/emberlatch/core/timers.py
+++ b/emberlatch/core/timers.py
@@ -8,8 +8,8 @@
 from emberlatch.core.actions import SetTimer
 from emberlatch.core.context import Context
 
-STALL_S = 0.2  # a timer that fires later than this shows that the process itself was stalled
-TIMER_ROUNDING_S = 1e-4  # time by which a timer may fire early, because clocks may be rounded
+STALL_S = 0.2  # if a timer fires later than planned by more than this, the process itself was stalled
+TIMER_ROUNDING_S = 1e-4  # a timer may fire early by this time, because clocks may be rounded
 
 
 class WakeupSchedule:
--- a/emberlatch/core/view.py
+++ b/emberlatch/core/view.py
@@ -68,7 +68,7 @@
     endpoints: int
     destinations: int
     pools: list[PoolView]
-    """Pools that are in use or have an endpoint that gets no calls; at most `MAX_POOLS`."""
+    """Pools that are or have been in use, or have an endpoint that gets no calls; at most `MAX_POOLS`."""
 
 
 class EndpointCounts(NamedTuple):
@@ -81,7 +81,10 @@
 
 
 def view(forwarder: Forwarder, now: float) -> ForwarderView:
-    """Return slots, open messages, and the pools in use or unhealthy, as plain values; times in seconds."""
+    """Return the snapshot of a forwarder as plain values; times are in seconds.
+
+    Pools that have never been used are left out, unless one of their endpoints gets no calls.
+    """
     used = [(number, pool) for number, pool in forwarder.pools.items() if _is_of_interest(pool, now)]
     return {
         "slots": forwarder.context.settings.slots,
--- a/emberlatch/core/wait_policy.py
+++ b/emberlatch/core/wait_policy.py
@@ -1,6 +1,7 @@
 """Limits how long a message waits for a lease.
 
-The limit is short while all routes are healthy. A message never waits longer than delivery can be expected.
+The limit is short while all routes are healthy. A message stops waiting once its delivery can no longer be
+expected.
 """
 
 from __future__ import annotations
@@ -11,10 +12,11 @@
 from emberlatch.core.context import Context
 from emberlatch.core.records import Message, Pool, Route
 
-# An outage is expected to continue for this share of its age. A share of 1 rejects too many messages.
+# An outage that has lasted for some time is expected to last for this share of that time longer. A share of 1
+# rejects too many messages.
 OUTAGE_REMAINDER_SHARE = 1 / 3
 MIN_REJECTIONS = 5  # number of rejections before the behaviour of clients is judged
-RESUBMITTED_SHARE = 0.3  # ratio of resubmissions to rejections from which clients are taken to resubmit
+RESUBMITTED_SHARE = 0.3  # clients count as resubmitting from this ratio of resubmissions to rejections
 
 
 class SubmissionStatistics:
@@ -32,7 +34,10 @@
 
     @property
     def clients_resubmit(self) -> bool:
-        """Return whether clients resubmit rejected messages; assumed until enough were rejected."""
+        """Return whether clients resubmit rejected messages.
+
+        The result is True until at least `MIN_REJECTIONS` messages were rejected.
+        """
         return self.rejected < MIN_REJECTIONS or self.resubmitted >= RESUBMITTED_SHARE * self.rejected
 
 
@@ -52,7 +57,7 @@
     def limit(self, pool: Pool) -> float:
         """Return the maximum wait of a first submission in seconds; infinity if a route is unhealthy.
 
-        This is the time in which the pool processes a burst: burst times latency divided by its lease limit.
+        This is the time in which the pool processes a burst of `open_cap` messages with all of its leases.
         """
         if pool.unhealthy:
             return math.inf
@@ -61,7 +66,10 @@
 
     @staticmethod
     def ends_at(message: Message, pool: Pool, limit: float) -> float:
-        """Return when the wait of a first submission ends; its latency target can still be met then."""
+        """Return when the wait of a first submission ends.
+
+        A message that is sent by then can still meet its latency target.
+        """
         return min(message.on_time_until - pool.baseline_latency, message.accepted_at + limit)
 
     def outage_routes(self, pool: Pool) -> list[Route]:
@@ -72,7 +80,7 @@
 
     @staticmethod
     def undeliverable_from(message: Message, pool: Pool, routes: list[Route]) -> float:
-        """Return from when a message cannot be expected to be delivered in time by any of these routes.
+        """Return the time from which no route is expected to deliver a message before its deadline.
 
         Only the age of an outage is known, so a route that has not served for some time is expected to stay
         out of service for a proportional time. The end of a retry-after is known exactly.
--- a/emberlatch/core/wakeups.py
+++ b/emberlatch/core/wakeups.py
@@ -1,6 +1,6 @@
-"""Schedules wake-ups for the times at which a pool changes without an event.
+"""Schedules a wake-up for each time at which a pool must be processed without an event.
 
-No periodic timer wakes the forwarder.
+The forwarder has no periodic timer.
 """
 
 from __future__ import annotations
--- a/tests/core/harness.py
+++ b/tests/core/harness.py
@@ -62,7 +62,7 @@
 
 @dataclass
 class AcceptedMessage:
-    """A submitted message; `answered`: time of its final answer."""
+    """A submitted message; `answered` is the time of its final answer, or None."""
 
     event: api.Arrival
     accepted_at: float
@@ -73,7 +73,7 @@
 class ForwarderHarness:
     """Feeds events to a forwarder and raises AssertionError if it breaks a rule.
 
-    `draw_result` chooses the result of each call; None: the call gets no response.
+    `draw_result` chooses the result of each call. If it returns None, the call gets no response.
     """
 
     def __init__(
--- a/tests/core/test_forwarder.py
+++ b/tests/core/test_forwarder.py
@@ -127,7 +127,8 @@
         times = [at for at, target in harness.sent if harness.route(target) == route]
         before = [at for at in times if at < recovered_at - 8]
         spans = [[at for at in before if start <= at <= start + rules.overload_window] for start in before]
-        rate = max(len(span) for span in spans) / rules.overload_window  # lower bound of the healthy capacity
+        # The healthy capacity is at least this rate.
+        rate = max(len(span) for span in spans) / rules.overload_window
         for start in [at for at in times if at >= recovered_at]:
             span = [at for at in times if start <= at <= start + rules.overload_window]
             warm_share = min(
@@ -160,7 +161,8 @@
     route.token_bucket.tokens = 5.0  # only the retry-after can delay the messages
     later = [a for i in range(19) for a in forwarder.handle(0.22 + i * 0.02, [])]
     assert not any(isinstance(a, api.Send) for a in later)
-    assert any(isinstance(a, api.Send) for a in forwarder.handle(0.75, []))  # the jitter has ended as well
+    # The retry-after and its jitter have ended.
+    assert any(isinstance(a, api.Send) for a in forwarder.handle(0.75, []))
 
 
 def rejected_at_share(remaining_share: float) -> Forwarder:
@@ -232,7 +234,10 @@
 
 
 def actions_of_timers(forwarder: Forwarder, until: float, now: float) -> list[api.Action]:
-    """Return the actions of a forwarder woken by its own timers only, with times rounded down to 1 us."""
+    """Return the actions of a forwarder that is woken only by its own timers.
+
+    The times of the timers are rounded down to a microsecond.
+    """
     done: list[api.Action] = []
     timer: api.SetTimer | None = None
     while now < until:
@@ -337,7 +342,7 @@
 
 
 def test_a_full_token_bucket_is_ready_without_a_timer() -> None:
-    """A cold route with a full bucket woke the forwarder thousands of times a second.
+    """A route in slow start with a full token bucket woke the forwarder thousands of times a second.
 
     Found on real sockets.
     """
@@ -417,7 +422,7 @@
 
 
 def test_many_forwarders_together_do_not_overload_a_small_destination() -> None:
-    """A minimum of one call for each of many forwarders overloaded a small destination.
+    """With a minimum of one call for each forwarder, many forwarders overloaded a small destination.
 
     Found in the run `Head-campus-later big-2`.
     """
@@ -453,7 +458,7 @@
                 elif isinstance(action, api.Send):
                     attempt = attempt_numbers[action.ref] = attempt_numbers.get(action.ref, -1) + 1
                     in_flight.append((now + 0.1, number, action, attempt))
-                    if attempt:  # this forwarder has already seen a failure of the destination
+                    if attempt:  # not a first attempt, so this forwarder knows of the outage
                         calls.append(now)
     late = [at for at in calls if at > recovered_at]
     budget = rules.overload_factor * rules.slow_start_share * rate * rules.overload_window
@@ -557,7 +562,7 @@
 
 
 def test_the_minimum_send_rate_counts_calls_with_full_batches_not_messages() -> None:
-    """A minimum in messages exceeded the rate limit of a destination that takes ten messages in a call.
+    """A minimum that counted messages exceeded the limit of a destination that takes ten messages in a call.
 
     Found on real sockets.
     """
@@ -577,7 +582,7 @@
 
 
 def test_a_removed_target_leaves_its_pool_and_a_late_outcome_is_ignored() -> None:
-    """A removed target kept its share of demand and its unhealthy state, which slowed its successors."""
+    """A removed target kept its demand share and its unhealthy state. Both slowed the targets after it."""
     note = api.Category("note", api.Effect.SAFE, latency_target=3.0, deadline=12.0)
     chosen = api.Settings(
         (note,), slots=8, open_cap=50, batch_limits=(1,), separate_routes=(True,), max_attempts=3
--- a/tests/core/test_handover.py
+++ b/tests/core/test_handover.py
@@ -137,7 +137,7 @@
     harness.now += 0.05
     attempt.result, attempt.done = Result.RESET, harness.now
     harness.step([api.Outcome(0, 0, attempt.target, Result.RESET, 0.05)])
-    if harness.accepted[0].attempts[-1].result is None:  # sent again: the second attempt stays in flight
+    if harness.accepted[0].attempts[-1].result is None:  # a second attempt was sent and stays in flight
         assert len(harness.accepted[0].attempts) == 2
     harness.now = attempt.sent + 1.95
     hand_over(harness)
--- a/tests/core/test_overtaken_calls.py
+++ b/tests/core/test_overtaken_calls.py
@@ -1,4 +1,7 @@
-"""An overtaken call has a connection that does not respond, and is cancelled if its lease is needed."""
+"""A call is cancelled if later calls were answered before it and its lease is needed.
+
+The connection of such an overtaken call does not respond.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 
 class Scenario:
-    """A forwarder with one endpoint that answers all calls after 50 ms, except one call without response."""
+    """A forwarder with one endpoint, which answers all calls after 50 ms except one that it never answers."""
 
     def __init__(self, category: int, cancel: bool = True) -> None:
         self.forwarder = Forwarder(replace(make_settings(separate=True), cancel=cancel), 1)
--- a/tests/core/test_quota_share.py
+++ b/tests/core/test_quota_share.py
@@ -27,7 +27,10 @@
 
 
 def calls(made: Forwarder, seconds: float, rate: float) -> list[float]:
-    """Return the start times of calls answered after 10 ms each, with `rate` arrivals per second."""
+    """Run with `rate` arrivals per second and return the start times of the calls.
+
+    Each call is answered after 10 ms.
+    """
     started: list[float] = []
     step, ref, pending = 1 / rate, 0, list[tuple[float, api.Outcome]]()
     now = 0.0
--- a/tests/core/test_send_rate.py
+++ b/tests/core/test_send_rate.py
@@ -17,7 +17,10 @@
 
 
 def limited_forwarder(forwarders: int) -> tuple[Forwarder, Route]:
-    """Return one of `forwarders` forwarders and its route; a rejected first call has set the send rate."""
+    """Return one of `forwarders` forwarders and its route.
+
+    The first call to the route was rejected, which has set the send rate.
+    """
     values: dict[str, Any] = {"categories": (NOTE,), "slots": 6, "open_cap": 200, "rules": RULES}
     values |= {"max_attempts": 6, "separate_routes": (True,), "report_fields": ("x0", "x1")}
     made = Forwarder(api.Settings(forwarders=forwarders, **values), seed=1)
@@ -43,7 +46,7 @@
 
 
 def total_rate_change(forwarders: int, remaining_share: float) -> float:
-    """Return the change of the send rate by one success, times the number of forwarders."""
+    """Return by how much one success changes the send rate, multiplied by the number of forwarders."""
     made, route = limited_forwarder(forwarders)
     route.send_rate = LIMIT / forwarders / 2
     before = route.send_rate
--- a/tests/core/test_slow_start.py
+++ b/tests/core/test_slow_start.py
@@ -77,7 +77,8 @@
     made = healthy_forwarder(5.0)
     rules = made.context.settings.rules
     sent = fail_calls(made, Result.ERROR).run(5.1 + rules.overload_window, lambda _: Result.OK)
-    # The bound is computed from the listed weight of 5; the forwarder takes a rough 5 as a limit of 3.5.
+    # The bound is computed from the listed weight of 5. The forwarder takes a rough weight of 5 as a limit of
+    # 3.5.
     assert 2 <= len(sent) <= rules.overload_factor * rules.slow_start_share * 5.0 * rules.overload_window
 
 
@@ -107,9 +108,9 @@
 
 @pytest.mark.parametrize("hangs", [False, True])
 def test_slow_start_uses_the_share_of_the_known_limit_unless_the_route_hangs(hangs: bool) -> None:
-    """Recent demand was low and many messages wait, so a rate from demand alone is too low.
+    """A rate computed from demand alone is too low if recent demand was low and many messages wait.
 
-    The known limit raises the rate, but only after fast failures, not after a hang.
+    The known limit raises the rate after fast failures, but not after a hang.
     """
     made = healthy_forwarder(20.0)
     fail_calls(made, Result.TIMEOUT if hangs else Result.FULL)
@@ -146,7 +147,7 @@
 def test_a_serving_route_keeps_its_gap_after_a_short_retry_after() -> None:
     """A short retry-after indicates a rate limit, so calls keep their usual gap after it.
 
-    Calling at the end of each retry-after cost ra1e1c0 0.07 of its score.
+    Calling at the end of each retry-after lowered the score of ra1e1c0 by 0.07.
     """
     for seed in range(10):
         made = module()
--- a/tests/core/test_view.py
+++ b/tests/core/test_view.py
@@ -22,7 +22,7 @@
 
 
 def make_forwarder() -> Forwarder:
-    """Return a forwarder with one message in flight to destination 7, and none to 8.
+    """Return a forwarder with a message in flight to destination 7 and no message for destination 8.
 
     One of the two endpoints of destination 7 is draining.
     """
--- a/tests/core/test_wait_policy.py
+++ b/tests/core/test_wait_policy.py
@@ -25,7 +25,7 @@
     }
     values |= {"separate_routes": (True,), "retry_after": True, "max_retry_after": 2.0}
     made = Forwarder(api.Settings(**(values | changes)), seed=1)
-    made.queue.submissions.rejected = 10  # clients do not submit again what is rejected
+    made.queue.submissions.rejected = 10  # clients count as not resubmitting rejected messages
     entries = tuple(Entry(target, 7) for target in targets or (b"t",))
     made.handle(0.0, [DirectoryUpdate(ListKind.CACHED, 1, entries)])
     return made
@@ -34,7 +34,10 @@
 def run_hanging(
     made: Forwarder, until: float, events: dict[float, list[api.Event]]
 ) -> list[tuple[float, api.Action]]:
-    """Run until the given time with these events by time, and return the actions; every call hangs."""
+    """Run until the time `until` and return the actions with their times; no call gets a response.
+
+    `events` are the events to deliver, by time.
+    """
     done: list[tuple[float, api.Action]] = []
     now = 0.0
     while now < until:
@@ -65,8 +68,9 @@
     events = {2.1 + n / 1000: [arrive(n, 1.0)] for n in range(10)}
     events |= {8.0 + n / 1000: [arrive(100 + n, 1.0)] for n in range(10)}
     done = rejection_times(run_hanging(made, 8.1, events))
-    first = sorted(done[n] for n in range(10) if n in done)[:-1]  # without the message kept for a trial
-    assert len(first) >= 5 and max(first) < 2.1 + 0.8  # the deadline is 3.1; no lease is expected before
+    first = sorted(done[n] for n in range(10) if n in done)[:-1]  # the last one is kept for a trial
+    # The deadline is 3.1 s. The messages are rejected earlier, because no lease is expected before it.
+    assert len(first) >= 5 and max(first) < 2.1 + 0.8
     late = [done[n] - (8.0 + (n - 100) / 1000) for n in range(100, 110) if n in done]
     assert len(late) >= 8 and max(late) < 0.05  # rejected at once after 5.9 s without a response
 
@@ -135,7 +139,7 @@
 
 
 def test_messages_are_answered_a_margin_before_the_deadline_and_short_ones_are_still_sent() -> None:
-    """A process that has just started runs late, so an answer at the deadline itself would be late."""
+    """A process that has just started reacts late, so an answer planned for the deadline would miss it."""
     made = module(end_margin=0.25)
     serving(made)
     rejection = api.Outcome(1, 0, b"t", Result.FULL, 0.01, retry_after=3.0)
