--- a/emberlatch/cluster/membership/agreed_state.py
+++ b/emberlatch/cluster/membership/agreed_state.py
@@ -1,4 +1,4 @@
-"""The agreed control state as this process knows it, shared between the control plane and the membership."""
+"""The agreed control state as this process knows it. The control plane and the membership share it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,9 @@
 
 
 class AgreedState:
-    """Written only by the control plane. In a process without a disk, the initial values never change.
+    """The control state and the disk identity. Only the control plane changes them.
+
+    In a process without a disk, they keep their initial values.
 
     Attributes:
         control_state: The newest version that this process knows; empty before the cluster is founded.
@@ -20,5 +22,5 @@
         self.identity = ""
 
     def update(self, control_state: ControlState, identity: str) -> None:
-        """Set state and identity; called after the register has changed or was attached to a disk."""
+        """Set both values. Called after the replicated register has changed or was attached to a disk."""
         self.control_state, self.identity = control_state, identity
--- a/emberlatch/cluster/membership/control_links.py
+++ b/emberlatch/cluster/membership/control_links.py
@@ -12,7 +12,7 @@
 
 
 class ControlLinks:
-    """Implements the interface through which the register calls the other machines."""
+    """Implements the interface through which the replicated register calls the other machines."""
 
     def __init__(self, view: MembershipView, agreed: AgreedState) -> None:
         self._view, self._agreed = view, agreed
--- a/emberlatch/cluster/membership/member_reports.py
+++ b/emberlatch/cluster/membership/member_reports.py
@@ -1,4 +1,4 @@
-"""What the maintenance of the group of voters needs to know about each machine."""
+"""Collects the reports on each machine that the maintenance of the group of voters needs."""
 
 from __future__ import annotations
 
@@ -29,12 +29,13 @@
         unreachable = {n: now - max(p.last_up_at, p.created_at) for n, p in stores.items() if not p.up}
         for voter in self._agreed.control_state.voters:
             known = voter.node == self._node or voter.node in stores
-            if voter.identity and not known:  # no running process has ever had contact with it
+            # A voter that is missing in the roster has had no contact with any running process.
+            if voter.identity and not known:
                 unreachable[voter.node] = now - self._created_at
         return unreachable
 
     def unreachable_s(self, node: str) -> float:
-        """Seconds for which more than half of the voters have not reached a machine; 0.0 otherwise."""
+        """For how many seconds a majority of the voters has not reached a machine; 0.0 if it has."""
         self._report_own()
         return self._unreachable_s(node)
 
--- a/emberlatch/cluster/membership/messages.py
+++ b/emberlatch/cluster/membership/messages.py
@@ -28,7 +28,7 @@
     decommissions: Mapping[str, int] = field(default_factory=dict)  # value of `DecommissionMark`, by node
 
     def to_wire(self) -> dict[str, object]:
-        """The keys of this report in a heartbeat; `votes`, `silent` and `retire` only if not the default."""
+        """Keys of the report in a heartbeat; `votes`, `silent` and `retire` are omitted at their default."""
         payload: dict[str, object] = {
             "version": self.version,
             "epoch": self.epoch,
@@ -178,7 +178,7 @@
 
 
 def _decode_map_by_node(value: object) -> Mapping[str, float]:
-    """Decode a map by node; a missing value is an empty map, which senders omit."""
+    """Decode a map with nodes as keys. Senders omit an empty map, so a missing value is decoded as one."""
     if not value:
         return {}
     if not isinstance(value, dict):
--- a/emberlatch/cluster/membership/roster.py
+++ b/emberlatch/cluster/membership/roster.py
@@ -12,7 +12,7 @@
 from emberlatch.cluster.membership.member import Member
 
 MAX_MEMBERS = 4096
-_NEVER = -1e9  # a loop time before any start
+_NEVER = -1e9  # a loop time earlier than any message
 
 
 class Roster:
@@ -22,7 +22,7 @@
         self.me = me
         self.members: dict[str, Member] = {me.node: me}
         self._renewed_at: dict[str, float] = {}  # loop time of the last message from each node
-        self._removed: dict[str, int] = {}  # removed incarnations, which a late update must not add
+        self._removed: dict[str, int] = {}  # removed incarnations; a late update must not add them again
         self._digest: int | None = None  # None if it must be computed
         self._stores: list[Member] | None = None  # sorted by node; None if it must be computed
 
--- a/emberlatch/cluster/membership/roster_exchange.py
+++ b/emberlatch/cluster/membership/roster_exchange.py
@@ -1,8 +1,8 @@
 """How the rosters of all processes become equal.
 
 A store that learns of a new store sends one update about it to the others. Each heartbeat carries a digest of
-the sender's stores: a process with another digest requests the sender's roster, which makes up for a lost
-update.
+the sender's stores. A process whose own digest differs requests the sender's roster, and so also learns of
+stores whose update was lost.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 ROSTER_REQUEST_INTERVAL_S = 1.5  # minimum seconds between two requests for another roster
 ROSTER_REQUEST_TIMEOUT_S = 1.0  # seconds to wait for the answer
 UPDATE_BATCH_DELAY_S = 0.1  # seconds for which new stores are collected into one update
-_NEVER = -1e9  # a loop time before any start
+_NEVER = -1e9  # a loop time earlier than any request
 
 
 class RosterExchange:
-    """Applies the updates of others to the roster. `storage` is where a store keeps it; None elsewhere."""
+    """Applies updates of other processes to the roster. `storage` is None if this process is not a store."""
 
     def __init__(self, roster: Roster, links: PeerLinks, tasks: Tasks, storage: RosterStorage | None) -> None:
         self._roster, self._links, self._tasks, self._storage = roster, links, tasks, storage
@@ -77,7 +77,7 @@
                 connection.notify(RpcMethod.MEMBERSHIP_UPDATE, payload)
 
     def compare_digest(self, peer: Peer, digest: int | None) -> None:
-        """Request the roster of a peer with another digest, at most once per `ROSTER_REQUEST_INTERVAL_S`."""
+        """Request a peer's roster if its digest differs, at most once per `ROSTER_REQUEST_INTERVAL_S`."""
         now = asyncio.get_running_loop().time()
         differs = digest is not None and digest != self._roster.digest()
         if differs and now - self._requested_at > ROSTER_REQUEST_INTERVAL_S:
--- a/emberlatch/cluster/membership/store_reports.py
+++ b/emberlatch/cluster/membership/store_reports.py
@@ -42,7 +42,7 @@
         self.unreachability.report(node, report.unreachable_s, now)
 
     def set_version(self, node: str, version: int) -> None:
-        """Record the version of the control state on a store's disk, which may be this one's."""
+        """Record the version of the control state on the disk of a store; `node` may be this machine."""
         self.versions[node] = version
 
     def link_down(self, node: str) -> None:
--- a/emberlatch/cluster/membership/store_selection.py
+++ b/emberlatch/cluster/membership/store_selection.py
@@ -1,4 +1,4 @@
-"""Which stores a message is sent to, and whether the stores that have it are enough."""
+"""Selects the stores that a message is sent to, and checks whether enough stores have a message."""
 
 from __future__ import annotations
 
@@ -29,11 +29,14 @@
     ) -> None:
         self._settings, self._roster, self._links = settings, roster, links
         self._reports, self._agreed = reports, agreed
-        self._selections = 0  # varies the rank, so that replicas spread over equivalent stores
+        self._selections = 0  # used as the key of ranks, to spread replicas over stores
 
     def satisfies_quorum(self, nodes: Iterable[str]) -> bool:
-        """Whether a message on the disks of these machines survives the losses that the setting `resilience`
-        tolerates: machines, zones, regions. Stores that are being decommissioned do not count."""
+        """Whether a message on the disks of these machines survives the losses that `resilience` specifies.
+
+        This setting gives the numbers of machines, zones and regions that may be lost. Stores that are being
+        decommissioned, or already are, do not count.
+        """
         known, decommissioning = self._roster.members, self._agreed.control_state.decommission_ordered
         counted = (n for n in set(nodes) if n not in decommissioning)
         members = [m for n in counted if (m := known.get(n)) is not None and m.store]
@@ -52,21 +55,26 @@
         return {n: peer for n, peer in self._links.stores().items() if n not in excluded_nodes}
 
     def writable_stores(self) -> list[Peer]:
-        """The other stores that accept messages and replicas: the link is up, the store reports the phase
-        `SERVING`, and its disk accepts writes."""
+        """The other stores that accept messages and replicas.
+
+        The link to such a store is up, and the store reports the phase `SERVING` and a writable disk.
+        """
         return [p for n, p in self.counted_stores().items() if p.up and self._reports.is_serving(n)]
 
     def nearest_stores(self, key: str = "") -> list[Peer]:
-        """The writable stores, those of this process's zone and region first. Equally near stores are in
-        order of their rank for the key, so that the messages of one service are sent to few stores."""
+        """The writable stores, the nearest first; slow stores come last.
+
+        Stores of this process's zone come first, then those of its region. Equally near stores are ordered by
+        their rank for the key, so that the messages of one service are sent to few stores.
+        """
         local = self._settings
         return list(self._ranked(key, set(), lambda m: (m.zone != local.zone, m.region != local.region)))
 
     def replica_candidates(self, have: set[str]) -> Iterator[Peer]:
         """The writable stores for one more replica, the best first; `have` are the nodes with a replica.
 
-        Stores in a region or zone that `resilience` still requires come first. Once there are enough zones,
-        those of this process's zone are preferred, since traffic between zones is paid for.
+        While `resilience` requires more regions or zones, stores in new ones are preferred. Once there are
+        enough zones, stores in this process's zone are preferred, since traffic between zones costs money.
         """
         members, tolerated = self._roster.members, self._settings.resilience
         zones = {m.zone for n in have if (m := members.get(n)) is not None}
--- a/emberlatch/cluster/membership/unreachability.py
+++ b/emberlatch/cluster/membership/unreachability.py
@@ -34,7 +34,7 @@
         self._reports.pop(voter, None)
 
     def unreachable_s(self, node: str, voters: Collection[str], now: float) -> float:
-        """Seconds for which more than half of the voters have not reached a machine; 0.0 otherwise.
+        """For how many seconds a majority of the voters has not reached a machine; 0.0 if it has.
 
         A voter without a valid report counts as reaching the machine. The machine's own report is ignored.
         """
--- a/emberlatch/cluster/membership/view.py
+++ b/emberlatch/cluster/membership/view.py
@@ -1,7 +1,8 @@
 """The membership as one process sees it: the facade of this package for the rest of the process.
 
-`MembershipView` only combines the parts, each of which owns its state: the roster of members, the links, the
-reports of the other stores, the exchange of rosters, the contact with the voters, the selection of stores.
+`MembershipView` only combines the parts, and each part owns its state. The parts are the roster of members,
+the links, the reports of the other stores, the exchange of rosters, the contact with the voters and the
+selection of stores.
 """
 
 from __future__ import annotations
@@ -139,7 +140,7 @@
     # Reports of the other processes.
 
     def apply_handshake(self, handshake: Handshake, link: Peer | RpcConnection) -> None:
-        """Apply the handshake of a process. Only its sender knows the identity of the sender's disk."""
+        """Apply the handshake of a process. The identity of a disk is accepted only from its own process."""
         sender = handshake.update.me
         if handshake.heartbeat.phase is not None:
             self.reported.phases[sender.node] = handshake.heartbeat.phase
@@ -162,9 +163,10 @@
     # Contact with the voters.
 
     def has_majority_contact(self) -> bool:
-        """Whether a majority of the voters each has a link to this process or has certainly stopped.
+        """Whether each voter of a majority has a link to this process or has certainly stopped.
 
-        Any other majority then contains a voter with a link to this process; see `VoterContact`.
+        Any other majority of running voters then contains this process or a voter with a link to it;
+        see `VoterContact`.
         """
         return self._contact.has_majority_contact()
 
@@ -181,7 +183,7 @@
         return self._members.unreachable()
 
     def unreachable_s(self, node: str) -> float:
-        """Seconds for which more than half of the voters have not reached a machine; 0.0 otherwise."""
+        """For how many seconds a majority of the voters has not reached a machine; 0.0 if it has."""
         return self._members.unreachable_s(node)
 
     def reports(self) -> dict[str, MemberReport]:
@@ -191,8 +193,11 @@
     # Selection of stores.
 
     def satisfies_quorum(self, nodes: Iterable[str]) -> bool:
-        """Whether a message on the disks of these machines survives the losses that the setting `resilience`
-        tolerates: machines, zones, regions. Stores that are being decommissioned do not count."""
+        """Whether a message on the disks of these machines survives the losses that `resilience` specifies.
+
+        This setting gives the numbers of machines, zones and regions that may be lost. Stores that are being
+        decommissioned, or already are, do not count.
+        """
         return self._selection.satisfies_quorum(nodes)
 
     def counted_stores(self) -> dict[str, Peer]:
@@ -200,12 +205,14 @@
         return self._selection.counted_stores()
 
     def writable_stores(self) -> list[Peer]:
-        """The other stores that accept messages and replicas: the link is up, the store reports the phase
-        `SERVING`, and its disk accepts writes."""
+        """The other stores that accept messages and replicas.
+
+        The link to such a store is up, and the store reports the phase `SERVING` and a writable disk.
+        """
         return self._selection.writable_stores()
 
     def nearest_stores(self, key: str = "") -> list[Peer]:
-        """The writable stores, the nearest first; equally near ones are ordered by their rank for a key."""
+        """The writable stores, the nearest first, then by their rank for the key; slow stores come last."""
         return self._selection.nearest_stores(key)
 
     def replica_candidates(self, have: set[str]) -> Iterator[Peer]:
--- a/emberlatch/cluster/membership/voter_contact.py
+++ b/emberlatch/cluster/membership/voter_contact.py
@@ -16,7 +16,8 @@
 class VoterContact:
     """Two checks for contact with a majority of the voters.
 
-    One depends on the state of the links; the other is stricter and is for operators' calls.
+    `has_majority_contact` depends on the state of the links. `has_confirmed_majority` is stricter and is used
+    for operators' calls.
     """
 
     def __init__(self, node: str, agreed: AgreedState, links: PeerLinks, reports: StoreReports) -> None:
@@ -25,7 +26,7 @@
     def has_majority_contact(self) -> bool:
         """Whether each voter of a majority has a link to this process or has certainly stopped.
 
-        Any other majority then contains a voter with a link to this process.
+        Any other majority of running voters then contains this process or a voter with a link to it.
         """
         voters = self._agreed.control_state.voters
         in_contact = sum(voter.node == self._node or self._linked_or_dead(voter.node) for voter in voters)
@@ -36,8 +37,11 @@
         return peer is not None and (peer.up or peer.state is PeerState.REFUSED)
 
     def has_confirmed_majority(self) -> bool:
-        """Whether a majority of the voters, each with the disk that has the vote, answered a heartbeat sent
-        within the last `CONTACT_VALID_S` seconds, and this machine's disk is not from another cluster."""
+        """Whether a majority of the voters answered a recent heartbeat, and this disk is not a foreign one.
+
+        The answered heartbeat was sent within the last `CONTACT_VALID_S` seconds. A voter counts only if its
+        machine has the disk that has the vote. A foreign disk belongs to another cluster.
+        """
         voters, now = self._agreed.control_state.voters, asyncio.get_running_loop().time()
         majority = 2 * sum(self._confirmed(voter, now) for voter in voters) > len(voters)
         return majority and not self._has_foreign_disk()
@@ -50,7 +54,7 @@
         return identified and peer is not None and now - peer.last_answered_sent_at <= CONTACT_VALID_S
 
     def _has_foreign_disk(self) -> bool:
-        """Whether reachable stores of other clusters outnumber those of this one by at least two."""
+        """Whether the reachable stores of other clusters outnumber those of this one, this store included."""
         own_cluster, clusters = self._agreed.control_state.cluster, self._reports.clusters
         if all(cluster in ("", own_cluster) for cluster in clusters.values()):
             return False  # the usual case, decided without checking each link
--- a/emberlatch/cluster/message_store/accept_service.py
+++ b/emberlatch/cluster/message_store/accept_service.py
@@ -1,6 +1,6 @@
 """Accepts messages of clients: a message is accepted once enough stores have it on disk.
 
-Otherwise the message is cancelled, and the reply says whether it is certain never to be delivered.
+Otherwise the message is cancelled. The reply then says whether the message is certain never to be delivered.
 """
 
 from __future__ import annotations
@@ -115,7 +115,7 @@
     def _write_record(
         self, request: AcceptRequest, epoch: int, existing: Record | None, replicas: list[str]
     ) -> Record:
-        """Write and return the record, owned by this process. A new one names the chosen replicas."""
+        """Write and return the record, owned by this process. A new record names the chosen replicas."""
         me, message = self._local_store.me, request.message
         if existing is not None:
             self._local_store.merge(existing, MessageState.QUEUED, "", epoch, me, existing.attempts)
@@ -132,7 +132,7 @@
         return record
 
     async def _reply_if_accepted(self, record: Record, epoch: int) -> AcceptReply | None:
-        """Return the reply on a durable record; None if it is cancelled or has an older epoch."""
+        """Return the reply for a durable record; None if the record is cancelled or of an earlier epoch."""
         local_store = self._local_store
         if not record.is_queued:
             return ENDED if record.state is not MessageState.CANCELLED else None
--- a/emberlatch/cluster/message_store/cancellation.py
+++ b/emberlatch/cluster/message_store/cancellation.py
@@ -1,4 +1,4 @@
-"""Cancels messages that too few stores wrote to disk, and probes for copies that were accepted before."""
+"""Cancels messages that too few stores wrote to disk, and probes for copies of earlier attempts."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         self._local_store, self._cluster = local_store, cluster
 
     async def cancel(self, record: Record, possible_holders: set[str], epoch: int) -> bool:
-        """Cancel a message; return whether no copy that was written under this epoch can be delivered.
+        """Cancel a message; return True if no copy of this epoch can be delivered now or later.
 
         `possible_holders` are the stores that have a copy or may still receive one.
         """
--- a/emberlatch/cluster/message_store/database.py
+++ b/emberlatch/cluster/message_store/database.py
@@ -3,8 +3,9 @@
 No other process opens the file: `EXCLUSIVE` is set before `WAL`, so that sqlite needs no shared memory. A
 commit returns once it survives a loss of power (`synchronous=FULL`). Times are stored as Unix time.
 
-A commit that failed is executed again, which writes its pages anew: after a failed sync the kernel may mark
-pages as clean that are not on the disk (docs/design/disks.md).
+A commit that failed is executed again in full, so that its pages are written again. Syncing again would not
+be enough: after a failed sync the kernel may mark pages as clean that are not on the disk
+(docs/design/disks.md).
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 from emberlatch.cluster.message_store.record import MessageState, Record
 
 INCARNATION_NOTE = "life"
-"""Name of the note that is on the disk if an earlier incarnation of the process used it."""
+"""Name of the note that every incarnation writes. A disk without this note counts as empty."""
 
 TABLES = (
     "CREATE TABLE IF NOT EXISTS records (id TEXT PRIMARY KEY, meta BLOB, body BLOB) WITHOUT ROWID",
@@ -133,7 +134,7 @@
             raise OSError(str(error)) from error
 
     def _empty_old_log(self) -> None:
-        """Before the first commit, move what an earlier incarnation wrote from the log into the file.
+        """Before the first commit, move the writes of earlier incarnations from the log into the file.
 
         The last sync of that incarnation may have failed and left frames of the log only in the page cache.
         A loss of power would lose these frames, and with them every commit that follows them in the log.
--- a/emberlatch/cluster/message_store/disk_watch.py
+++ b/emberlatch/cluster/message_store/disk_watch.py
@@ -1,7 +1,7 @@
-"""Reacts to the state of the disk: notifies other processes, hands messages over, has copies compared.
+"""Reacts to the state of the disk: notifies other processes, hands messages over and requests comparisons.
 
-Waiting messages are handed over to other stores while the disk has a fault; once the disk has recovered, all
-copies are compared again.
+While the disk has a fault, waiting messages are handed over to other stores. Once the disk has recovered,
+this store compares its copies with all other stores again.
 
 While the state is not OK the store accepts no message and starts no delivery. The outcomes of calls in flight
 are kept in memory and sent to the other replicas; a message whose outcome is not durable is not handed over.
--- a/emberlatch/cluster/message_store/group_commit.py
+++ b/emberlatch/cluster/message_store/group_commit.py
@@ -85,7 +85,7 @@
         self._task = None
 
     async def _attempt(self, batch: PendingWrites) -> bool:
-        """Commit a batch and return whether that succeeded; a failed batch comes first in the next one."""
+        """Commit a batch and return whether that succeeded. If not, the next batch begins with its writes."""
         self._health.commit_started(asyncio.get_running_loop().time())
         try:
             await self._offload(lambda: self._commit(batch))
--- a/emberlatch/cluster/message_store/index.py
+++ b/emberlatch/cluster/message_store/index.py
@@ -1,7 +1,8 @@
 """Indexes all records of a process, with digests to compare copies. Pure: no disk, no clock, no network.
 
-For each other store there is one digest for each range of ids: the sum of the fingerprints of the records
-that both stores are to keep. Each change of a record updates the digests; they are never recomputed.
+For each other store and each range of ids there is one digest. It is the sum of the fingerprints of the
+records of which both that store and this one are replicas. Each change of a record updates the digests; they
+are never recomputed.
 """
 
 from __future__ import annotations
@@ -85,11 +86,11 @@
             del self._ranges[range_of(record.id)][record.id]
 
     def digests(self, node: str) -> list[int]:
-        """Return the digests, by range, of the records that both that node and this one are to keep."""
+        """Return the digests, by range, of the records of which both that node and this one are replicas."""
         return list(self._digests.get(node, [0] * RANGE_COUNT))
 
     def shared_records(self, node: str, ranges: Iterable[int]) -> Iterator[Record]:
-        """Yield the records in these ranges that both that node and this one are to keep."""
+        """Yield the records in these ranges of which both that node and this one are replicas."""
         for range_number in ranges:
             yield from (r for r in list(self._ranges[range_number].values()) if node in r.replicas)
 
@@ -110,7 +111,10 @@
     def compare(
         self, node: str, ranges: list[int], theirs: dict[str, CopySummary]
     ) -> tuple[list[str], list[Record]]:
-        """Return the ids whose copies on that node outweigh ours, and our records that outweigh its own."""
+        """Return the ids of the copies there that outweigh ours, and our records that outweigh those there.
+
+        A copy that exists on one side only counts as outweighing.
+        """
         ours = {r.id: r for r in self.shared_records(node, ranges)}
         newer_there = []
         for id, (state, epoch, owner) in theirs.items():
--- a/emberlatch/cluster/message_store/local_store.py
+++ b/emberlatch/cluster/message_store/local_store.py
@@ -13,7 +13,7 @@
 from emberlatch.cluster.message_store.ports import DeliveryQueue
 from emberlatch.cluster.message_store.record import MessageState, Record, WireRecord
 
-MAX_COMMIT_LAG_S = 0.05  # while a commit runs for longer, other stores are preferred
+MAX_COMMIT_LAG_S = 0.05  # while a commit runs for longer, no message or copy is accepted
 
 
 class Phase(Enum):
@@ -32,7 +32,7 @@
         self, me: str, index: RecordIndex, database: RecordDatabase, delivery: DeliveryQueue
     ) -> None:
         self.me, self.index, self.database, self.delivery = me, index, database, delivery
-        self.probing: set[str] = set()  # ids of messages being accepted, until other stores have been probed
+        self.probing: set[str] = set()  # ids of messages being accepted whose probes are not complete
         self.phase = Phase.STARTING
 
     @property
@@ -76,8 +76,8 @@
         """Merge another copy's state in memory, in the next commit and in the delivery queue.
 
         Return whether state, epoch or owner changed. Only this method changes the owner of an existing
-        record: it removes a message from the delivery queue when this process ceases to own it, and adds a
-        message to the queue when this process becomes its owner.
+        record. It removes the message from the delivery queue when this process ceases to own the message,
+        and adds the message to the queue when this process becomes its owner.
         """
         was_owned = record.is_queued and record.owner == self.me
         if state is MessageState.QUEUED and record.state is MessageState.CANCELLED and record.body is None:
@@ -105,7 +105,10 @@
         return self.merge(record, record.state, record.seal, epoch, owner, attempts)
 
     def absorb(self, copy: Record) -> Record | None:
-        """Add or merge a received copy; return the record, or None for a queued copy without body."""
+        """Add or merge a received copy and return the record.
+
+        A queued copy without a body is not added: return None if this store has no record of its message.
+        """
         record = self.index.records.get(copy.id)
         if record is not None:
             return self._absorb_known(record, copy)
@@ -154,7 +157,9 @@
     # The disk.
 
     def durable(self) -> asyncio.Future[bool]:
-        """Return a future: true once all writes added so far are on disk, false if a commit fails first.
+        """Return a future that tells whether all writes added so far reached the disk.
+
+        Its result is True once they are on disk, and False if a commit fails before that.
 
         Failed writes are retried later; nobody may be notified of them before they are on disk.
         """
--- a/emberlatch/cluster/message_store/message_store.py
+++ b/emberlatch/cluster/message_store/message_store.py
@@ -90,7 +90,7 @@
         return self.accept_service.is_accepting
 
     def may_start_deliveries(self) -> bool:
-        """Return whether deliveries may start: outcomes can be written, and no other store has taken over."""
+        """Return whether outcomes can be written, and no other store can have taken over the messages."""
         return self.local_store.writable and self.ownership.may_deliver()
 
     async def flush(self, timeout_s: float) -> bool:
@@ -100,7 +100,10 @@
         return durable.done() and durable.result()
 
     async def run_maintenance(self) -> None:
-        """Take over, compare, copy and sweep at their intervals until the task is cancelled."""
+        """Run the periodic tasks of the store until this task is cancelled.
+
+        These are takeovers, comparisons with other stores, additional copies and sweeps.
+        """
         loop = asyncio.get_running_loop()
         swept_at = loop.time()
         while True:
--- a/emberlatch/cluster/message_store/messages.py
+++ b/emberlatch/cluster/message_store/messages.py
@@ -1,7 +1,8 @@
 """Requests and replies of the message store's calls between processes. Pure: no disk, no clock, no network.
 
-Each type has `to_wire` and `from_wire`, which raises `MessageDecodeError` for a payload of another form. The
-keys and the order of items on the wire must not change: versions of the program run side by side.
+Each type has the methods `to_wire` and `from_wire`. `from_wire` raises `MessageDecodeError` for a payload of
+another form. The keys and the order of items on the wire must not change: versions of the program run
+side by side.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptRequest:
-    """Request of ACCEPT: the receiver is to make a message durable and own it.
+    """Request of ACCEPT: asks the receiver to make a message durable and to become its owner.
 
     `age_s` is the number of seconds since the client sent the message. `possible_holders` are the stores that
     may have accepted it in one of the `prior_attempts` to submit it for the same client.
@@ -95,7 +96,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StateReport:
-    """The state of a record without its content: request and reply of PROBE, item of COMMIT_STATE."""
+    """The state of a record without its content.
+
+    Request and reply of PROBE; a COMMIT_STATE request contains several reports.
+    """
 
     id: str
     state: MessageState
@@ -136,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DurableReply:
-    """Reply to COMMIT_STATE and REPAIR: whether the receiver has all that was sent on its disk."""
+    """Reply to COMMIT_STATE and REPAIR: whether all that was sent is on the receiver's disk."""
 
     durable: bool
 
@@ -190,9 +194,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageStatus:
-    """Reply to MESSAGE_STATE: a name of `STATE_NAMES`, and the seal of a completed message.
+    """Reply to MESSAGE_STATE: the name of the message's state, and its seal.
 
-    The seal is the target's proof of execution.
+    The name is one of `STATE_NAMES`. The seal is the target's proof of execution; only completed messages
+    have one.
     """
 
     name: str
@@ -214,7 +219,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageBody:
-    """Reply to MESSAGE_BODY: the body; None if the receiver does not have it."""
+    """Reply to MESSAGE_BODY: the body; None if the message is unknown, cancelled or completed."""
 
     body: bytes | None
 
@@ -232,7 +237,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnershipOffer:
-    """One message of ASSUME_OWNERSHIP, and the epoch under which the receiver is to own it."""
+    """One message in an ASSUME_OWNERSHIP request, with the epoch in which the receiver is to own it."""
 
     id: str
     epoch: int
@@ -270,7 +275,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageIds:
-    """Request of RECORDS: the requested ids; reply to ASSUME_OWNERSHIP: the ids that were not taken over."""
+    """Ids of messages. In a RECORDS request: the requested records.
+
+    In the reply to ASSUME_OWNERSHIP: the messages whose ownership the receiver rejects.
+    """
 
     ids: tuple[str, ...]
 
@@ -286,7 +294,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RangeDigests:
-    """Request of DIGEST_RANGES: the caller's digests, one per range, of records that both are to keep."""
+    """Request of DIGEST_RANGES: the caller's digests, one for each range of ids.
+
+    They cover the records of which both the caller and the receiver are replicas.
+    """
 
     digests: tuple[int, ...]
 
@@ -306,9 +317,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RangeDifferences:
-    """Reply to DIGEST_RANGES: the ranges that differ, and summaries of the receiver's records there by id.
+    """Reply to DIGEST_RANGES: the ranges whose digests differ, and the receiver's records in them.
 
-    The summaries are kept in their wire form, as there can be hundreds of thousands of them.
+    `summaries` has a summary of each of these records, by id. The summaries stay in wire form, as there can
+    be hundreds of thousands of them.
     """
 
     ranges: list[int]
--- a/emberlatch/cluster/message_store/ownership.py
+++ b/emberlatch/cluster/message_store/ownership.py
@@ -19,7 +19,8 @@
 from emberlatch.cluster.message_store.repair import NEVER, Repair, split
 from emberlatch.cluster.rpc import CallFailedError, Peer, PeerState, RpcMethod
 
-# An owner unreachable for longer has surely stopped delivering: its links have timed out (`rpc.peer`).
+# Seconds. An owner that is unreachable for longer has surely stopped delivering, because its own links have
+# timed out as well (see `rpc.peer`).
 LEASE_S = 2.4
 REFUSED_PORT_S = 0.25  # a process whose port has refused connections for longer has ended
 # A longer gap between ticks shows that this process was suspended, so that others may have taken over.
@@ -34,18 +35,18 @@
     def __init__(self, local_store: LocalStore, repair: Repair, cluster: ClusterView) -> None:
         self._local_store, self._repair, self._cluster = local_store, repair, cluster
         self._ticked_at = asyncio.get_running_loop().time()
-        # Last time without majority contact. Until then this process was partitioned, so that the absence of
-        # peers does not show that they stopped.
+        # Last time at which this process had no majority contact. It may have been partitioned until then:
+        # that it could not reach a peer does not show that the peer stopped.
         self._cut_off_at = NEVER
         self._stalled_at = NEVER  # end of the last suspension of this process
 
     # Permission to deliver.
 
     def may_deliver(self) -> bool:
-        """Return whether no other store can have taken over the messages that this process owns.
+        """Return True if no other store can have taken over the messages that this process owns.
 
-        Each voter of a majority must be in contact with this process or surely have stopped. After a
-        suspension this process must first have compared its records with all stores that are up.
+        This requires a majority of voters that are in contact with this process or have surely stopped. After
+        a suspension this process must first have compared its records with all stores that are up.
         """
         return self._cluster.has_majority_contact() and not self._may_have_lost_ownership()
 
@@ -72,8 +73,9 @@
     async def hand_over(self, records: list[Record]) -> None:
         """Make other stores the owners of these records, with the next epoch.
 
-        Used at shutdown, at decommissioning, on a disk fault, and for messages accepted just before one of
-        these. This process remains the owner of records that cannot be handed over.
+        Used at shutdown, at decommissioning and on a disk fault. Also used for a message whose acceptance
+        ends after this store has left the phase `SERVING`. This process remains the owner of records that
+        cannot be handed over.
         """
         by_owner = self._choose_owners(records)
         for owner, theirs in by_owner.items():
@@ -104,14 +106,14 @@
                 tuple(OwnershipOffer(r.id, r.epoch + 1, r.attempts) for r in records)
             )
             missing = await self._offer(peer, request)
-            if missing:  # the peer is named as a replica but never received its copy
+            if missing:  # the peer has received no copy, or its disk accepts no writes
                 await self._repair.send(peer, [r for r in records if r.id in missing])
                 missing = await self._offer(peer, request)
             for record in records:
                 if record.id not in missing:
                     self._local_store.set_owner(record, record.epoch + 1, peer.name, record.attempts)
         except CallFailedError:
-            pass  # still owned here: the next incarnation, or a store that takes over, delivers them
+            pass  # this process stays their owner here: its next incarnation or a takeover delivers them
 
     @staticmethod
     async def _offer(peer: Peer, request: AssumeOwnershipRequest) -> set[str]:
@@ -120,7 +122,10 @@
         return set(MessageIds.from_wire(reply).ids)
 
     def assume_ownership(self, request: AssumeOwnershipRequest) -> MessageIds:
-        """Handle ASSUME_OWNERSHIP: become the owner; return the ids of which this store has no copy."""
+        """Handle ASSUME_OWNERSHIP: become the owner of the offered messages.
+
+        Return the ids of messages of which this store has no copy; all ids if its disk accepts no writes.
+        """
         if not self._local_store.writable:
             return MessageIds(tuple(offer.id for offer in request.offers))
         missing = []
@@ -139,12 +144,12 @@
 
         Its process has ended, can't read its disk, or has lost contact with a majority of the voters.
         """
-        if peer.state is PeerState.REFUSED:  # unless a new incarnation has connected to us since
+        if peer.state is PeerState.REFUSED:  # a later handshake comes from a new incarnation
             return (
                 peer.last_inbound_handshake_at < peer.state_since and now - peer.state_since > REFUSED_PORT_S
             )
         if peer.up and self._cluster.disk_unreadable_s(peer.name) > REFUSED_PORT_S:
-            return self.may_deliver()  # the peer's present incarnation does not know yet what it owns
+            return self.may_deliver()  # a peer that has not read its disk does not know what it owns
         since = max(peer.last_up_at, peer.created_at, peer.last_inbound_handshake_at, self._cut_off_at)
         if peer.up or now - since <= LEASE_S or not self.may_deliver():
             return False
@@ -153,7 +158,7 @@
     def take_over(self, now: float) -> None:
         """Become the owner, with the next epoch, of messages that stopped stores own.
 
-        This applies to messages whose first live replica is this process.
+        This process takes over a message only if it is the first live store in the message's `replicas`.
         """
         peers = self._cluster.stores().items()
         stopped = {name for name, peer in peers if self._has_surely_stopped(peer, now)}
--- a/emberlatch/cluster/message_store/pending_writes.py
+++ b/emberlatch/cluster/message_store/pending_writes.py
@@ -1,7 +1,7 @@
 """The writes of the next commit: at most one for each record. Pure: no disk, no clock.
 
-A later write of a record is combined with the earlier one. While a disk fails, the number of pending writes
-is thus limited to the number of records in the process, however often these change.
+A later write of a record is combined with the earlier one. The number of pending writes is thus limited to
+the number of records in the process, also while a disk fails and the records change often.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateRecord:
-    """Write the fields of a stored record other than its body; `drop_body`: delete the body as well."""
+    """Write all fields of a stored record except its body. If `drop_body` is set, delete the body."""
 
     meta: bytes
     drop_body: bool
@@ -48,7 +48,7 @@
 
 
 class PendingWrites:
-    """The writes that wait for a commit. `notes` has encoded single values by name."""
+    """The writes that wait for a commit. `notes` maps names to encoded values that belong to no record."""
 
     def __init__(self) -> None:
         self._records: dict[str, Write] = {}
--- a/emberlatch/cluster/message_store/ports.py
+++ b/emberlatch/cluster/message_store/ports.py
@@ -1,4 +1,4 @@
-"""Interfaces of the rest of the process that the message store uses."""
+"""Interfaces through which the message store uses the rest of the process."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         """Return the other stores that accept messages and copies now."""
 
     def replica_candidates(self, have: set[str]) -> Iterator[Peer]:
-        """Yield the writable stores for one more copy, best first, besides the stores in `have`."""
+        """Yield the writable stores that are not in `have`, the best one for one more copy first."""
 
     def has_majority_contact(self) -> bool:
         """Return whether each voter of a majority is in contact with this process or has surely stopped."""
@@ -34,7 +34,7 @@
         """Return for how many seconds a majority of the voters has not reached a machine."""
 
     def decommissioning_stores(self) -> set[str]:
-        """Return the machines that are being decommissioned: their copies must not be counted."""
+        """Return the machines that are, or are being, decommissioned: their copies must not be counted."""
 
     def is_disk_writable(self, node: str) -> bool:
         """Return whether a machine's disk accepts writes, by the machine's last report."""
@@ -89,7 +89,7 @@
 
 
 class ChangeListener(Protocol):
-    """Receives changes of which other processes must be notified at once."""
+    """Is notified of changes that must be sent to the other processes at once."""
 
     def notify(self) -> None:
         """Handle a change of the store's phase or of its disk's state."""
--- a/emberlatch/cluster/message_store/record.py
+++ b/emberlatch/cluster/message_store/record.py
@@ -1,9 +1,11 @@
 """A stored message, and how copies of it are merged.
 
 Merging is commutative, associative and idempotent: copies that are merged in any order, any number of times,
-become equal. A copy outweighs another if it has ended and the other has not, if it is completed and the other
-is dead-lettered, or else if its epoch is later. A cancellation outweighs queued copies of its epoch or an
-earlier one, but none of a later epoch. `attempts` counts only the attempts that a target answered with 500.
+become equal. Which of two copies outweighs the other is decided in this order: a completed copy outweighs a
+dead-lettered one, and both outweigh a queued or cancelled one; a later epoch outweighs an earlier one;
+within an epoch, a cancelled copy outweighs a queued one.
+
+`attempts` counts only the attempts that a target answered with 500.
 """
 
 from __future__ import annotations
@@ -22,7 +24,7 @@
     """The state of a message. The numbers are stored and sent; `rank` says which state outweighs which."""
 
     QUEUED = 0
-    CANCELLED = 1  # a tombstone: not accepted under this epoch; the client got a reply to this effect or none
+    CANCELLED = 1  # a tombstone: not accepted in this epoch; the client was refused or got no reply
     DEAD_LETTERED = 2  # no more attempts; log event 601 names the reason
     COMPLETED = 3
 
@@ -33,8 +35,8 @@
 def rank(state: int, epoch: int, owner: str) -> Rank:
     """Return the rank of a copy: merging keeps the state of the copy with the highest rank.
 
-    Ranks compare by the end first (completed above dead-lettered above neither), then by epoch; within an
-    epoch a cancellation ranks above a queued copy, and equal states rank by the owner's name.
+    Completed copies rank above dead-lettered ones, and these above all others. Next the epoch is compared.
+    Within an epoch a cancelled copy ranks above a queued one, and equal states rank by the owner's name.
     """
     ended = max(0, state - MessageState.CANCELLED)
     return ended, epoch, int(state == MessageState.CANCELLED), owner
@@ -60,7 +62,7 @@
     """One message in a store.
 
     `sent_at`, `due_at`, `expires_at` and `ended_at` are event loop times in seconds; on disk they are Unix
-    times, on the wire seconds relative to the time of sending.
+    times, and on the wire they are seconds relative to the time of sending.
     """
 
     __slots__ = (
@@ -93,7 +95,7 @@
         # `seal` is the target's proof of execution, for a completed message; empty if there is none.
         self.state, self.seal = MessageState.QUEUED, ""
         self.owner = ""  # node name of the only store that delivers the message
-        self.epoch = 0  # epoch of the ownership: each new owner has a later one; see `ownership`
+        self.epoch = 0  # epoch of the ownership; increases with each new owner, see `ownership`
         self.replicas: tuple[str, ...] = ()
         self.attempts = 0
         self.config_revision = -1  # revision of the configuration under which the message was accepted
--- a/emberlatch/cluster/message_store/repair.py
+++ b/emberlatch/cluster/message_store/repair.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _PlannedCopy:
-    """A record to copy, and its replicas once the copy is stored."""
+    """A record to copy, and the value of its `replicas` after the copy is stored."""
 
     record: Record
     replicas: tuple[str, ...]
@@ -61,7 +61,10 @@
     # Comparison with a peer.
 
     def start_due(self, now: float) -> None:
-        """Start comparisons with peers that came up since the last one, and with each at an interval."""
+        """Start a comparison with each peer for which one is due.
+
+        It is due if the link came up after the last comparison, or if `COMPARE_INTERVAL_S` has passed since.
+        """
         for name, peer in self._cluster.stores().items():
             if not peer.up or name in self._repairing:
                 continue
@@ -87,7 +90,7 @@
             self._repairing.discard(peer.name)
 
     async def _exchange(self, peer: Peer) -> tuple[int, int]:
-        """Exchange newer copies; return how many of the peer's and how many of ours were newer."""
+        """Exchange newer copies; return how many copies were newer at the peer, and how many here."""
         index = self._local_store.index
         digests = RangeDigests(tuple(index.digests(peer.name)))
         reply = await peer.call(RpcMethod.DIGEST_RANGES, digests.to_wire(), CALL_TIMEOUT_S)
@@ -97,7 +100,7 @@
             request = MessageIds(tuple(ids))
             reply = await peer.call(RpcMethod.RECORDS, request.to_wire(), CALL_TIMEOUT_S)
             self._absorb(RecordBatch.from_wire(reply))
-        # A store that cannot write rejects records; it compares its copies again once it has recovered.
+        # A store whose disk accepts no writes rejects records. It compares again once its disk has recovered.
         if self._cluster.is_disk_writable(peer.name):
             await self.send(peer, newer_here)
         return len(newer_there), len(newer_here)
@@ -185,7 +188,7 @@
             self._re_replicating = False
 
     async def add_copies(self, records: list[Record], counted: set[str]) -> int:
-        """Copy records until enough of the counted machines have each; return the number of copies made."""
+        """Copy each record until enough of the counted machines have it; return the number of copies made."""
         peers = {peer.name: peer for peer in self._cluster.writable_stores()}
         copied = 0
         for name, assigned in self._plan_copies(records, counted, peers).items():
--- a/emberlatch/cluster/message_store/replication.py
+++ b/emberlatch/cluster/message_store/replication.py
@@ -12,13 +12,13 @@
 from emberlatch.cluster.rpc import CallFailedError, Peer, RpcMethod
 
 REPLICATE_TIMEOUT_S = 0.25  # timeout for another store to write a copy to its disk
-HEDGE_DELAY_S = 0.035  # delay after which one more store is asked as well
+HEDGE_DELAY_S = 0.035  # time without a reply after which a copy is sent to one more store
 ACCEPT_TIMEOUT_S = 0.42  # time limit for a message to be durable on enough stores; else it is not accepted
 
 
 @dataclass(slots=True)
 class ReplicationOutcome:
-    """The stores with a copy on disk, and the stores that have or may still receive one."""
+    """The stores that have a copy on disk, and those that may have a copy now or later."""
 
     durable: set[str] = field(default_factory=set)
     possible: set[str] = field(default_factory=set)
@@ -41,8 +41,8 @@
     def choose_replicas(self) -> list[Peer]:
         """Choose the stores that are to receive copies.
 
-        All are chosen before the first copy is written: each copy names the other stores, so that copies are
-        equal from the start when they are compared.
+        All are chosen before the first copy is written, because each copy names all stores that have one.
+        Otherwise copies would differ when they are compared.
         """
         chosen: dict[str, Peer] = {}
         while not self._satisfies_quorum_with(*chosen):
--- a/emberlatch/cluster/message_store/retention.py
+++ b/emberlatch/cluster/message_store/retention.py
@@ -9,7 +9,7 @@
 from emberlatch.cluster.message_store.state_commits import StateCommits
 from emberlatch.cluster.message_store.undeliverable import UndeliverableReason, log_undeliverable
 
-RETENTION_SLACK_S = 0.5  # delay of dead-lettering after the retention time, on whichever store's clock
+RETENTION_SLACK_S = 0.5  # delay of dead-lettering, so that the retention time is over on each store's clock
 STATUS_SLACK_S = 5.0  # time for which an ended record is kept in addition to the configured time
 SWEEP_INTERVAL_S = 1.0  # interval of sweeps over all records
 
@@ -35,14 +35,14 @@
 
 
 class Retention:
-    """Dead-letters and deletes expired records; ended ones are kept for `retain_status_s` seconds."""
+    """Dead-letters expired messages, and deletes ended ones after at least `retain_status_s` seconds."""
 
     def __init__(self, local_store: LocalStore, state_commits: StateCommits, retain_status_s: float) -> None:
         self._local_store, self._state_commits = local_store, state_commits
         self._retain_status_s = retain_status_s
 
     def sweep(self, now: float) -> None:
-        """Delete each expired record, or mark it as dead-lettered."""
+        """Mark messages as dead-lettered after their retention time, and delete old ended records."""
         for record in list(self._local_store.index.records.values()):
             self._sweep_record(record, now)
         self._local_store.database.schedule_commit()
--- a/emberlatch/cluster/message_store/startup.py
+++ b/emberlatch/cluster/message_store/startup.py
@@ -1,4 +1,7 @@
-"""Startup of a store: it reads its disk, and compares with other stores until it knows what it owns."""
+"""Startup of a store: reads the disk, then compares the records with those of other stores.
+
+The startup ends when the store knows which messages it owns.
+"""
 
 from __future__ import annotations
 
@@ -34,12 +37,13 @@
     async def run(self, first: bool) -> None:
         """Return once this process knows what it owns.
 
-        `first` says that no store has accepted a message yet. At any other start an empty disk was lost.
+        `first` is True if no store has accepted a message yet. Otherwise an empty disk means that the records
+        were lost.
         """
         loop = asyncio.get_running_loop()
         lost = await self._read_disk(first)
         began_at = loop.time()
-        # Polling, as `Ownership.tick` must be called often: a gap would count as a suspension of the process.
+        # This loop polls, as a gap between calls of `Ownership.tick` counts as a suspension of the process.
         while not first and not self._compared_with_enough(loop.time() - began_at, lost):
             self._ownership.tick(loop.time())
             self._disk_watch.tick(loop.time())
@@ -60,10 +64,12 @@
         return lost
 
     def _compared_with_enough(self, waited_s: float, lost: bool) -> bool:
-        """Return whether enough other stores were compared with for this store to serve.
+        """Return whether this store has compared its records with enough other stores to serve.
 
-        Stores whose port refuses connections own nothing now, and are not waited for. After the loss of the
-        disk, all stores that answer must have been compared with, and at least one.
+        Stores whose port refuses connections own nothing now, and are not waited for. Comparisons with all
+        others are enough; there must be at least one comparison, unless there are no other stores. After
+        `STARTUP_PEER_TIMEOUT_S`, a majority of the stores is enough, this one included, and no comparison is
+        needed if all others refuse connections. If the disk was lost, one comparison is always needed.
         """
         others, repaired_at = self._cluster.counted_stores(), self._repair.repaired_at
         compared = [node for node in others if node in repaired_at]
--- a/emberlatch/cluster/message_store/state_commits.py
+++ b/emberlatch/cluster/message_store/state_commits.py
@@ -1,4 +1,7 @@
-"""Commits outcomes of own deliveries and of other stores' reports, and answers queries for messages."""
+"""Commits the outcomes of this store's deliveries and the states that other stores report.
+
+Also answers queries for messages.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,7 @@
         stores = self._cluster.stores()
         for node in {*record.replicas, record.owner}:
             peer = stores.get(node)
-            if peer is not None:  # a store that misses the notice gets the state when copies are compared
+            if peer is not None:  # a store that does not receive this gets the state when copies are compared
                 peer.notify(RpcMethod.COMMIT_STATE, payload)
 
     async def commit_states(self, request: CommitStateRequest) -> DurableReply:
--- a/emberlatch/cluster/message_store/undeliverable.py
+++ b/emberlatch/cluster/message_store/undeliverable.py
@@ -9,9 +9,9 @@
 
 
 class UndeliverableReason(StrEnum):
-    """Reasons; the values are the logged texts, which operators search for.
+    """Why a message was dead-lettered. The values are logged, and operators search the logs for them.
 
-    Records do not contain the reason. docs/system/operators.md explains each one, with its code.
+    Records do not contain the reason. docs/system/operators.md explains each reason and its value.
     """
 
     REJECTED_PERMANENTLY = "422"  # status code of the target's response: no retry can succeed
--- a/emberlatch/cluster/rpc/connection.py
+++ b/emberlatch/cluster/rpc/connection.py
@@ -84,7 +84,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Attach the transport; the dialling side sends its Identify frame at once."""
-        # A cast, not a check: the transports of other event loops need not be of this class.
+        # The cast does not check the class, because the transports of other event loops may have another one.
         self.transport = cast(asyncio.Transport, transport)
         self._queue.attach(self.transport)
         self.last_received_at = asyncio.get_running_loop().time()
@@ -128,7 +128,8 @@
     async def established(self) -> Incarnation:
         """Wait until the peer has identified itself.
 
-        Raises ForeignPeerError if it is not the expected peer, CallFailedError if the connection is lost.
+        Raises ForeignPeerError if another peer than the expected one answers, and CallFailedError if the
+        connection is lost.
         """
         await self._peer_known_or_lost.wait()
         if self._foreign_peer is not None and self._expected is not None:
@@ -178,7 +179,7 @@
         self._send_encoded(data, f"={method}")
 
     def oldest_unanswered_s(self) -> float:
-        """The age in seconds of the oldest unanswered request, awaited or abandoned; 0 if there is none."""
+        """The age in seconds of the oldest unanswered request, also if abandoned; 0 if there is none."""
         return self._calls.oldest_unanswered_s(asyncio.get_running_loop().time())
 
     def flush(self) -> None:
@@ -282,7 +283,7 @@
         return None
 
     def _abort_untrusted(self, kind: UnexpectedMessage, number: int) -> None:
-        """Drop a message of a peer that mixes up calls, and accept nothing more on this connection."""
+        """Drop a message that the peer should not have sent. Close at once, as the peer can't be trusted."""
         self.drop(kind, f"number={number}")
         self.abort()
 
--- a/emberlatch/cluster/rpc/counters.py
+++ b/emberlatch/cluster/rpc/counters.py
@@ -20,7 +20,9 @@
 
 
 class TrafficCounters:
-    """Counts sent frames and dropped messages. The number of counters is bounded by peers x methods.
+    """Counts sent frames and dropped messages.
+
+    The number of counters is bounded by the numbers of peers, methods and kinds.
 
     Attributes:
         sent: `[frames, bytes]`, by peer and method.
--- a/emberlatch/cluster/rpc/dedupe.py
+++ b/emberlatch/cluster/rpc/dedupe.py
@@ -1,8 +1,8 @@
 """Deduplication of at-most-once calls: the receiver retains each call for as long as a duplicate may arrive.
 
 The number of calls and the total size of the retained responses are bounded; the oldest calls are dropped
-first. A response that is too long is not retained: a duplicate of its call does not run and gets no response.
-No I/O.
+first. A response that exceeds `MAX_RESPONSE_BYTES` is not retained. A duplicate of such a call
+does not run, and gets no response. No I/O.
 """
 
 from __future__ import annotations
--- a/emberlatch/cluster/rpc/errors.py
+++ b/emberlatch/cluster/rpc/errors.py
@@ -21,7 +21,7 @@
 
 
 class FrameError(RpcError, ValueError):
-    """Received bytes are not a frame, or not one that is allowed at this point; the connection is closed."""
+    """Received bytes are not a valid frame, or the frame is not allowed now. The connection is closed."""
 
 
 class CallFailedError(RpcError):
--- a/emberlatch/cluster/rpc/frames.py
+++ b/emberlatch/cluster/rpc/frames.py
@@ -19,7 +19,7 @@
 VERSION = 2  # protocol version; processes of different versions do not connect
 LENGTH_BYTES = 4
 MAX_FRAME_BYTES = 8 * 1024 * 1024
-MAX_ERROR_CHARS = 200  # limit for the error text that quotes a CBOR decoder error
+MAX_ERROR_CHARS = 200  # limit for the text of a FrameError that contains a CBOR decoder's error
 
 
 class FrameKind(IntEnum):
--- a/emberlatch/cluster/rpc/incarnation.py
+++ b/emberlatch/cluster/rpc/incarnation.py
@@ -10,7 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Incarnation:
-    """One start of a node's process. `number` increases with each start; 0 is below all numbers of starts."""
+    """One start of a node's process.
+
+    `number` increases with each start and is greater than 0. An expected number of 0 matches any start.
+    """
 
     node: str
     number: int
@@ -27,7 +30,7 @@
 
 
 ANY_NODE = Incarnation("", 0)
-"""The expected peer of a caller that does not know which node uses an address."""
+"""Expected peer of a connection to an address whose node is not known."""
 
 
 @dataclass(slots=True)
--- a/emberlatch/cluster/rpc/methods.py
+++ b/emberlatch/cluster/rpc/methods.py
@@ -1,8 +1,8 @@
 """The methods that processes call on each other, and how a receiver treats duplicate requests.
 
-This layer sends a request once, on one connection, and never retries. A caller that still wants the effect
-after a time-out must call again, as the rule of the method permits. For at-most-once methods, the receiver
-retains the numbers of the requests that it ran, so that a duplicate does not run.
+This layer sends a request once, on one connection, and never retries. After a time-out the caller itself may
+call again, if the rule of the method permits that. For at-most-once methods, the
+receiver retains the numbers of the requests that it ran, so that a duplicate does not run.
 """
 
 from __future__ import annotations
--- a/emberlatch/cluster/rpc/peer.py
+++ b/emberlatch/cluster/rpc/peer.py
@@ -21,14 +21,14 @@
 # A connection is closed if nothing arrives on it for this number of heartbeat intervals plus the slack.
 LIVENESS_MISSED_HEARTBEATS = 2.0
 LIVENESS_SLACK_S = 0.5
-CONNECT_TIMEOUT_S = 0.6  # time limit for connecting, and again for the handshake
+CONNECT_TIMEOUT_S = 0.6  # time limit for connecting; the handshake has its own limit of the same length
 # Age of the oldest unanswered request above which `Peer.unresponsive` is true, so that a caller that needs a
 # response can choose another peer. `Peer.call` itself does not check it.
 UNRESPONSIVE_AFTER_S = 0.25
 SLOW_AFTER_S = 0.1  # age of the oldest unanswered request above which other peers are preferred
 REDIAL_BACKOFF_S = (0.05, 0.1, 0.2, 0.3)  # delay before the next dial, by `_failed_dials`
-# Number of dials since the last established connection that must find an earlier incarnation of the expected
-# node before that incarnation is accepted: the clock of its machine may have been set back.
+# An earlier incarnation of the expected node is accepted only after this number of dials has found one since
+# the last established connection. It may be a new process on a machine whose clock was set back.
 EARLIER_INCARNATION_DIALS = 10
 SEED_PREFIX = "seed "  # prefix of the name of a peer whose address is known but whose node is not
 
@@ -39,7 +39,9 @@
     CONNECTING = "connecting"  # nothing is known yet, or the connection was just lost
     UP = "up"
     REFUSED = "refused"  # the machine refuses connections to the port: the process is dead
-    UNREACHABLE = "unreachable"  # no response: the process is dead, or its machine is off or partitioned
+    # The expected peer did not respond: its process is dead, or its machine is off or partitioned. A peer is
+    # also in this state if another node or an earlier incarnation answered.
+    UNREACHABLE = "unreachable"
 
 
 class PeerDelegate(Protocol):
@@ -104,7 +106,7 @@
         self.connection: RpcConnection | None = None
         self._redial_now = asyncio.Event()
         self._last_incarnation: Incarnation | None = None  # peer of the last established connection
-        self._earlier_incarnation_dials = 0  # dials that found one since the last established connection
+        self._earlier_incarnation_dials = 0  # see `EARLIER_INCARNATION_DIALS`
         self._failed_dials = 0  # dials that have ended since the last completed handshake
         self._task = tasks.spawn(self._keep_connected())
 
@@ -195,7 +197,10 @@
             self._failed_dials += 1
 
     def _expected_peer(self) -> Incarnation:
-        """Any node for a seed, else the node of this name, in its last known incarnation or a later one."""
+        """The peer that the next dial expects: for a seed, any node.
+
+        Otherwise it is the node of this name, in its last known incarnation or a later one.
+        """
         if self.name.startswith(SEED_PREFIX):
             return ANY_NODE
         last = self._last_incarnation
--- a/emberlatch/cluster/rpc/send_queue.py
+++ b/emberlatch/cluster/rpc/send_queue.py
@@ -28,7 +28,7 @@
         self._closed = False
 
     def attach(self, transport: asyncio.Transport) -> None:
-        """Write to this transport from this call on."""
+        """Set the transport that the frames are written to."""
         transport.set_write_buffer_limits(high=0)
         self._transport = transport
 
