--- a/emberlatch/fleet/__init__.py
+++ b/emberlatch/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Fleets of gateways: failure detection among members, and what a member does while it is isolated."""
+"""Fleets of gateways: failure detection among members, and reduced operation of an isolated member."""
 
 from emberlatch.fleet.environment import ProcessEnvironment
 from emberlatch.fleet.membership import ProtocolParameters
--- a/emberlatch/fleet/endpoint_exchange.py
+++ b/emberlatch/fleet/endpoint_exchange.py
@@ -1,4 +1,4 @@
-"""Exchanges endpoint state between members: holds that endpoints asked for, and changed phases."""
+"""Exchanges endpoint state between members: retry-after times (holds) and changed phases of endpoints."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from emberlatch.fleet.log_events import EventLog, FleetEvent
 
 MIN_HOLD_S = 0.05
-"""A hold is shared only if it is longer than this, and ends later than a known hold by more than this."""
+"""A hold is shared only if it is longer than this, and ends more than this after a known hold ends."""
 
 
 class EndpointObserver(Protocol):
     """Acts on the endpoint updates of other members."""
 
     def on_endpoint_hold(self, target: str, seconds: float) -> None:
-        """Do not call an endpoint for `seconds`: the endpoint has asked another member for this hold."""
+        """Do not call an endpoint for `seconds`: it has asked another member not to call it for that time."""
 
     def on_endpoint_report(self, target: str, phase: Phase) -> None:
-        """Apply the phase that another member's endpoint list gives an endpoint."""
+        """Apply the phase of an endpoint in another member's endpoint list."""
 
 
 class FrameSender(Protocol):
@@ -36,7 +36,7 @@
 
 
 class EndpointExchange:
-    """Shares each update once, if it is new: a hold that ends later, or a report that changes a phase.
+    """Shares only new updates, each once: a hold that ends later, or a report that changes a phase.
 
     Times are in seconds on `clock`, which is monotonic.
     """
@@ -54,7 +54,7 @@
         self._hold_ends_at: dict[str, float] = {}  # by endpoint; includes holds that other members shared
 
     def share_hold(self, target: str, seconds: float) -> None:
-        """Share a hold that an endpoint asked this member for, if it lasts longer than the known one."""
+        """Share a hold that an endpoint asked this member for, if it ends later than the known hold."""
         if seconds > MIN_HOLD_S and self._extend_hold(target, seconds):
             self._send_to_linked(EndpointUpdates((EndpointHold(target, seconds),)))
 
@@ -74,7 +74,7 @@
             self._links.send(name, EndpointUpdates(holds, reports))
 
     def on_updates(self, sender: str, updates: EndpointUpdates) -> None:
-        """Apply the updates of another member that are new."""
+        """Apply the new ones among another member's updates, and forward new reports to all other members."""
         for hold in updates.holds:
             if hold.remaining_s > MIN_HOLD_S and self._extend_hold(hold.target, hold.remaining_s):
                 self._observer.on_endpoint_hold(hold.target, hold.remaining_s)
@@ -100,7 +100,7 @@
                 self._links.send(name, updates)
 
     def _extend_hold(self, target: str, seconds: float) -> bool:
-        """Record a hold that begins now, unless a known one lasts as long; return whether it was recorded."""
+        """Record a hold that begins now, unless a known hold ends as late; return whether it was recorded."""
         now = self._clock()
         self._hold_ends_at = {name: until for name, until in self._hold_ends_at.items() if until > now}
         if now + seconds <= self._hold_ends_at.get(target, 0.0) + MIN_HOLD_S:
--- a/emberlatch/fleet/endpoint_reports.py
+++ b/emberlatch/fleet/endpoint_reports.py
@@ -1,4 +1,4 @@
-"""Keeps the newest report on each endpoint from the endpoint lists of all members. No I/O.
+"""Keeps the newest report on each endpoint from the endpoint lists of all members. This module does no I/O.
 
 Each member has its own list, and the lists change at different times. If an endpoint is draining or removed
 in one list, all members are informed. A later report that the endpoint is ready cancels only the earlier
@@ -13,7 +13,7 @@
 from emberlatch.fleet.frames import EndpointReport
 
 MAX_ENDPOINTS = 1000  # endpoints whose report is kept; the oldest report is dropped first
-ORDER_TOLERANCE_S = 0.5  # reports closer together have no known order: the more severe one is kept
+ORDER_TOLERANCE_S = 0.5  # two reports closer together have no known order; the more severe is kept
 SEVERITY = {Phase.READY: 0, Phase.DRAINING: 1, Phase.REMOVED: 2}
 
 
--- a/emberlatch/fleet/environment.py
+++ b/emberlatch/fleet/environment.py
@@ -21,7 +21,7 @@
 
 
 def _process_log() -> EventLog:
-    """Return the process's event log, with the logging configuration that is in force now."""
+    """Return the process's event log, with the present logging configuration."""
     log: structlog.stdlib.BoundLogger = structlog.stdlib.get_logger(LOGGER_NAME)
     return log.info
 
@@ -40,9 +40,9 @@
     Attributes:
         tasks: the background tasks of the process.
         machine: the facilities of the machine that the process runs on.
-        clock: the monotonic clock for all times, in seconds; by default the event loop's.
+        clock: the monotonic clock for all times, in seconds; by default the clock of the event loop.
         log_event: logs an event; by default to the process's log.
-        seed: the seed of all random draws, 64 bits; by default drawn at random.
+        seed: the 64-bit seed of all random numbers; by default random.
     """
 
     tasks: Tasks
--- a/emberlatch/fleet/errors.py
+++ b/emberlatch/fleet/errors.py
@@ -12,4 +12,4 @@
 
 
 class HandshakeError(FleetError):
-    """The other side has not identified itself as a member that this process accepts on this link."""
+    """The handshake on a link is missing, late, or of a process that is not accepted on this link."""
--- a/emberlatch/fleet/frames.py
+++ b/emberlatch/fleet/frames.py
@@ -1,4 +1,4 @@
-"""The frames that members exchange: MessagePack arrays, each after its length in 4 bytes, big-endian.
+"""The frames that members exchange. A frame is a MessagePack array after its length in 4 bytes, big-endian.
 
 The first item of an array is the frame's tag. The tags and the order of fields are the wire format and must
 not change, because members of different releases run side by side; field names are not sent. `decode` raises
@@ -26,7 +26,7 @@
 
 
 class MemberState(IntEnum):
-    """The state of a member in another one's view; in one incarnation, higher values supersede lower ones."""
+    """The state of a member in another member's view. In one incarnation, higher values supersede lower."""
 
     JOINING = 0  # configured, but no update on it has been received
     ALIVE = 1
@@ -50,14 +50,14 @@
 
 
 class EndpointHold(msgspec.Struct, array_like=True, frozen=True):
-    """An endpoint's request not to call it (Retry-After) for `remaining_s` from when the frame is sent."""
+    """An endpoint's request (Retry-After) not to call it for `remaining_s` after the frame is sent."""
 
     target: str
     remaining_s: float
 
 
 class EndpointReport(msgspec.Struct, array_like=True, frozen=True):
-    """The phase that a member's endpoint list has given an endpoint for the last `age_s` seconds."""
+    """The phase of an endpoint in a member's endpoint list, unchanged there for `age_s` seconds."""
 
     target: str
     phase: Phase
@@ -103,7 +103,7 @@
 
 
 class Nack(Frame, frozen=True, tag=5):
-    """Says that the target of a PingRequest did not answer; shows that the relay and the link to it work."""
+    """Sent by a relay if the target of a PingRequest did not answer; the relay and the link to it work."""
 
     sequence: int
 
--- a/emberlatch/fleet/generation_store.py
+++ b/emberlatch/fleet/generation_store.py
@@ -1,4 +1,4 @@
-"""Stores a member's generation in its state folder; each new process of the member has the next one."""
+"""Stores a member's generation in its state folder. Each new process takes the next generation."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class GenerationStore:
-    """Reads and appends generations. `is_new` is whether the folder had none when it was opened."""
+    """Reads and appends generations. `is_new` is true if the folder had none when it was opened."""
 
     def __init__(self, files: Files) -> None:
         """Read the last generation; raises OSError if the folder can't be read."""
@@ -23,7 +23,7 @@
             return int(json.loads(self._files.read(GENERATION_FILE).splitlines()[-1])), False
         except (FileNotFoundError, IndexError):
             return 0, True
-        except (ValueError, TypeError):  # last line not a number, as after a kill: use the highest number
+        except (ValueError, TypeError):  # last line is no number, as after a kill: use the highest
             lines = self._files.read(GENERATION_FILE).splitlines()
             found = [int(line) for line in lines if line.isdigit()]
             return max(found, default=0), not found
@@ -32,7 +32,7 @@
         """Append a generation; raises OSError if it can't be written."""
         files = self._files
         if GENERATION_FILE in files.names() and len(files.read(GENERATION_FILE)) > MAX_FILE_BYTES:
-            # If the process is killed after this, the next one gets the generation from the peers.
+            # If the process is killed after this, the next process learns the generation from its peers.
             files.remove(GENERATION_FILE)
         handle = files.append_to(GENERATION_FILE)
         try:
--- a/emberlatch/fleet/link.py
+++ b/emberlatch/fleet/link.py
@@ -10,7 +10,7 @@
 
 HANDSHAKE_TIMEOUT_S = 1.0  # time within which the other side must send its handshake
 MAX_UNSENT_BYTES = 64 * 1024
-"""While more bytes are unsent, frames are dropped; once the buffer drains, the full state is sent again."""
+"""While more bytes are unsent, frames are dropped. Once the buffer drains, the full state is sent again."""
 
 
 class LinkOwner(Protocol):
@@ -23,7 +23,7 @@
         """Handle a connection that was accepted; its other side is not identified yet."""
 
     def check_handshake(self, link: Link, handshake: Handshake) -> None:
-        """Check a first or later handshake of the other side; raise HandshakeError to reject it."""
+        """Check a handshake, which may be the first or a later one; raise HandshakeError to reject it."""
 
     def on_ready(self, link: Link, handshake: Handshake) -> None:
         """Handle an accepted handshake, or a send buffer that has drained after frames were dropped."""
@@ -32,10 +32,10 @@
         """Handle a frame on a link whose other side is identified."""
 
     def on_refused(self, link: Link, reason: str) -> None:
-        """Handle that this process closes a link for a reason that is to be logged."""
+        """Log the reason why this process closes a link."""
 
     def on_lost(self, link: Link) -> None:
-        """Handle that a link is closed, by whichever side."""
+        """Handle the end of a link, whichever side closed it."""
 
 
 class Link(asyncio.Protocol):
@@ -54,7 +54,7 @@
         self.last_data_at = self._loop.time()
         self._decoder = FrameDecoder()
         self._transport: asyncio.Transport
-        self._has_dropped_frames = False  # whether a frame was dropped since the state was last sent
+        self._has_dropped_frames = False  # whether frames were dropped since the last `on_ready`
         self._handshake_timer: asyncio.TimerHandle | None = None
 
     @property
@@ -124,7 +124,7 @@
         return True
 
     def resume_writing(self) -> None:
-        """If frames were dropped, have the owner send its full state again, as on a new link."""
+        """If frames were dropped, call `on_ready` again; the owner then sends its full state."""
         if self._has_dropped_frames and self.peer_handshake is not None:
             self._has_dropped_frames = False
             self._owner.on_ready(self, self.peer_handshake)
@@ -135,7 +135,7 @@
         return self._transport.is_closing()
 
     def close(self, reason: str = "") -> None:
-        """Abort the connection. If there is a reason, report it to the owner, which logs it."""
+        """Abort the connection. If `reason` is not empty, report it to the owner, which logs it."""
         if reason and not self._transport.is_closing():
             self._owner.on_refused(self, reason)
         self._transport.abort()
--- a/emberlatch/fleet/link_manager.py
+++ b/emberlatch/fleet/link_manager.py
@@ -1,11 +1,12 @@
 """Keeps one link between this member and each other member.
 
-Of two members, the one whose name sorts first dials. A connection is closed if the other side sends an
-invalid or too large frame, an older protocol version or the name of another fleet; nothing else is affected.
+Of two members, the one whose name sorts first dials the other. This process closes a connection if the
+other side sends an invalid or too large frame, an older protocol version or the name of another fleet. Other
+connections are not affected.
 
-A link on which no data arrives stays open while a second connection is dialled. If the cause was a network
-partition, the link works again after it heals; if the other process no longer exists, the second connection
-replaces the link.
+If no data arrives on a link for `IDLE_TIMEOUT_S`, the member that dials opens a second connection, and the
+link stays open meanwhile. If the cause was a network partition, the link works again after the partition has
+healed. If the other process no longer exists, the second connection replaces the link.
 """
 
 from __future__ import annotations
@@ -37,12 +38,12 @@
 IDLE_CHECK_S = IDLE_TIMEOUT_S / 3
 REDIAL_BACKOFF_S = 0.1  # delay after the first failure; doubled after each later one, up to the maximum
 MAX_REDIAL_BACKOFF_S = 1.0
-REDIAL_JITTER = (0.5, 1.0)  # range of the random factor by which each delay is multiplied
-MAX_UNIDENTIFIED_LINKS = 32  # links whose other side is not identified
+REDIAL_JITTER = (0.5, 1.0)  # each delay is multiplied by a random factor in this range
+MAX_UNIDENTIFIED_LINKS = 32  # limit on the links in `LinkManager._unidentified`
 
 
 class LinkObserver(Protocol):
-    """Receives the frames and state changes of the links, and supplies what is sent first on each."""
+    """Receives the frames and state changes of the links, and supplies the first frames on a link."""
 
     def handshake(self) -> Handshake:
         """Return the first frame on each link."""
@@ -51,19 +52,19 @@
         """Return this member's view of all members."""
 
     def on_handshake(self, handshake: Handshake) -> None:
-        """Handle a new link to a member, or a linked member's new incarnation."""
+        """Handle a handshake: a link to a member is new, or a linked member has a new incarnation."""
 
     def on_link_down(self, name: str) -> None:
         """Handle the loss of the link to a member; not called if another link has replaced it."""
 
     def on_frame(self, name: str, incarnation: int, frame: AnyFrame) -> None:
-        """Handle a frame of a member; `incarnation` is the one in the handshake of its link."""
+        """Handle a frame of a member; `incarnation` is that in the member's handshake on this link."""
 
 
 class LinkManager:
     """Dials, accepts and replaces links.
 
-    `dropped_frames` counts frames that were not sent, for lack of a link or of space in its send buffer.
+    `dropped_frames` counts the frames that `send` dropped: there was no link, or its send buffer was full.
     """
 
     def __init__(
@@ -72,10 +73,11 @@
         self._settings, self._observer = settings, observer
         self._tasks, self._machine = environment.tasks, environment.machine
         self._log_event = environment.log_event
-        self._random = random.Random(environment.seed + 1)  # a seed other than the membership machine's
+        self._random = random.Random(environment.seed + 1)  # differs from the seed of the membership machine
         self._addresses: dict[str, Address] = {}
         self._links: dict[str, Link] = {}
-        self._unidentified: dict[Link, None] = {}  # oldest first
+        # Accepted links that are not identified yet, and links to an earlier generation; the oldest first.
+        self._unidentified: dict[Link, None] = {}
         self._dialling: dict[str, asyncio.Task[None]] = {}
         self._acceptor: Acceptor | None = None
         self.dropped_frames = 0
@@ -124,7 +126,7 @@
             link.close()
 
     async def _dial(self, name: str) -> None:
-        """Keep a link to a member: dial while there is no link, or none on which data arrives."""
+        """Keep a link to a member: dial while there is no link, or no data arrives on the link."""
         loop, backoff_s = asyncio.get_running_loop(), REDIAL_BACKOFF_S
         while True:
             link = self._links.get(name)
@@ -154,7 +156,7 @@
         return self._observer.handshake()
 
     def on_connected(self, link: Link) -> None:
-        """Record a link whose other side is not identified; if there are too many, close the oldest."""
+        """Record an accepted link, which is not identified yet; if there are too many, close the oldest."""
         self._unidentified[link] = None
         if len(self._unidentified) > MAX_UNIDENTIFIED_LINKS:
             next(iter(self._unidentified)).close(
@@ -182,15 +184,17 @@
     def on_ready(self, link: Link, handshake: Handshake) -> None:
         """Start using an identified link.
 
-        Of two links to a member, use the one to the later generation; in one generation, use the newer link.
+        If there are two links to a member, use the link to the later generation. If both are to the same
+        generation, use the newer link.
         """
         self._unidentified.pop(link, None)
         old = self._links.get(handshake.name)
         if old is not None and not old.is_closing and _has_later_generation(old, handshake):
-            link.send(self._observer.membership_table())  # so that its process takes a later generation
+            # The process on this link learns of the later generation from the table, and takes a new one.
+            link.send(self._observer.membership_table())
             self._unidentified[link] = None
             return
-        self._links[handshake.name] = link  # before the old one is closed, so that its loss is not reported
+        self._links[handshake.name] = link  # before `old.close()`, so that no loss is reported
         if old is not None and old is not link:
             old.close()
         self._observer.on_handshake(handshake)
@@ -204,7 +208,7 @@
         self._log_event(FleetEvent.LINK_REFUSED, member=link.peer_name, why=reason)
 
     def on_lost(self, link: Link) -> None:
-        """Remove a closed link; report the loss if it was the one in use for its member."""
+        """Remove a closed link; report the loss if the link was the one in use for its member."""
         self._unidentified.pop(link, None)
         handshake = link.peer_handshake
         if handshake is not None and self._links.get(handshake.name) is link:
@@ -213,6 +217,6 @@
 
 
 def _has_later_generation(link: Link, handshake: Handshake) -> bool:
-    """Return whether the process on a link is of a later generation than the one that sent a handshake."""
+    """Return whether the process on a link has a later generation than the sender of a handshake."""
     known = link.peer_handshake
     return known is not None and generation_of(known.incarnation) > generation_of(handshake.incarnation)
--- a/emberlatch/fleet/log_events.py
+++ b/emberlatch/fleet/log_events.py
@@ -1,7 +1,7 @@
 """The events that a member logs, and the interface of its event log.
 
 The enum values are the names that are logged. They must not change: operators search logs for them, and the
-stored histories of storm tests contain them. docs/operators/fleet.md explains each to operators.
+stored histories of storm tests contain them. docs/operators/fleet.md explains each event to operators.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
     """This member has become isolated: `why`, an `IsolationReason`. JOINING, with which a member starts,
     is not logged."""
     MAJORITY_REACHED = "majority"
-    """This member is in contact with a majority: `was` (the `IsolationReason` until now), `seconds` (how long
-    it was isolated)."""
+    """This member is in contact with a majority again: `was` (the `IsolationReason` of the isolation that has
+    ended), `seconds` (how long the isolation lasted)."""
     QUOTA_SHARE_CHANGED = "standing"
     """This member's quota share has changed: `size` (of the fleet), `part` (the fraction of each rate limit),
     `closed` (the classes that are rejected), `cut` (an `IsolationReason`)."""
 
     PEER_STATE_CHANGED = "member"
-    """Another member has changed its state or generation: `member`, `state`, `was` (the state before),
+    """Another member has changed its state or generation: `member`, `state`, `was` (the previous state),
     `incarnation`, `life` (its generation)."""
     PEER_REACHED_DIRECTLY = "reached"
     """Another member answers direct probes again: `member`."""
--- a/emberlatch/fleet/membership/__init__.py
+++ b/emberlatch/fleet/membership/__init__.py
@@ -1,6 +1,6 @@
 """Failure detection: the SWIM protocol (Das 2002) with Lifeguard's local health awareness (Dadgar 2017).
 
-This package does no I/O: its input is frames and the time, its output is actions and the next due time.
+This package does no I/O. Its inputs are frames and the time; its outputs are actions and the next due time.
 """
 
 from emberlatch.fleet.membership.actions import Action, Halt, IncarnationChanged, LogEvent, SendFrame
--- a/emberlatch/fleet/membership/anti_entropy.py
+++ b/emberlatch/fleet/membership/anti_entropy.py
@@ -9,12 +9,12 @@
 from emberlatch.fleet.membership.peers import sample_names
 from emberlatch.fleet.membership.protocol_instance import ProtocolInstance
 
-INTERVAL_JITTER = (0.5, 1.5)  # range of the random factor by which each interval is multiplied
+INTERVAL_JITTER = (0.5, 1.5)  # each interval is multiplied by a random factor in this range
 DIGEST_BYTES = 8
 
 
 class AntiEntropy:
-    """Sends this member's digest to a random peer at an interval. `due` is the time of the next one (s)."""
+    """Regularly sends this member's digest to a random peer. `due` is when to send the next, in seconds."""
 
     def __init__(self, instance: ProtocolInstance, identity: OwnIdentity, now: float) -> None:
         self._identity, self._peers, self._outbox = identity, instance.peers, instance.outbox
@@ -36,7 +36,7 @@
         return hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
     def on_digest(self, sender: str, digest: Digest) -> None:
-        """Send the table to a member whose digest differs, and ask for its own."""
+        """If a member's digest differs, send it the table of this member and ask for its table."""
         if digest.value != self.digest():
             self._outbox.send(sender, self.table(reply_requested=True))
 
--- a/emberlatch/fleet/membership/dissemination.py
+++ b/emberlatch/fleet/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Sends queued updates as gossip, in addition to those on other frames. Times are in seconds."""
+"""Sends queued updates in Gossip frames. Other frames carry queued updates too. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from emberlatch.fleet.membership.peers import PRESENT, sample_names
 from emberlatch.fleet.membership.protocol_instance import ProtocolInstance
 
-LEAVE_FANOUT_FACTOR = 4  # multiplies the fan-out for a leaving member, which announces that only once
+LEAVE_FANOUT_FACTOR = 4  # multiplies the fan-out of the announcement of leaving, sent only once
 
 
 class Gossiper:
-    """Sends queued updates to a few randomly chosen peers at an interval."""
+    """Regularly sends queued updates to a few randomly chosen peers."""
 
     def __init__(self, instance: ProtocolInstance, now: float) -> None:
         self._peers, self._queue, self._outbox = instance.peers, instance.queue, instance.outbox
@@ -21,7 +21,7 @@
 
     @property
     def due(self) -> float:
-        """When updates are to be sent next; infinite while none is queued."""
+        """When updates are to be sent next; infinite while no update is queued."""
         return self._next_at if self._queue else math.inf
 
     def tick(self, now: float) -> None:
--- a/emberlatch/fleet/membership/identity.py
+++ b/emberlatch/fleet/membership/identity.py
@@ -1,4 +1,4 @@
-"""This member's own incarnation: it refutes suspicions, and halts if a later process has its name."""
+"""This member's own incarnation. The member refutes suspicions, and halts if a later process has its name."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 class ProcessIdentity:
     """Identifies a process of a member when it starts.
 
-    `generation` is one more than the last one in the state folder. `run_id` is a random id, which
+    `generation` is one more than the last generation in the state folder. `run_id` is a random id, which
     distinguishes two processes of the same generation.
     """
 
@@ -38,7 +38,8 @@
         self.incarnation = first_incarnation(process.generation)
         self.is_leaving = False
         self.is_halted = False
-        self.joined_at = math.inf  # end of the join window; a later generation is of another process then
+        # The end of the join window. A later generation that is seen after it belongs to another process.
+        self.joined_at = math.inf
         self._health, self._queue, self._outbox = health, instance.queue, instance.outbox
 
     @property
@@ -51,7 +52,7 @@
         return Handshake(fleet, self.name, self.incarnation, self.run_id, member_count=configured_size)
 
     def as_update(self) -> MemberUpdate:
-        """Return the update that states this member's own state."""
+        """Return an update with this member's own state, which is ALIVE or LEFT."""
         state = MemberState.LEFT if self.is_leaving else MemberState.ALIVE
         return MemberUpdate(self.name, state, self.incarnation, self.run_id)
 
@@ -63,16 +64,17 @@
         return update
 
     def end_join_window_at(self, at: float) -> None:
-        """Set when the join window ends, in which this process takes a later generation instead of halting.
+        """Set when the join window ends; if it was set before, the earlier of the two times counts.
 
-        The earliest of the times that are set counts.
+        If an update shows a later generation during the join window, this process takes the generation after
+        it instead of halting.
         """
         self.joined_at = min(self.joined_at, at)
 
     def on_update(self, now: float, update: MemberUpdate) -> None:
-        """Handle an update of another member on this one."""
+        """Handle an update on this member that another member has sent."""
         if update.incarnation < self.incarnation and update.state is not MemberState.ALIVE:
-            self._queue.add(self.as_update())  # the sender missed a refutation: send it again
+            self._queue.add(self.as_update())  # the sender has not received a refutation: send it again
         if self._is_about_this_process(update):
             if update.incarnation >= self.incarnation and update.state is not MemberState.ALIVE:
                 self._refute(update)
@@ -88,7 +90,7 @@
         if self.is_leaving:
             return
         if update.state is MemberState.SUSPECT:
-            self._health.adjust(1)  # a member whose frames get lost may also miss the others' frames
+            self._health.adjust(1)  # if this member's frames get lost, it may also miss frames of others
         self._advance_to(update.incarnation + 1)
         state = update.state.name.lower()
         self._outbox.log(FleetEvent.SUSPICION_REFUTED, state=state, by=update.suspected_by)
@@ -96,7 +98,7 @@
     def _resolve_conflict(self, now: float, update: MemberUpdate) -> None:
         """Handle an update on another process with this name, of the same generation or a later one."""
         other = generation_of(update.incarnation)
-        if now < self.joined_at:  # an earlier process that is not in the state folder
+        if now < self.joined_at:  # the generation of an earlier process, missing in the state folder
             self._outbox.log(FleetEvent.GENERATION_ADVANCED, before=other, life=other + 1)
             self._advance_to(first_incarnation(other + 1))
         elif other > self.generation:
--- a/emberlatch/fleet/membership/isolation.py
+++ b/emberlatch/fleet/membership/isolation.py
@@ -22,9 +22,9 @@
 class IsolationDetector:
     """Begins an isolation if too few peers are present or the process has stalled.
 
-    The isolation ends only once a majority has answered pings that were sent after its beginning. `reason` is
-    why the present isolation began, or NONE; `since` is when the latest one began or ended. Times are in
-    seconds on the machine's clock.
+    The isolation ends only after a majority has answered pings that were sent since the isolation began.
+    `reason` is why the present isolation began, or NONE. `since` is when the latest isolation began or ended.
+    Times are in seconds on the machine's clock.
     """
 
     def __init__(self, instance: ProtocolInstance, now: float) -> None:
@@ -44,7 +44,7 @@
         return self._next_confirmation_at if self.is_isolated else math.inf
 
     def review(self, now: float) -> None:
-        """Begin an isolation if too few peers are present; end one if a majority has answered."""
+        """Begin an isolation if too few peers are present; end the isolation if a majority has answered."""
         majority = self._peers.configured_size // 2 + 1
         if not self.is_isolated and self._peers.present_count < majority:
             self.begin_isolation(now, IsolationReason.NO_MAJORITY)
@@ -67,7 +67,10 @@
             self.review(now)
 
     def start_confirmation(self, now: float) -> list[str]:
-        """Return the peers to be pinged, if that is due: those that have not answered and have not left."""
+        """Return the peers to be pinged now: those that have not answered and have not left.
+
+        The list is empty if no ping is due yet.
+        """
         if now < self.due:
             return []
         self._next_confirmation_at = now + self._parameters.probe_interval_s
--- a/emberlatch/fleet/membership/local_health.py
+++ b/emberlatch/fleet/membership/local_health.py
@@ -1,4 +1,4 @@
-"""Lifeguard's local health multiplier (Dadgar 2017): how reliable a member's own failure detection is."""
+"""Lifeguard's local health multiplier (Dadgar 2017): slows probes if a member itself seems slow."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
         self.score, self._max_score = 0, max_score
 
     def adjust(self, by: int) -> None:
-        """Raise the score if this member seems less healthy; lower it if `by` is negative."""
+        """Add `by` to the score, within its limits; it is positive if this member seems less healthy."""
         self.score = max(0, min(self._max_score, self.score + by))
 
     def scale(self, time_s: float) -> float:
--- a/emberlatch/fleet/membership/machine.py
+++ b/emberlatch/fleet/membership/machine.py
@@ -1,7 +1,7 @@
-"""The membership machine: composes its parts, and passes frames and the time to them in order.
+"""The membership machine: creates its parts, and passes frames and the time to them in a fixed order.
 
-A member's view of the fleet may be wrong. The view may therefore influence when something is tried, but must
-not decide anything that may happen only once.
+A member's view of the fleet may be wrong. The view may therefore influence when something is tried. It must
+not decide whether something is done that may be done only once.
 """
 
 from __future__ import annotations
@@ -83,13 +83,13 @@
         return self._anti_entropy.table()
 
     def configure(self, now: float, member_names: Iterable[str]) -> None:
-        """Apply a changed list of members, and announce its size to the others."""
+        """Apply a changed list of members, and send its size to the members that are present."""
         other_names = set(member_names) - {self.identity.name}
         changed = other_names != set(self.peers)
         removed = self.peers.configure(now, other_names)
         self._transitions.remove(removed)
         self.prober.remove(removed)
-        if changed:  # the longest list sets the fleet size for all members, also for those that reload later
+        if changed:  # all members use the size of the longest list, also those that have not reloaded theirs
             for name in self.peers.names_in(*PRESENT):
                 self._outbox.send(name, self.membership_table())
         self.partition.review(now)
@@ -101,7 +101,7 @@
     # Events on links.
 
     def on_handshake(self, now: float, handshake: Handshake) -> None:
-        """Handle a new link to a member, or a linked member's new incarnation."""
+        """Handle a handshake: a link to a member is new, or a linked member has a new incarnation."""
         self._detect_stall(now)
         if (peer := self.peers.get(handshake.name)) is None:
             return
@@ -118,7 +118,7 @@
     def on_link_down(self, now: float, name: str) -> None:
         """Handle the loss of a link: probe that member next.
 
-        A process that has died refuses a new connection; one behind a network partition does not answer.
+        If its process has ended, a new connection is refused; behind a network partition, nothing answers.
         """
         self._detect_stall(now)
         if (peer := self.peers.get(name)) is not None and peer.is_present:
@@ -126,7 +126,7 @@
         self._schedule(now)
 
     def on_frame(self, now: float, sender: str, incarnation: int, frame: AnyFrame) -> None:
-        """Handle a frame; `incarnation` is the one in the handshake of its link."""
+        """Handle a frame; `incarnation` is the sender's incarnation in the handshake of the link."""
         self._detect_stall(now)
         peer = self.peers.get(sender)
         if peer is None or generation_of(incarnation) < peer.generation:
@@ -137,7 +137,7 @@
                 self._apply(now, updates)
                 self._outbox.send(sender, Ack(sequence, updates=self._queue.take(peer.refutable_update())))
             case Ack(updates=updates):
-                self._apply(now, updates)  # before on_ack, so that a refutation in it can be passed on
+                self._apply(now, updates)  # before `on_ack`, so that a relay can forward a refutation
                 self.prober.on_ack(now, sender, frame)
             case PingRequest(updates=updates):
                 self._apply(now, updates)
@@ -171,7 +171,7 @@
     # Timer and stall detection.
 
     def tick(self, now: float) -> None:
-        """Do everything that is due at this time."""
+        """Do all that is due now: probes, final probes, expired suspicions, gossip and anti-entropy."""
         self._detect_stall(now)
         self.prober.tick(now)
         self._transitions.tick(now)
@@ -205,7 +205,8 @@
             self.partition.due,
             self._gossiper.due,
             self._anti_entropy.due,
-            now + self.parameters.stall_s / 2,  # limits `due`, for `_detect_stall`, if probes are rare
+            # Keeps `due` near even if probes are rare, so that `_detect_stall` notices a stall.
+            now + self.parameters.stall_s / 2,
             *self._transitions.deadlines,
         ]
         self.due = max(now, min(times))
--- a/emberlatch/fleet/membership/peers.py
+++ b/emberlatch/fleet/membership/peers.py
@@ -1,4 +1,4 @@
-"""This member's view of each other member, and the rule by which an update supersedes it."""
+"""This member's view of each other member, and the rule that decides which updates replace the view."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class Peer:
-    """Another member in this one's view. Times are in seconds on the machine's clock."""
+    """This member's view of one other member. Times are in seconds on the machine's clock."""
 
     name: str
     state: MemberState = MemberState.JOINING
@@ -36,9 +36,9 @@
     run_id: str = ""
     state_since: float = 0.0
     last_frame_at: float = -math.inf  # when a frame from the peer itself last arrived
-    is_reached_directly: bool = True  # whether its latest answer was to a direct ping
+    is_reached_directly: bool = True  # whether the peer's latest answer was to a direct ping
     suspicion: Suspicion | None = None
-    returned_at: list[float] = field(default_factory=list)  # when it became alive after being unreachable
+    returned_at: list[float] = field(default_factory=list)  # times of its returns from unreachable
 
     @property
     def is_present(self) -> bool:
@@ -53,8 +53,8 @@
     def is_superseded_by(self, update: MemberUpdate) -> bool:
         """Return whether an update is newer than the present view of the peer.
 
-        Updates have a total order, by incarnation and then state, so that all members reach the same view in
-        whatever order updates arrive.
+        Updates are ordered by incarnation and then by state. All members therefore reach the same view, in
+        whatever order the updates arrive.
         """
         if self.state is MemberState.JOINING:
             return update.state is not MemberState.JOINING
@@ -68,7 +68,7 @@
         return MemberUpdate(self.name, self.state, self.incarnation, self.run_id, suspected_by)
 
     def refutable_update(self) -> MemberUpdate | None:
-        """Return the update that the peer must receive to refute it, if it is suspect or unreachable."""
+        """Return the update that a suspect or unreachable peer must receive to refute it, else None."""
         seems_failed = self.state in (MemberState.SUSPECT, MemberState.UNREACHABLE)
         return self.as_update() if seems_failed else None
 
@@ -87,7 +87,7 @@
 
     @property
     def fleet_size(self) -> int:
-        """The size of the largest fleet that may be alive, as configured here or announced by a peer."""
+        """The size of the largest fleet that may be alive: the longest list of members, here or at a peer."""
         return max([self.configured_size, *self._recorded_sizes.values()])
 
     @property
@@ -120,7 +120,7 @@
         return [peer.name for peer in self.values() if peer.state in states]
 
     def known_updates(self) -> list[MemberUpdate]:
-        """Return an update of each peer on which an update has been received."""
+        """Return an update on each peer that is not in the state JOINING."""
         return [peer.as_update() for peer in self.values() if peer.state is not MemberState.JOINING]
 
 
--- a/emberlatch/fleet/membership/probing.py
+++ b/emberlatch/fleet/membership/probing.py
@@ -11,11 +11,11 @@
 from emberlatch.fleet.membership.peers import ABSENT, PRESENT, Peer, sample_names
 from emberlatch.fleet.membership.protocol_instance import ProtocolInstance
 
-PING_RETENTION_S = 10.0  # how long after a ping its answer is still matched
+PING_RETENTION_S = 10.0  # a later answer to a ping is ignored
 NACK_FRACTION = 0.8  # part of the probe time-out after which a relay sends a Nack
-RTT_GAIN_UP, RTT_GAIN_DOWN = 0.3, 0.05  # gains of the moving average: fast up, slow down
-INTERVAL_JITTER = (0.9, 1.1)  # range of the random factor by which each interval is multiplied
-MIN_INTERVAL_RTTS, MIN_TIMEOUT_RTTS = 3, 1.5  # in round-trip times
+RTT_GAIN_UP, RTT_GAIN_DOWN = 0.3, 0.05  # gains of the moving average: it rises fast and falls slowly
+INTERVAL_JITTER = (0.9, 1.1)  # each interval is multiplied by a random factor in this range
+MIN_INTERVAL_RTTS, MIN_TIMEOUT_RTTS = 3, 1.5  # shortest probe interval and time-out, in round-trip times
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +103,7 @@
     # Handling answers.
 
     def on_ack(self, now: float, sender: str, ack: Ack) -> None:
-        """Match an answer with its ping; if the ping was sent for a requester, forward the answer to it."""
+        """Match an answer with its ping. If a member requested the ping, forward the answer to it."""
         ping = self._sent_pings.pop(ack.sequence, None)
         if ping is None or ping.target != (ack.answered_by or sender):
             return
@@ -127,7 +127,7 @@
         self.rtt_s += (rtt_s - self.rtt_s) * gain
 
     def on_nack(self, sequence: int) -> None:
-        """Record that a relay got no answer; this shows that the relay and the link to it work."""
+        """Record a relay's Nack: the target did not answer, but the relay and the link to it work."""
         if self._probe is not None and sequence in self._sent_pings:
             self._probe.nacks += self._sent_pings[sequence].target == self._probe.target
 
@@ -143,7 +143,7 @@
         return min(times)
 
     def tick(self, now: float) -> None:
-        """Request indirect probes, send Nacks and discard old pings, each only if due."""
+        """Request indirect probes and send Nacks that are due, and discard old pings."""
         probe = self._probe
         if probe is not None and probe.awaits_timeout and now >= probe.indirect_at:
             relays = self.request_indirect(now, probe.target)
@@ -158,7 +158,7 @@
                 del self._sent_pings[sequence]
 
     def conclude_probe(self) -> Peer | None:
-        """End the probe of this interval; return its peer if it did not answer and is to be suspected.
+        """End the probe of this interval; return the probed peer if it is to be suspected, else None.
 
         A missing Nack suggests that this member itself is slow, and raises its health score.
         """
@@ -175,7 +175,7 @@
         return peer
 
     def start_interval(self, now: float) -> None:
-        """Probe the next peer, and ping a random absent one, whose own frames may not reach this member."""
+        """Probe the next peer. Also ping a random absent peer: its own frames may not arrive here."""
         parameters = self._parameters
         interval_s = max(self._health.scale(parameters.probe_interval_s), MIN_INTERVAL_RTTS * self.rtt_s)
         self.next_interval_at = now + interval_s * self._rng.uniform(*INTERVAL_JITTER)
@@ -203,7 +203,7 @@
         self._unprobed = [*(other for other in self._unprobed if other != name), name]
 
     def remove(self, names: list[str]) -> None:
-        """Remove peers that are no longer configured from this round."""
+        """Remove peers from this round that are no longer configured."""
         self._unprobed = [name for name in self._unprobed if name not in names]
 
     def restart(self, now: float) -> None:
--- a/emberlatch/fleet/membership/protocol_instance.py
+++ b/emberlatch/fleet/membership/protocol_instance.py
@@ -17,7 +17,7 @@
 
     Attributes:
         parameters: the intervals, time-outs and limits of the protocol.
-        rng: the generator of all random draws; with a given seed, the draws depend on the order of calls.
+        rng: the generator of all random numbers; for a given seed, they depend on the order of calls.
         peers: this member's view of the other members.
         queue: the updates that are to be sent with the next frames.
         outbox: the actions requested since the caller last took them.
--- a/emberlatch/fleet/membership/suspicion.py
+++ b/emberlatch/fleet/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""The duration of a suspicion (Lifeguard): it is shortened by each confirmation of another member."""
+"""The duration of a suspicion (Lifeguard). Each confirmation by another member shortens the suspicion."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 class Suspicion:
     """The suspicion of one incarnation of a member: when it began, and which members share it.
 
-    Its duration decreases from the longest to the shortest with the logarithm of the number of members that
-    share it. Times are in seconds on the machine's clock.
+    The duration decreases from the longest to the shortest as more members share the suspicion, by the
+    logarithm of their number. Times are in seconds on the machine's clock.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self._final_deadline = math.inf
 
     def confirm(self, member: str) -> bool:
-        """Record that another member shares the suspicion; return whether to pass that on."""
+        """Record that another member shares the suspicion; return whether to forward the confirmation."""
         if member in self.suspected_by or len(self.suspected_by) > self._confirmations_needed:
             return False
         self.suspected_by.add(member)
@@ -54,7 +54,7 @@
 
     @property
     def deadline(self) -> float:
-        """When the final probe is to be sent; once it was sent, when the member is declared unreachable."""
+        """When the final probe is due or, if it was sent, when the member is declared unreachable."""
         if self.in_final_probe:
             return self._final_deadline
         if not self._confirmations_needed:
--- a/emberlatch/fleet/membership/transitions.py
+++ b/emberlatch/fleet/membership/transitions.py
@@ -1,4 +1,4 @@
-"""State changes of the peers: by updates of other members, failed probes and expired suspicions."""
+"""Changes the states of peers after updates of other members, failed probes and expired suspicions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PeerTransitions:
-    """Changes the states of the peers; no other part does. Times are in seconds on the machine's clock."""
+    """The only part that changes the states of peers. Times are in seconds on the machine's clock."""
 
     def __init__(
         self, own_name: str, instance: ProtocolInstance, partition: IsolationDetector, prober: Prober
@@ -23,7 +23,7 @@
         self._suspects: set[str] = set()
 
     def apply(self, now: float, update: MemberUpdate) -> None:
-        """Apply an update that another member sent, unless it is on a member that is not configured."""
+        """Apply an update that another member sent. An update on an unconfigured member is ignored."""
         peer = self._peers.get(update.name)
         if peer is None or update.state is MemberState.JOINING:
             return
@@ -52,9 +52,9 @@
             self._queue.add(update)
 
     def _verify_failure(self, now: float, peer: Peer, update: MemberUpdate) -> None:
-        """Treat an update that a peer is unreachable as a suspicion, and send the peer a final probe.
+        """Treat an UNREACHABLE update on a peer as a suspicion, and send the peer a final probe.
 
-        Such updates arrive when a network partition heals, from members that were on its other side.
+        After a network partition has healed, members that were on its other side send such updates.
         """
         if peer.state is MemberState.ALIVE:
             self.set_state(now, peer, self._suspicion_of(peer, update.suspected_by))
@@ -108,7 +108,7 @@
         return [suspicion.deadline for suspicion in suspicions if suspicion is not None]
 
     def tick(self, now: float) -> None:
-        """Send due final probes, and declare suspects unreachable that have not answered theirs in time."""
+        """Send final probes that are due. Declare suspects unreachable whose final probe timed out."""
         for name in list(self._suspects):
             peer = self._peers[name]
             if peer.suspicion is None or now < peer.suspicion.deadline:
--- a/emberlatch/fleet/membership/update_queue.py
+++ b/emberlatch/fleet/membership/update_queue.py
@@ -10,7 +10,7 @@
 
 
 class UpdateQueue:
-    """Updates to be sent: the newest of each member, each a limited number of times, the least sent first."""
+    """Queues the newest update on each member; sends each a limited number of times, least sent first."""
 
     def __init__(self, parameters: ProtocolParameters, peers: PeerTable) -> None:
         self._parameters, self._peers = parameters, peers
@@ -20,7 +20,7 @@
         return bool(self._queued)
 
     def add(self, update: MemberUpdate) -> None:
-        """Queue an update; it replaces an earlier one of the same member."""
+        """Queue an update, which replaces a queued update on the same member."""
         self._queued[update.name] = update, 0
 
     def take(self, first: MemberUpdate | None = None) -> tuple[MemberUpdate, ...]:
--- a/emberlatch/fleet/membership_change.py
+++ b/emberlatch/fleet/membership_change.py
@@ -1,6 +1,6 @@
 """Checks changes of the configured members.
 
-Only one member may change at a time, so that any majority before the change and any majority after it have
+Only one member may change at a time. Any majority of the old list and any majority of the new list then have
 a member in common.
 """
 
--- a/emberlatch/fleet/quota_shares.py
+++ b/emberlatch/fleet/quota_shares.py
@@ -1,8 +1,8 @@
-"""Computes a member's quota share, its fraction of each partner's rate limit, and the classes it rejects.
+"""Computes a member's quota share (its fraction of each partner's rate limit) and the classes it rejects.
 
-The shares of all members, on all sides of a network partition, never sum to more than the limit: each is at
-most 1/N, where N is the size of the largest fleet that may be alive, whichever members are reachable.
-Reachability only decides whether a member uses its full share. This module does no I/O.
+The shares of all members on all sides of a network partition never sum to more than the limit. Each share is
+at most 1/N, where N is the size of the largest fleet that may be alive, and does not depend on which members
+are reachable. Reachability only decides whether a member uses its full share. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 ISOLATED_FRACTION = 0.25  # fraction of its share that an isolated member uses
 RAMP_S = 0.8  # duration of the ramp from `ISOLATED_FRACTION` to the full share
 RAMP_STEP_S = 0.1
-ROUNDING_STEPS = 1e-6  # tolerance, in steps, so that rounding a time does not skip a step
+ROUNDING_STEPS = 1e-6  # tolerance in steps: a rounded time must not delay a step
 
 
 class IsolationPolicy(Enum):
-    """The treatment of a class's messages while the member is isolated, as named in the configuration."""
+    """How an isolated member treats the messages of a class. The values are those in the configuration."""
 
     FULL_SHARE = "own"
     """Messages are accepted. If any class has this policy, the member uses its full share for all classes."""
@@ -65,7 +65,7 @@
         return math.floor((now - self._changed_at) / RAMP_STEP_S + ROUNDING_STEPS)
 
     def _used_fraction(self, now: float) -> float:
-        """Return the fraction of its share that this member uses: a drop is immediate, an increase a ramp.
+        """Return the fraction of its share that this member uses: a drop is immediate, an increase gradual.
 
         The ramp keeps the members from returning to their full shares of a limit all at the same moment.
         """
--- a/emberlatch/fleet/service.py
+++ b/emberlatch/fleet/service.py
@@ -33,15 +33,16 @@
 log = structlog.stdlib.get_logger(__name__)
 
 SHARE_DECIMALS = 6  # decimal places of a quota share in the log
-LEAVE_FLUSH_S = 0.1  # wait before closing, so that the announcement of leaving is sent
-MIN_TIMER_S = 0.001  # a clock that drifts from the event loop's would never reach a due time exactly
+LEAVE_FLUSH_S = 0.1  # time for sending the announcement of leaving before the links are closed
+# If the member's clock drifts from the event loop's, it would never reach a due time exactly.
+MIN_TIMER_S = 0.001
 
 
 class FleetObserver(EndpointObserver, Protocol):
     """Acts on changes of this member's view of the fleet."""
 
     def on_quota_share(self, share: QuotaShare) -> None:
-        """Apply a changed quota share or changed closed classes from now on."""
+        """Apply a changed quota share, or a change of the classes whose messages are rejected."""
 
     def on_halt(self, reason: str) -> None:
         """End this process, because another process has this member's name."""
@@ -50,7 +51,7 @@
 class FleetService:
     """Passes events to the membership machine, carries out its actions, and sets a timer for its next tick.
 
-    `membership` is the membership machine; `is_new_folder` is whether the state folder had no generation yet.
+    `membership` is the membership machine. `is_new_folder` is true if the state folder had no generation.
     """
 
     def __init__(
@@ -92,7 +93,7 @@
 
     async def leave(self) -> None:
         """Announce that this member leaves the fleet, and close."""
-        # A halted process announces nothing: another process has the name.
+        # A halted process must not announce that the member leaves: another process runs under its name.
         if not self._is_closed and not self.membership.identity.is_halted:
             self._run(self.membership.leave)
             self._log_event(FleetEvent.LEAVING)
@@ -112,11 +113,11 @@
         self._run(lambda now: self.membership.configure(now, peer_addresses))
 
     def share_endpoint_hold(self, target: str, seconds: float) -> None:
-        """Share with the other members that an endpoint asked this one not to call for `seconds`."""
+        """Inform the other members that an endpoint asked this member not to call it for `seconds`."""
         self._endpoints.share_hold(target, seconds)
 
     def share_endpoint_phases(self, phases: Mapping[str, Phase]) -> None:
-        """Share the phases of endpoints whose phase has changed in this member's endpoint list."""
+        """Inform the other members of phases that have changed in this member's endpoint list."""
         self._endpoints.share_phases(phases)
 
     def status(self) -> FleetStatus:
@@ -139,7 +140,7 @@
         return self.membership.membership_table()
 
     def on_handshake(self, handshake: Handshake) -> None:
-        """Handle a new link to a member, or a linked member's new incarnation."""
+        """Handle a handshake: a link to a member is new, or a linked member has a new incarnation."""
         self._run(lambda now: self.membership.on_handshake(now, handshake))
         self._endpoints.send_all(handshake.name)
 
@@ -156,7 +157,7 @@
     # Running the membership machine.
 
     def _run(self, event: Callable[[float], None]) -> None:
-        """Pass an event to the machine, carry out its actions, and apply its view."""
+        """Pass an event to the machine, carry out its actions, and update the quota share and the timer."""
         if self._is_closed:
             return
         now = self._clock()
@@ -208,7 +209,7 @@
         self._run(self._tick_if_due)
 
     def _tick_if_due(self, now: float) -> None:
-        """Tick the machine if it is due; the timer may have been set for the quota share."""
+        """Call the machine's `tick` if it is due; the timer may have been set for the quota share instead."""
         if now >= self.membership.due:
             self.membership.tick(now)
 
--- a/emberlatch/fleet/settings.py
+++ b/emberlatch/fleet/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a fleet member, which it needs when it starts."""
+"""The settings with which a fleet member starts."""
 
 from __future__ import annotations
 
--- a/emberlatch/fleet/status.py
+++ b/emberlatch/fleet/status.py
@@ -11,12 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerStatus:
-    """Another member in this one's view."""
+    """This member's view of another member."""
 
     state: str
-    generation: int  # 0 if no update on it has been received
+    generation: int  # 0 if no update on the peer has been received
     state_age_s: float
-    last_frame_age_s: float | None  # None if it has sent no frame
+    last_frame_age_s: float | None  # None if the peer has sent no frame
     is_reached_directly: bool
 
     @classmethod
--- a/emberlatch/inventory/assembly.py
+++ b/emberlatch/inventory/assembly.py
@@ -1,7 +1,8 @@
-"""Assembles the files of an inventory into one validated set, or reports every problem.
+"""Assembles the files of an inventory into one validated inventory, or reports every problem.
 
-A row is reported once for each of its own faults. A conflict between rows is reported at the minority:
-the later of two rows, or the spelling that fewer rows use, with the location of the other.
+Each problem of a single row is reported once. A duplicate id or address is reported at the later row. A
+conflict of spellings or numbers is reported at the rows with the less frequent value. Each report of a
+conflict also gives the location of the other row.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
     "kind": "the kind of partner",
     "wing": "the wing that it stands in",
 }
-"""Required fields, and the remedy where one is missing."""
+"""Required field -> the remedy if the field is missing."""
 
 
 def assemble(files: Iterable[ParsedFile], vocabulary: Vocabulary = _EMPTY_VOCABULARY) -> Inventory:
@@ -85,7 +86,7 @@
         return unique
 
     def _resolved(self, row: Row, partners: Mapping[str, Defaults]) -> FieldValues:
-        """Return all values of a row, by precedence: its own, its groups', its partner's, the defaults."""
+        """Return all values of a row. Precedence: the row, its groups, its partner, the defaults."""
         values = {**self._groups.inherited_by(row), **row.values}
         self._move_partner_name(row, values)
         name = values.get("partner")
@@ -128,7 +129,7 @@
                 self._add_problem(row.location("protocol"), "protocol", fault, "a kind with batch = 1")
 
     def _check_unique(self, rows: list[ResolvedRow], field: str) -> None:
-        """Report each row whose value of `field` (`id` or `address`) an earlier row has."""
+        """Report each row that has the same `id` or `address` (`field`) as an earlier row."""
         first: dict[FieldValue, ResolvedRow] = {}
         for row, values in rows:
             value = values[field]
--- a/emberlatch/inventory/changes.py
+++ b/emberlatch/inventory/changes.py
@@ -1,4 +1,4 @@
-"""Compares the endpoints of two inventories; their division into files and rows makes no difference."""
+"""Compares the endpoints of two inventories, regardless of their files and rows."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """An endpoint before and after; `before` is None if it was added, `after` if it was removed."""
+    """An endpoint before and after a change. `before` is None if it was added, `after` is None if removed."""
 
     before: Endpoint | None
     after: Endpoint | None
@@ -56,7 +56,7 @@
 
 
 def diff(old: Inventory, new: Inventory) -> list[Change]:
-    """The changes from one inventory to the other, ordered by id.
+    """Return the changes from the inventory `old` to `new`, ordered by id.
 
     An endpoint that changed its wing or its destination is reported as one removed and one added.
     """
--- a/emberlatch/inventory/csv_format.py
+++ b/emberlatch/inventory/csv_format.py
@@ -12,7 +12,7 @@
 
 _FORMULA = re.compile(r"[=+@\t\r-]")
 _GROUP = "group"
-"""The column with the YAML group that a row inherits from; not a field of the endpoint."""
+"""The column that names the YAML group from which a row inherits; it is not a field of an endpoint."""
 
 
 def parse_csv(text: str, file: str, vocabulary: Vocabulary) -> ParsedFile:
@@ -48,7 +48,7 @@
 
 
 def _parse_header(builder: ParsedFileBuilder, line: int, cells: list[str]) -> list[str | None]:
-    """The field of each column; None for a column that is unknown."""
+    """Return the field of each column, None for an unknown column; report problems of the header."""
     columns: list[str | None] = []
     for cell in cells:
         field: str | None
--- a/emberlatch/inventory/fields.py
+++ b/emberlatch/inventory/fields.py
@@ -39,7 +39,7 @@
 
 
 class FieldError(Exception):
-    """Raised for an invalid cell or field name; `fault` is what is wrong."""
+    """Raised for an invalid cell or field name; `fault` is what is wrong, `remedy` what to write instead."""
 
     def __init__(self, fault: str, remedy: str = "") -> None:
         super().__init__(f"{fault}; {remedy}")
@@ -47,7 +47,7 @@
 
 
 def field_named(name: str) -> str:
-    """Return the field for the name of a column or key; raises FieldError if the name is unknown."""
+    """Return the field that a column or key names; raises FieldError if the name is unknown."""
     name = name.strip()
     if name in FIELDS:
         return name
--- a/emberlatch/inventory/file_set.py
+++ b/emberlatch/inventory/file_set.py
@@ -1,4 +1,4 @@
-"""The parsed contents of all inventory files, each as of its last stable state."""
+"""Keeps the parsed contents of all inventory files, each as it was when last read."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
     def read_first(self, now: float, wall: float, accept_recent: bool) -> None:
         """Read the files that exist at the start; raises RefusedError if a configured path does not exist.
 
-        A file that was modified within the quiet period, and not renamed into place, may be half
-        written: a later scan reads it. With `accept_recent` it is read now, as there is no other inventory
-        to use. `now` is monotonic time, `wall` Unix time, in seconds.
+        A file that was modified within the quiet period may be incomplete, unless it was renamed into place.
+        A later scan reads it. With `accept_recent` it is read now, as there is no other inventory to use.
+        `now` is monotonic time and `wall` is Unix time, both in seconds.
         """
         if missing := missing_paths(self._paths):
             raise RefusedError(missing)
@@ -44,7 +44,10 @@
         self.waiting = self._stability.scan(now, found).waiting
 
     def update(self, now: float, forced: bool) -> bool:
-        """Read the files that are stable; returns whether any was read or deleted. Raises RefusedError."""
+        """Read the changed files that are stable; return whether any file was read or deleted.
+
+        Raises RefusedError if there are too many files.
+        """
         result = self._stability.scan(now, scan(self._paths), forced)
         self.waiting = result.waiting
         were_read = [self._read(path, None) for path in result.to_read]
@@ -57,7 +60,7 @@
     def _read(self, path: str, expected: FileSignature | None) -> bool:
         """Read and parse a file; returns False if it can't be read or its signature is not `expected`.
 
-        If `expected` is None, every signature is accepted.
+        If `expected` is None, any signature is accepted.
         """
         try:
             signature, data = read(path)
--- a/emberlatch/inventory/groups.py
+++ b/emberlatch/inventory/groups.py
@@ -12,14 +12,14 @@
 """Receives a location, a field (may be empty), what is wrong there, and the remedy."""
 
 _FIELDS_OF_GROUPS = ("partner", "kind", "wing", "destination")
-"""Fields that an undefined group might have set: they are not reported as missing in its rows."""
+"""Required fields that a group may set. In rows of an undefined group they are not reported as missing."""
 
 
 class Groups:
-    """The groups of all files; reports a group with two parents, or with two values of one field."""
+    """The groups of all files. Reports a group that is inside itself, or has two parents or two values."""
 
     def __init__(self, definitions: Iterable[Defaults], add_problem: AddProblem) -> None:
-        """Merge the definitions, ordered by file and line; a conflict is reported at the later one."""
+        """`definitions` are ordered by file and line; a conflict is reported at the later definition."""
         self._add_problem = add_problem
         self._values: dict[str, FieldValues] = {ROOT_GROUP: {}}
         self._parents: dict[str, str] = {}
@@ -57,7 +57,7 @@
             del self._parents[name]
 
     def _ancestry(self, name: str) -> list[str]:
-        """The group and its ancestors, from the group itself to the root group."""
+        """Return the names of the group and its ancestors, from the group itself to the root group."""
         ancestry = [name]
         while (parent := self._parents.get(ancestry[-1])) is not None and parent not in ancestry:
             ancestry.append(parent)
@@ -72,7 +72,7 @@
         }
 
     def inherited_by(self, row: Row) -> FieldValues:
-        """Return the values that a row inherits; report its group if that is not defined."""
+        """Return the values that a row inherits from its group; report a group that is not defined."""
         name = row.group or ROOT_GROUP
         if name not in self._inherited:
             fault = f"{name!r} is not defined"
--- a/emberlatch/inventory/last_good.py
+++ b/emberlatch/inventory/last_good.py
@@ -1,4 +1,4 @@
-"""Stores the last good inventory in the state folder, for restarts while the inventory files are invalid.
+"""Stores the last valid inventory in the state folder; it is used if the files are invalid at a restart.
 
 The file has JSON lines: a header with version, time and digest, then one endpoint per line.
 """
@@ -30,7 +30,7 @@
     "draining": "draining",
     "tags": "tags",
 }
-"""Attribute of `Endpoint` -> key in the file, in the order of the file. The keys must never change."""
+"""Attribute of `Endpoint` -> key in the stored file, in the order of the keys. The keys must never change."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,9 +49,9 @@
     """Replace the stored inventory; if that raises OSError, the stored inventory is unchanged."""
     new = folder / f"{FILE_NAME}.new"
     header = {"version": _FORMAT_VERSION, "taken": taken_at, "digest": inventory.digest}
-    # A single `json.dumps` call for all endpoints would block the event loop for its duration. Many small
-    # writes would too: a thread that repeatedly releases the interpreter lock for an instant starves the
-    # thread that waits for the lock.
+    # A single `json.dumps` call for all endpoints would block the event loop, as it does not release the
+    # interpreter lock. Many small writes would block it too: each releases the lock only for an instant, so
+    # that the event loop's thread rarely gets it.
     with new.open("w", buffering=WRITE_BUFFER_BYTES) as file:
         for document in chain([header], map(_to_document, inventory.endpoints.values())):
             file.write(json.dumps(document, separators=(",", ":")) + "\n")
--- a/emberlatch/inventory/membership.py
+++ b/emberlatch/inventory/membership.py
@@ -1,4 +1,4 @@
-"""The engine's membership from an inventory: watches the files, and reports changed endpoints."""
+"""Provides the engine with endpoints from an inventory: watches the files, and reports changes."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         on_update: Callable[[DirectoryUpdate, Addresses], None],
         tasks: Tasks,
     ) -> None:
-        """Load the first inventory; raises RefusedError if neither files nor state folder have one."""
+        """Load the first inventory; raises RefusedError if files and state folder have no valid one."""
         self._files = InventoryFiles(paths, quiet_period_s, vocabulary)
         self._state_folder, self._vocabulary = state_folder, vocabulary
         self._poll_interval_s = poll_interval_s
@@ -49,11 +49,14 @@
         self.taken_at = 0.0
         """Unix time, in seconds, from which the current inventory was used."""
         self.problems: tuple[Problem, ...] = ()
-        """Why the newest files are not in use; empty if they are."""
+        """Why the newest files were rejected; empty if they are in use or may be incompletely written."""
         self._load_first()
 
     def _load_first(self) -> None:
-        """Use the files if they are valid and completely written, else the last good inventory."""
+        """Use the files if they are valid and complete, else the last good inventory.
+
+        Without a last good inventory, files that may be incomplete are used too.
+        """
         last = last_good.load(self._state_folder)
         if last is not None and not _fits(last.inventory, self._vocabulary):
             last = None
@@ -81,11 +84,11 @@
         return self._files.waiting
 
     def named(self, partner: str) -> int | None:
-        """The destination number of a partner; None if the inventory has no such partner."""
+        """Return the destination number of a partner; None if the inventory has no such partner."""
         return self.inventory.names.get(partner)
 
     def start(self) -> None:
-        """Report all endpoints, none of which needs a slow start, and begin to watch the files."""
+        """Report all endpoints, as not needing a slow start, and begin to watch the files."""
         entries = tuple(self._entry(endpoint) for endpoint in self.inventory.endpoints.values())
         addresses = {target: endpoint.address for target, endpoint in self.inventory.endpoints.items()}
         self._revision += 1
@@ -127,7 +130,7 @@
                 await self._apply(new)
 
     def _read_files(self, forced: bool) -> Inventory | None:
-        """Read changed files and return the new inventory, None if no file has changed. Runs in a thread."""
+        """Read changed files; return the new inventory, or None if no file has changed. Runs in a thread."""
         with _garbage_collection_paused():
             if not self._files.update(time.monotonic(), forced):
                 return None
@@ -154,8 +157,8 @@
             "inventory set %s is now in use: %d changes, %d endpoints", new.digest, len(changes), len(new)
         )
         self.inventory, self.taken_at = new, time.time()
-        # Removals and drains are reported first: they must take effect within 500 ms, and an endpoint that
-        # changes its wing must not be in two wings at once.
+        # Removals come first, then draining endpoints, then all others. Removals and drains must take effect
+        # within 500 ms, and an endpoint that changes its wing must not be in two wings at once.
         changes.sort(key=lambda c: (c.after is not None, c.after is not None and not c.after.draining))
         for start in range(0, len(changes), CHANGES_PER_UPDATE):
             self._report_changes(changes[start : start + CHANGES_PER_UPDATE])
--- a/emberlatch/inventory/model.py
+++ b/emberlatch/inventory/model.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """A validation problem: its location, its field (may be empty), what is wrong and the remedy."""
+    """A validation problem: its location, its field (may be empty), the fault and the remedy."""
 
     location: SourceLocation
     field: str
@@ -52,7 +52,8 @@
 class Vocabulary:
     """The values that an installation's configuration allows in its inventory.
 
-    The order of `wings` and of `kinds` gives the decision module's indices of zones and kinds.
+    A wing is a zone of the decision module, which identifies zones by their index in `wings` and kinds by
+    their index in `kinds`.
     """
 
     wings: tuple[str, ...]
@@ -81,8 +82,8 @@
     def target(self) -> bytes:
         """The endpoint's identity in the decision module and in the journal.
 
-        The identity includes the wing: an endpoint that moved to another wing counts as a new endpoint, since
-        a keyed message that may have run in the old wing must not be repeated in the new one. The identity
+        The identity includes the wing, so an endpoint that moved to another wing counts as a new endpoint. A
+        keyed message that may have run in the old wing must not be repeated in the new wing. The identity
         includes the destination because only messages to that destination may be sent to the endpoint.
         """
         return f"{self.id}@{self.wing}/{self.destination}".encode()
@@ -102,7 +103,7 @@
 class Inventory:
     """A validated set of endpoints by target, in the order of their ids.
 
-    Two inventories are equal if their endpoints are, whatever files and rows they were read from.
+    Two inventories are equal if their endpoints are equal; files and rows are not compared.
     """
 
     def __init__(self, endpoints: Iterable[Endpoint]) -> None:
@@ -118,9 +119,9 @@
         return len(self.endpoints)
 
     def sharing(self, other: Inventory) -> Inventory:
-        """Replace endpoints by equal objects of `other`; returns this inventory.
+        """Replace each endpoint that has an equal object in `other` by that object; return this inventory.
 
-        After a small change few new objects stay alive, so the garbage collector has few to traverse.
+        After a small change, only a few new objects remain for the garbage collector to traverse.
         """
         for target, endpoint in self.endpoints.items():
             if other.endpoints.get(target) == endpoint:
@@ -152,6 +153,6 @@
 
 
 def destination_number(partner: str) -> int:
-    """Derive the number of a partner without an assigned one; it is the same in every file and process."""
+    """Derive a destination number from a partner's name; the result is the same in every process."""
     digest = hashlib.blake2b(partner.encode(), digest_size=_DIGEST_BYTES).digest()
     return FIRST_DERIVED_DESTINATION + int.from_bytes(digest, "big")
--- a/emberlatch/inventory/parsed_file.py
+++ b/emberlatch/inventory/parsed_file.py
@@ -15,7 +15,7 @@
     """Marks a value whose problem is already reported, so that later checks don't report it again."""
 
     def __reduce__(self) -> str:
-        return "INVALID"  # there is one instance, also after unpickling
+        return "INVALID"  # unpickling gives the module's only instance
 
 
 INVALID: Final = Invalid()
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class Row:
-    """An endpoint as in its file; `lines` has the line of each field that is not on the row's own line."""
+    """An endpoint as written in its file. `lines` has the lines of fields, if the parser gives them."""
 
     file: str
     line: int
@@ -41,13 +41,13 @@
     lines: dict[str, int] | None = None
 
     def location(self, name: str = "") -> SourceLocation:
-        """Return where a field was written, or where the row was if the field has no line of its own."""
+        """Return the location of a field, or of the row if no line is recorded for the field."""
         return SourceLocation(self.file, (self.lines or {}).get(name, self.line))
 
 
 @dataclass(slots=True)
 class Defaults:
-    """Values that rows inherit: those of a group (with its parent, if it has one) or of a partner."""
+    """Values that rows inherit from a group or a partner. `parent` is the group's parent, if any."""
 
     name: str
     file: str
@@ -76,7 +76,7 @@
 
 
 class PickledFile:
-    """A parsed file in pickled form, kept in memory until another file changes.
+    """A parsed file in pickled form, kept in memory; it is unpickled when the inventory is assembled.
 
     If the rows of a large inventory were kept as objects, each full garbage collection would traverse
     them, which stalls the event loop.
--- a/emberlatch/inventory/partners.py
+++ b/emberlatch/inventory/partners.py
@@ -1,4 +1,4 @@
-"""Checks that each partner has one spelling and one destination number, and each number one partner.
+"""Checks that a partner has only one spelling and one number, and that a number has only one partner.
 
 A conflict is reported at each row of the minority, with the location of a row of the majority.
 """
@@ -20,7 +20,7 @@
 
 
 def unify_spelling(rows: list[ResolvedRow], partners: Iterable[Defaults], add_problem: AddProblem) -> None:
-    """Report each name whose spelling is not the most frequent one, and replace it by that spelling."""
+    """Report each use of a spelling that is not the most frequent, and replace it by the most frequent."""
     spellings: dict[str, dict[str, list[SourceLocation]]] = {}
     for row, values in rows:
         if isinstance(name := values["partner"], str):
@@ -59,7 +59,7 @@
 
 
 def _assigned_numbers(rows: list[ResolvedRow], add_problem: AddProblem) -> dict[str, int]:
-    """Return the destination number of each partner that stands with a number in any row."""
+    """Return the destination number of each partner for which any row gives a number."""
     uses: dict[str, dict[int, list[SourceLocation]]] = {}
     for row, partner, number in _rows_with_both(rows):
         uses.setdefault(partner, {}).setdefault(number, []).append(row.location("destination"))
@@ -84,7 +84,7 @@
 
 
 def _rows_with_both(rows: list[ResolvedRow]) -> Iterator[tuple[Row, str, int]]:
-    """The rows that have both a partner's name and a destination number."""
+    """Yield each row that has a partner's name and a destination number, with the name and the number."""
     for row, values in rows:
         if isinstance(values["partner"], str) and isinstance(values["destination"], int):
             yield row, values["partner"], values["destination"]
@@ -96,7 +96,7 @@
     describe: Callable[[_Value, _Value], str],
     add_problem: AddProblem,
 ) -> _Value:
-    """Return the most frequent value, on a tie the first, and report each use of another value."""
+    """Return the most frequent value (on a tie, the first), and report each use of another value."""
     majority = min(uses, key=lambda value: (-len(uses[value]), uses[value][0]))
     for value, locations in uses.items():
         if value == majority:
--- a/emberlatch/inventory/reader.py
+++ b/emberlatch/inventory/reader.py
@@ -1,4 +1,4 @@
-"""Finds and reads inventory files, and parses them by their format. All file reads are made here."""
+"""Finds, reads and parses inventory files. No other module reads them."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class UnstableFileError(Exception):
-    """Raised when a file changed while it was read, or may not be completely written."""
+    """Raised when a file changed while it was read, or may be incompletely written."""
 
 
 def scan(paths: Iterable[Path]) -> dict[str, FileSignature]:
@@ -80,7 +80,7 @@
 
 
 def parse(data: bytes, file: str, vocabulary: Vocabulary) -> ParsedFile:
-    """Parse a file's contents in the format that the extension of its name gives."""
+    """Parse a file's contents. The extension of the file's name determines the format."""
     builder = ParsedFileBuilder(file)
     parser = PARSERS.get(Path(file).suffix.lower())
     if parser is None:
@@ -105,7 +105,8 @@
 def _non_text_positions(text: str) -> Iterator[int]:
     """Yield the positions of control characters and undecodable bytes.
 
-    The text is searched in chunks because a search call does not release the interpreter lock.
+    The text is searched in chunks, because each search call blocks all other threads: it does not release the
+    interpreter lock.
     """
     for start in range(0, len(text), SEARCH_CHUNK_CHARACTERS):
         for match in _NON_TEXT.finditer(text, start, start + SEARCH_CHUNK_CHARACTERS):
@@ -121,7 +122,7 @@
 
 
 def load(paths: Iterable[Path], vocabulary: Vocabulary) -> Inventory:
-    """Read an inventory once from its current files; raises RefusedError with every problem."""
+    """Read an inventory from the files as they are now; raises RefusedError with every problem."""
     paths = list(paths)
     parsed: list[ParsedFile] = []
     unread: list[Problem] = []
--- a/emberlatch/inventory/stability.py
+++ b/emberlatch/inventory/stability.py
@@ -1,9 +1,9 @@
 """Decides when an inventory file may be read, so that a file is never read while it is half written.
 
-A file that was renamed into its path is complete: its name changed after its last write (the change time
-is later than the modification time), so it may be read at once. A file that was written in place may be
-incomplete, whatever it contains, and so may one that is new, empty or missing: each is used once its
-signature has not changed for a quiet period.
+A file that was renamed into its path after its last write is complete and may be read at once. Its change
+time is later than its modification time. A file that was written in place may be incomplete, whatever it
+contains. Any other new file, an empty file and a missing file may be incomplete too. Such a file is used
+after its signature has not changed for a quiet period.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from dataclasses import dataclass, field
 
 FORCED_QUIET_PERIOD_S = 0.2
-"""The longest quiet period of a scan that an operator requested."""
+"""The maximum of the quiet period in a forced scan, for example after an operator's reload command."""
 
 
 @dataclass(frozen=True, slots=True)
 class FileSignature:
-    """Parts of a file's `stat` result; every write and every rename changes at least one of them."""
+    """Fields of a file's `stat` result. Every write and every rename changes at least one of these fields."""
 
     device: int
     inode: int
@@ -41,7 +41,7 @@
 
 
 class StabilityTracker:
-    """Tracks the signatures of the files in use, and for how long each changed file has been stable.
+    """Tracks the signatures of the files in use, and how long changed files have been stable.
 
     All times are in seconds of one monotonic clock, which the caller reads.
     """
@@ -78,7 +78,7 @@
         return now - pending[1]
 
     def mark_read(self, path: str, signature: FileSignature) -> None:
-        """Record that a file was read, and had the same signature before and after."""
+        """Record that a file was read, and that it had this signature before and after the read."""
         self._in_use[path] = signature
         self._pending.pop(path, None)
 
--- a/emberlatch/inventory/writer.py
+++ b/emberlatch/inventory/writer.py
@@ -1,4 +1,4 @@
-"""Writes an inventory as CSV or YAML text; parsed again, the text gives an equal inventory."""
+"""Writes an inventory as CSV or YAML text. Parsing the text gives an equal inventory."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from emberlatch.inventory.model import FIRST_DERIVED_DESTINATION, Endpoint, Inventory
 
 _GROUP_FIELDS = ("id", "kind", "wing")
-"""Fields that a YAML file gives in the host's key and the group's vars."""
+"""Fields that are not in a host's mapping in YAML: `id` is the host's key, the others are group vars."""
 
 _NUMBERS = ("limit", "destination")
 _MAX_GROUP_CHARACTERS = 64
 
 
 def cells(endpoint: Endpoint) -> dict[str, str]:
-    """Return the cells of an endpoint by field; a cell is empty if the reader derives its value."""
+    """Return the cells of an endpoint by field. A value that a parser derives itself is left empty."""
     derived = endpoint.destination >= FIRST_DERIVED_DESTINATION
     return {
         "id": endpoint.id,
--- a/emberlatch/inventory/yaml_format.py
+++ b/emberlatch/inventory/yaml_format.py
@@ -1,4 +1,4 @@
-"""Parses inventory files in YAML, structured like those of configuration tools: vars, hosts, children."""
+"""Parses inventory files in YAML, structured like those of Ansible: groups with vars, hosts and children."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
                 self._group(key, value, None)
 
     def _items(self, node: Node, what: str) -> list[tuple[Scalar, Node]]:
-        """Return the items of a mapping; an empty value counts as an empty mapping, others are reported."""
+        """Return the items of a mapping, or none for an empty value; report any other node."""
         if isinstance(node, Mapping):
             return list(node.items.values())
         if not (isinstance(node, Scalar) and node.empty):
@@ -117,7 +117,7 @@
         return values, lines
 
     def _value(self, field: str, node: Node) -> FieldValue:
-        """Return the value of a node; report an invalid one and return INVALID."""
+        """Return the value of a node. If the value is invalid, report it and return INVALID."""
         try:
             if isinstance(node, Sequence) and field == "tags":
                 texts = [self._text(field, item) for item in node.items]
--- a/emberlatch/inventory/yaml_nodes.py
+++ b/emberlatch/inventory/yaml_nodes.py
@@ -1,7 +1,7 @@
 """Composes YAML as a tree of nodes with line numbers, and reports constructs that YAML readers disagree on.
 
-The nodes are composed from PyYAML's parser events, not by its loader: the loader resolves by YAML 1.1
-(`no` is false there), follows aliases, and keeps the last of two equal keys.
+The nodes are composed from PyYAML's parser events, not by PyYAML's loader. The loader follows YAML 1.1, in
+which `no` is false. It also follows aliases, and keeps only the last of two equal keys.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class Scalar:
-    """A scalar; `plain` if it was written without quotes."""
+    """A scalar; `plain` is true if it was written without quotes."""
 
     text: str
     plain: bool
@@ -49,9 +49,9 @@
         return self.plain and self.text in ("", "~", "null")
 
     def ambiguity(self, numbers: bool) -> str:
-        """Why another YAML reader might not read the scalar as text; empty if the scalar is unambiguous.
+        """Return why a YAML reader might not read the scalar as text; empty if the scalar is unambiguous.
 
-        Plain numbers are unambiguous where a number is expected.
+        `numbers` is whether a number is expected; a plain number is then unambiguous.
         """
         if not self.plain:
             return ""
@@ -145,7 +145,7 @@
 
 
 def compose(text: str, report: ReportProblem) -> Node | None:
-    """Compose a text; returns its root node, None if it is empty or can't be composed (which is reported)."""
+    """Compose a text; return its root node, or None if the text is empty or an error was reported."""
     # The C parser is optional, and gives the same events.
     loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
     try:
--- a/emberlatch/standalone/answers.py
+++ b/emberlatch/standalone/answers.py
@@ -1,6 +1,7 @@
 """The commands and answers of the control socket, with the keys of their JSON objects.
 
-Operators' scripts read the keys (`--json`), so they must not change; field names may differ from them.
+Operators' scripts read the keys (`--json`), so the keys must not change. A field may have another name than
+its key.
 """
 
 from __future__ import annotations
@@ -28,14 +29,14 @@
 
 
 class InventoryAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The inventory in force, and why changed files are not in force yet."""
+    """The current inventory, and why changed files are not in use yet."""
 
     digest: str = msgspec.field(name="set")
     taken_at: float = msgspec.field(name="taken")
-    """When the inventory came into force, in Unix time (s)."""
+    """Unix time, in seconds, from which the inventory was used."""
     endpoints: int
     unstable_files: dict[str, str] = msgspec.field(name="waiting")
-    """Why a changed file is not read yet, by file."""
+    """Path of each changed file that has not been read yet -> the reason."""
     problems: list[str]
 
 
@@ -70,7 +71,7 @@
 class PoolAnswer(msgspec.Struct, frozen=True, kw_only=True):
     """The pool of one destination. Times are in seconds.
 
-    Only pools are listed that are in use or have an endpoint that gets no calls.
+    A pool is listed only if it is in use or if one of its endpoints gets no calls.
     """
 
     partner: str
@@ -105,7 +106,7 @@
 
 
 class MemberAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """A member of the fleet in another one's view. Times are in seconds."""
+    """One member's view of another member. Times are in seconds."""
 
     state: str
     generation: int = msgspec.field(name="life")
@@ -113,7 +114,7 @@
     last_frame_age_s: float | None = msgspec.field(name="heard")
     """None if the member has sent no frame."""
     is_reached_directly: bool = msgspec.field(name="direct")
-    """Whether it answers direct probes; if not, it answers only probes through other members."""
+    """Whether the member answers direct probes; if not, it answers only probes through other members."""
 
 
 class FleetAnswer(msgspec.Struct, frozen=True, kw_only=True):
@@ -134,7 +135,7 @@
 
 
 def decode(document: JsonObject, answer: type[AnswerT]) -> AnswerT:
-    """Return the answer in a JSON object; raises msgspec.ValidationError, which names an invalid key."""
+    """Convert a JSON object to an answer; raises msgspec.ValidationError, which names the invalid key."""
     return msgspec.convert(document, answer)
 
 
--- a/emberlatch/standalone/as2_parts.py
+++ b/emberlatch/standalone/as2_parts.py
@@ -1,6 +1,6 @@
 """Composes the AS2 parts of a gateway.
 
-This module is imported only if the configuration has AS2, because the libraries for it are an optional extra.
+This module is imported only if the configuration has AS2. The libraries that AS2 needs are an optional extra.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InventoryPartners:
-    """An `as2.PartnerDirectory` that is backed by the inventory in force."""
+    """An `as2.PartnerDirectory` that reads the current inventory."""
 
     membership: InventoryMembership
 
--- a/emberlatch/standalone/commands.py
+++ b/emberlatch/standalone/commands.py
@@ -18,7 +18,7 @@
 from emberlatch.standalone.control_socket import CommandHandler
 from emberlatch.standalone.fleet_integration import FleetIntegration
 
-if TYPE_CHECKING:  # the libraries that AS2 needs are an optional extra
+if TYPE_CHECKING:  # AS2 needs libraries that are an optional extra
     from emberlatch.as2.side import As2Side
 
 
@@ -31,7 +31,7 @@
 
 
 class GatewayCommands:
-    """Answers commands with the state of a gateway's parts."""
+    """Carries out the commands of operators, and answers them."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self._as2, self._fleet, self._request_stop = as2, fleet, request_stop
 
     def handlers(self) -> Mapping[str, CommandHandler]:
-        """Return the handler of each command; fleet commands have one only if the gateway has a fleet."""
+        """Return the handlers by command; those of fleet commands are included only if there is a fleet."""
         handlers: dict[str, CommandHandler] = {
             Command.STATUS: self.status,
             Command.RELOAD: self._reload_document,
@@ -56,7 +56,7 @@
         return handlers
 
     async def status(self) -> JsonObject:
-        """Return the status: the keys of `StatusAnswer`, and all other keys of the engine's status."""
+        """Return a document with the keys of `StatusAnswer` and all other keys of the engine's status."""
         names = {number: name for name, number in self._membership.inventory.names.items()}
         engine_status = self._engine.status()
         pools = [{**pool, "partner": names.get(pool["destination"], "")} for pool in engine_status["pools"]]
--- a/emberlatch/standalone/control_socket.py
+++ b/emberlatch/standalone/control_socket.py
@@ -1,6 +1,7 @@
 """The control socket: a Unix socket in the state folder that only its owner may open.
 
-A request is one line with a JSON object, such as `{"do": "status"}`; the answer (`answers`) is another.
+A request is one line with a JSON object, such as `{"do": "status"}`. The answer is also one line with a JSON
+object; see `answers`.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 
 class ControlServer:
-    """Answers each request on the socket with the handler of the command in it."""
+    """Listens on the socket, and calls the handler of the command in each request."""
 
     def __init__(self, folder: Path, handlers: Mapping[str, CommandHandler]) -> None:
         self._path, self._handlers = folder / SOCKET_NAME, handlers
@@ -45,9 +46,10 @@
                 f"path is too long for a Unix socket, at most {MAX_PATH_BYTES} bytes are possible",
                 str(self._path),
             )
-        self._path.unlink(missing_ok=True)  # left by a killed process: this one holds the lock of the folder
+        # A killed process may have left the file. No other process uses it: this one has the folder's lock.
+        self._path.unlink(missing_ok=True)
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        previous_umask = os.umask(OWNER_ONLY_UMASK)  # a chmod after bind would let others connect before it
+        previous_umask = os.umask(OWNER_ONLY_UMASK)  # with a chmod after bind, others could connect before it
         try:
             listener.bind(str(self._path))
         finally:
@@ -70,7 +72,7 @@
             answer = await self._answer(request)
             writer.write(json.dumps(answer).encode() + b"\n")
             await writer.drain()
-        except (OSError, ValueError) as error:  # also TimeoutError, and a line over the limit
+        except (OSError, ValueError) as error:  # OSError includes TimeoutError; ValueError is a too long line
             log.info("control socket: request failed: %r", error)
         finally:
             writer.close()
--- a/emberlatch/standalone/errors.py
+++ b/emberlatch/standalone/errors.py
@@ -1,6 +1,6 @@
 """Errors of the standalone gateway.
 
-GatewayError            names a setting and what is wrong with it
+GatewayError            the gateway can't run; names a setting and the reason
   StartError            the gateway can't start
   StorageFailedError    the gateway must stop: the disk can't provide the configured durability
 """
@@ -21,7 +21,7 @@
 
 
 class StorageFailedError(GatewayError):
-    """A sync of the state folder failed: everything confirmed is on disk, but later writes may be lost."""
+    """A sync of the state folder failed. Confirmed data is on disk, but later writes may be lost."""
 
     def __init__(self, error: OSError) -> None:
         super().__init__("state", f"cannot sync to disk: {error}")
--- a/emberlatch/standalone/fleet_integration.py
+++ b/emberlatch/standalone/fleet_integration.py
@@ -1,7 +1,7 @@
 """Connects a gateway with its fleet.
 
 The quota share and the closed classes become settings of the decision module. Changes of the gateway's
-endpoint list and the retry-after times that it receives are shared with the other members.
+endpoint list and retry-after times of endpoints are shared with the other members.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class FleetIntegration:
-    """Applies changes of the fleet to a gateway's core, and shares the core's endpoint state with it."""
+    """Applies fleet changes to a gateway's core, and shares the core's endpoint state with the fleet."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         return self.service.status().to_json()
 
     def reload_members(self) -> None:
-        """Read the list of members in the configuration file again; apply it if one member has changed."""
+        """Read the list of members from the configuration file; apply it if only one member has changed."""
         if self._config.file is None:
             return
         try:
@@ -102,7 +102,7 @@
         self.service.configure(_peer_addresses(new))
 
     def on_endpoint_list(self, update: api.DirectoryUpdate, addresses: Addresses) -> None:
-        """Share the phases that have changed in the gateway's endpoint list with the other members."""
+        """Inform the other members of the phases that have changed in the gateway's endpoint list."""
         is_first = not self._own_endpoints
         if update.kind in (api.ListKind.CACHED, api.ListKind.FULL):
             self._own_endpoints.clear()
@@ -144,8 +144,8 @@
     def on_endpoint_report(self, target: str, phase: int) -> None:
         """Apply another member's report of an endpoint's phase. See `FleetObserver`.
 
-        An endpoint that is ready in the gateway's own list is drained from the report of another phase
-        until a report that the endpoint is ready again. Reports on all other endpoints are ignored.
+        If an endpoint is ready in the gateway's own list, a report of another phase drains it here. A later
+        report that the endpoint is ready ends the draining. Reports on all other endpoints are ignored.
         """
         entry, address = self._own_endpoints.get(target.encode(), (None, None))
         if entry is None or address is None or entry.phase is not api.Phase.READY:
--- a/emberlatch/standalone/gateway.py
+++ b/emberlatch/standalone/gateway.py
@@ -27,7 +27,7 @@
 from emberlatch.standalone.outcome_log import MessageState, OutcomeLog
 from emberlatch.standalone.resources import connection_limits, lock_state_folder
 
-if TYPE_CHECKING:  # the libraries that AS2 needs are an optional extra
+if TYPE_CHECKING:  # AS2 needs libraries that are an optional extra
     from emberlatch.as2.side import As2Side
     from emberlatch.standalone.as2_parts import As2Parts
 
@@ -40,10 +40,10 @@
 
 
 class StandaloneGateway:
-    """One gateway. It locks its state folder: a second process on the same folder does not start.
+    """One gateway. It locks its state folder, so that a second process on the same folder can't start.
 
-    `stop_requested` is set when the process is to stop. `storage_failure` is set if the reason is that the
-    disk cannot provide the durability that is configured for a class of messages.
+    `stop_requested` is set when the process is to stop. `storage_failure` is the error if the
+    process must stop because the disk can't provide the durability that a class of messages requires.
     """
 
     def __init__(self, config: Gateway, machine: Machine = REAL_MACHINE) -> None:
@@ -160,14 +160,14 @@
             except OSError as error:
                 raise StartError("fleet.listen", error) from error
         gc.collect()
-        gc.freeze()  # excludes what the start has loaded, such as the inventory, from later collections
+        gc.freeze()  # later collections skip all objects that exist now, such as the inventory
         try:
             await self._control.start()
         except OSError as error:
             raise StartError("state", error) from error
 
     async def stop(self) -> None:
-        """Stop: wait a limited time for open calls; all other messages stay in the journal."""
+        """Stop. Wait a limited time for open calls; messages without an outcome stay in the journal."""
         self._control.stop()
         if self.fleet is not None:
             await self.fleet.stop()
--- a/emberlatch/standalone/outcome_file.py
+++ b/emberlatch/standalone/outcome_file.py
@@ -1,7 +1,7 @@
 """The files of the outcome log: a current and a rotated file of JSON lines.
 
-A line has the keys of `StoredOutcome`. An append writes all of its lines or none, so that a retry writes no
-line twice.
+A line has the keys of `StoredOutcome`. An append writes either all of its lines or none. A retry therefore
+writes no line twice.
 """
 
 from __future__ import annotations
@@ -39,9 +39,10 @@
     """Appends lines to the files in a folder within a size limit, and syncs them."""
 
     def __init__(self, folder: Path, limit_bytes: int) -> None:
-        """`limit_bytes` is for both files together.
+        """`limit_bytes` limits the size of both files together.
 
-        If a kill cut the last line short, append a line end, so that the next outcome starts on a new line.
+        If a kill has left the last line incomplete, append a line end. The next outcome then starts on a new
+        line.
         """
         self._folder, self._limit_bytes = folder, limit_bytes
         path = folder / CURRENT_FILE
@@ -68,7 +69,11 @@
                 raise
 
     def read(self) -> Iterator[StoredOutcome]:
-        """Yield the outcomes of both files, the oldest first; log and skip lines that cannot be read."""
+        """Yield the outcomes of both files, the oldest first.
+
+        Lines that can't be decoded or have no `ref` or `id` are logged and skipped. Lines with a `ref` or
+        `id` of another type are skipped without a log line.
+        """
         for name in (ROTATED_FILE, CURRENT_FILE):
             try:
                 data = (self._folder / name).read_bytes()
@@ -99,5 +104,5 @@
 
 
 def encode(outcome: StoredOutcome) -> bytes:
-    """Return the line of an outcome."""
+    """Encode an outcome as a JSON line."""
     return json.dumps(outcome, separators=(",", ":")).encode() + b"\n"
--- a/emberlatch/standalone/outcome_log.py
+++ b/emberlatch/standalone/outcome_log.py
@@ -1,7 +1,7 @@
 """The log of the final outcomes of messages, for installations without a URL to report outcomes to.
 
-An outcome is appended to a file (`outcome_file`), and confirmed to the engine once it is written. The newest
-outcomes are kept in memory, where clients can look them up by message id.
+An outcome is appended to a file (see `outcome_file`), and confirmed to the engine after it is stored. The
+newest outcomes are kept in memory, where clients can look them up by message id.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class MessageState(StrEnum):
-    """The state of a message, as the documentation for users names it; all but IN_FLIGHT are final."""
+    """The state of a message. The values stand in the users' documentation; all but IN_FLIGHT are final."""
 
     IN_FLIGHT = "held"
     DELIVERED = "delivered"
@@ -59,15 +59,17 @@
     ) -> None:
         """`limit_bytes` limits the size of both files of the log together.
 
-        An outcome is confirmed, and can be found, once its line is written or, with `offload`, once its line
-        is synced to disk; `on_storage_failure` is called if a sync fails.
+        Without `offload`, an outcome is confirmed and can be found after its line is written. With `offload`,
+        it is confirmed and can be found after its line is synced to disk. `on_storage_failure` is called if a
+        sync fails.
         """
         self._file = OutcomeFile(folder, limit_bytes)
         self._sync = GroupSync(self._file, offload, on_storage_failure) if offload is not None else None
         self._max_in_memory, self._confirm = max_in_memory, confirm
-        self._unwritten: dict[int, StoredOutcome] = {}  # by ref, as in the next two collections
+        self._unwritten: dict[int, StoredOutcome] = {}  # by ref, the gateway's number of the message
         self._unsynced: dict[int, StoredOutcome] = {}
-        self._written_before: set[int] = set()  # by an earlier process; the engine may add them again
+        # Refs that an earlier process wrote. The engine may add them again; they are not written twice.
+        self._written_before: set[int] = set()
         self._by_message: dict[str, StoredOutcome] = {}  # by message id, the oldest first
         self._write_scheduled = False
         for outcome in self._file.read():
--- a/emberlatch/standalone/resources.py
+++ b/emberlatch/standalone/resources.py
@@ -1,4 +1,4 @@
-"""Acquires what a gateway needs from its machine before it is composed: state folder and descriptors."""
+"""Locks the state folder and raises the descriptor limit before a gateway is composed."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def connection_limits(descriptors: int, reserved: int) -> ConnectionLimits:
-    """Return the connection limits for a number of descriptors, of which `reserved` are for other use.
+    """Return the connection limits for a number of descriptors, of which `reserved` are not for connections.
 
     Raise the process's descriptor limit if it is too low. Raises StartError if that fails or if
     too few descriptors remain for connections.
--- a/emberlatch/standalone/service.py
+++ b/emberlatch/standalone/service.py
@@ -23,10 +23,10 @@
 async def serve(config: Gateway, machine: Machine = REAL_MACHINE) -> None:
     """Run a gateway until SIGTERM or SIGINT; raises GatewayError or RefusedError."""
     loop = asyncio.get_running_loop()
-    stop_requested_early = asyncio.Event()  # set by a signal before the gateway exists
+    stop_requested_early = asyncio.Event()  # set by a stop signal that arrives before the gateway exists
     for number in STOP_SIGNALS:
         loop.add_signal_handler(number, stop_requested_early.set)
-    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # no reload: the start reads the inventory
+    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # ignored: the start reads the files
     gateway = StandaloneGateway(config, machine)
     if stop_requested_early.is_set():
         gateway.stop_requested.set()
@@ -38,7 +38,7 @@
     event_log.info("serving", listen=config.listen, set=inventory.digest, endpoints=len(inventory))
     sys.stderr.flush()
     await gateway.stop_requested.wait()
-    if gateway.storage_failure is not None:  # no graceful stop: the next start uses the durable state
+    if gateway.storage_failure is not None:  # no graceful stop: the next start recovers from disk
         raise StorageFailedError(gateway.storage_failure)
     await gateway.stop()
 
