--- a/emberlatch/as2/carrier.py
+++ b/emberlatch/as2/carrier.py
@@ -36,11 +36,14 @@
 log = logging.getLogger(__name__)
 
 SEALED_CACHE_BYTES = 8 * 1024 * 1024
-"""Limit of the cache of sealed messages, from which repeated attempts are sent."""
+"""Size limit of the cache of sealed messages. A repeated attempt sends the cached bytes."""
 MAX_ANSWER_BYTES = 128 * 1024  # limit of an HTTP answer, which may contain a receipt
 MAX_CAUSE_CHARACTERS = 120  # limit of an error's cause in the text of a dispute
 RECEIPT_POLICY = AcceptancePolicy(signed=False)
-"""The policy for opening receipts; `evaluation` decides whether a signature is required."""
+"""The policy for opening receipts.
+
+It accepts unsigned receipts: `evaluation` checks whether a receipt has to be signed.
+"""
 RESULT_OF_STATUS = {
     ProcessingStatus.PROCESSED: Result.OK,
     ProcessingStatus.REJECTED: Result.FULL,
@@ -70,7 +73,7 @@
 
 
 def compose_content(item: CallItem) -> bytes:
-    """Compose a message as a MIME entity, without a time, so that its MIC is the same at each attempt."""
+    """Encode a message as a MIME entity. It contains no time, so that all attempts have the same MIC."""
     headers = [
         ("Content-Type", "application/octet-stream"),
         ("Content-Transfer-Encoding", "binary"),
@@ -86,9 +89,10 @@
 
 
 class As2Carrier(PooledCarrier):
-    """Sends calls to AS2 endpoints on at most `max_connections`, and completes them by their receipts.
+    """Sends calls to AS2 endpoints on at most `max_connections` connections.
 
-    The engine of `core` gets the outcomes. Each message is recorded in `evidence` before it is sent.
+    A receipt completes its call. The engine of `core` gets the outcomes. Each message is recorded in
+    `evidence` before it is sent.
     """
 
     def __init__(
@@ -146,7 +150,7 @@
         self._exchange_of[call] = self._exchanges[message_id] = exchange
 
     async def _seal(self, message_id: str, partner: Partner, item: CallItem) -> Sealed:
-        """Return the message as it is sent; a repeated attempt sends the cached bytes if there are any."""
+        """Return the sealed message. A repeated attempt gets the cached bytes if there are any."""
         key = f"{partner.inventory_name}\n{message_id}"
         if (cached := self._sealed.get(key)) is not None:
             self._sealed.move_to_end(key)
@@ -215,7 +219,7 @@
         return verdict
 
     async def _read(self, partner: Partner, outer: Entity) -> tuple[Mdn, bool]:
-        """Open a receipt and check whether the partner has signed it; raises As2Error."""
+        """Open a receipt; return its contents, and whether the partner has signed it. Raises As2Error."""
         opened = await self._crypto.unseal(outer, partner.inventory_name, RECEIPT_POLICY, self._now())
         return mdn.parse(opened.content), bool(opened.signer)
 
@@ -237,7 +241,8 @@
             receipt, signed = await self._read(partner, outer)
             invalid = None
         except As2Error as error:
-            # A receipt with an invalid signature proves nothing, but names its message, which gets a dispute.
+            # A receipt with an invalid signature proves nothing. But it names its message, and a dispute is
+            # recorded for that message.
             receipt, signed, invalid = _read_unverified(outer), False, _invalid_receipt(error)
         record, now = self._evidence.find(receipt.message_id), self._now()
         if record is None or record.partner != partner.inventory_name:
@@ -254,7 +259,8 @@
     def _complete(self, record: Record, verdict: Verdict) -> None:
         """Complete the call that waits for the receipt.
 
-        If there is none, report a processed message that has no final state yet as delivered.
+        If no call waits, report the message as delivered. This is done only if the receipt proves that the
+        message was processed, and if the message has no final state yet.
         """
         exchange = self._exchanges.get(record.message_id)
         if exchange is not None and exchange.call.pending:
@@ -308,7 +314,7 @@
 
 
 def _expected_from_record(record: Record, partner: Partner) -> Expected:
-    """Return what a receipt has to contain, from its message's record, which outlives a restart."""
+    """Return what a receipt has to contain. It is read from the message's record, also after a restart."""
     return Expected(record.message_id, bytes.fromhex(record.mic), record.digest, partner.signed_receipts)
 
 
--- a/emberlatch/as2/certificates.py
+++ b/emberlatch/as2/certificates.py
@@ -51,7 +51,7 @@
 
 
 def expiry_warnings(certificates: Sequence[x509.Certificate], now: float) -> list[str]:
-    """List, for operators, certificates that have expired, are not valid yet, or expire with no successor."""
+    """Describe each certificate that has expired, is not valid yet, or expires soon with no successor."""
     last_expiry = max((expires_at(c) for c in certificates if is_valid(c, now)), default=-1.0)
     found = []
     for certificate in certificates:
@@ -72,7 +72,7 @@
     key_pairs: tuple[tuple[x509.Certificate, PrivateKey], ...]
 
     def signing(self, now: float) -> tuple[x509.Certificate, PrivateKey]:
-        """Return the first valid certificate of the settings, with its key; raises CertificateError."""
+        """Return the first of our certificates that is valid now, with its key; raises CertificateError."""
         for certificate, key in self.key_pairs:
             if is_valid(certificate, now):
                 return certificate, key
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Trust:
-    """What authenticates a partner: pinned certificates, or a common name that authorities certify."""
+    """What authenticates a partner: pinned certificates, or ones that authorities issue for a common name."""
 
     pinned: tuple[x509.Certificate, ...]
     authorities: tuple[x509.Certificate, ...] = ()
--- a/emberlatch/as2/cms.py
+++ b/emberlatch/as2/cms.py
@@ -2,7 +2,7 @@
 
 All objects are DER-encoded. The library asn1crypto encodes and decodes the structures; the library
 cryptography signs, verifies, encrypts and decrypts. No received data is trusted before its signature is
-verified: a certificate inside a message is accepted only if an authority certifies it.
+verified. A certificate inside a message is accepted only if a trusted authority certifies it.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
     "sha512": hashes.SHA512,
 }
 CIPHERS = {f"aes{bits}_{mode}": bits // 8 for bits in (128, 192, 256) for mode in ("cbc", "gcm")}
-"""The key length, in bytes, of each content cipher. Received messages may also use TRIPLE_DES if allowed."""
+"""The key length, in bytes, of each content cipher. A received message may also use TRIPLE_DES if allowed."""
 TRIPLE_DES = "tripledes_3key"
 GCM_TAG_BYTES = 16
 GCM_NONCE_BYTES = 12
@@ -123,7 +123,7 @@
 
 
 def _signed_attributes(content: bytes, name: str, now: float) -> cms.CMSAttributes:
-    """Return the attributes that are signed instead of the content; one is its digest (RFC 5652, 5.4)."""
+    """Return the attributes that are signed in place of the content. They have its digest (RFC 5652, 5.4)."""
     signing_time = datetime.fromtimestamp(now, UTC).replace(microsecond=0)
     return cms.CMSAttributes(
         [
--- a/emberlatch/as2/compression.py
+++ b/emberlatch/as2/compression.py
@@ -23,7 +23,7 @@
 
 
 def decompress(der: bytes, max_bytes: int) -> bytes:
-    """Decompress at most `max_bytes` of content; raises As2Error if there is more or it can't be read."""
+    """Decompress content; raises As2Error if it is longer than `max_bytes` or can't be decompressed."""
     try:
         data = cms.ContentInfo.load(der, strict=True)["content"]
         if data["compression_algorithm"]["algorithm"].native != "zlib":
--- a/emberlatch/as2/crypto_frames.py
+++ b/emberlatch/as2/crypto_frames.py
@@ -73,7 +73,7 @@
 
 
 def read_frames(stream: BinaryIO) -> Iterator[object]:
-    """Yield the messages of a stream until it ends, even within a message, or a message is too long."""
+    """Yield the messages of a stream up to its end, a truncated message, or one over MAX_FRAME_BYTES."""
     while len(head := stream.read(LENGTH.size)) == LENGTH.size:
         size = LENGTH.unpack(head)[0]
         if size > MAX_FRAME_BYTES or len(data := stream.read(size)) < size:
--- a/emberlatch/as2/crypto_service.py
+++ b/emberlatch/as2/crypto_service.py
@@ -17,11 +17,14 @@
 
 
 class CryptoServiceError(OSError):
-    """A request was not served, since the worker process has ended; it may be sent again."""
+    """The worker process ended before it served a request. The caller may send the request again."""
 
 
 class CryptoService(Protocol):
-    """Seals and opens messages. `partner` is a partner's inventory name, or empty for no recipient."""
+    """Seals and opens messages.
+
+    `partner` is a partner's inventory name. For `seal` it may be empty if the message is not encrypted.
+    """
 
     async def seal(self, content: bytes, layers: Layers, partner: str, now: float) -> Sealed:
         """Seal as `message.seal` does; also raises CryptoServiceError."""
--- a/emberlatch/as2/errors.py
+++ b/emberlatch/as2/errors.py
@@ -21,8 +21,8 @@
 class As2Error(Exception):
     """A message that can't be accepted: `modifier` is reported to the sender, `cause` is never sent.
 
-    An invalid signature and a content that can't be decrypted are reported with the same modifier: two
-    modifiers would be a padding oracle (RFC 8551, 6).
+    An invalid signature and a content that can't be decrypted are reported with the same modifier. With
+    two modifiers, the answers would be a padding oracle (RFC 8551, 6).
     """
 
     def __init__(self, modifier: Modifier, cause: str) -> None:
--- a/emberlatch/as2/evidence.py
+++ b/emberlatch/as2/evidence.py
@@ -24,7 +24,7 @@
 
 
 class Dispute(TypedDict, total=False):
-    """A dispute in its stored form: a `Record` by its stored keys, or a receipt for an unknown message."""
+    """A dispute as it is stored: the keys of a stored `Record`, or of a receipt for an unknown message."""
 
     original: str  # the Message-ID; preceded by the partner's name if the message is unknown
     partner: str
@@ -38,8 +38,8 @@
 class Evidence:
     """Stores a record of each message sent and the receipts for it.
 
-    `retention_s` is the time after a message's final state in which a receipt may still arrive; `max_bytes`
-    limits the disk space, half for the ledger and half for the receipts.
+    A receipt may still arrive within `retention_s` seconds after a message's final state. `max_bytes` limits
+    the disk space: half of it is for the ledger, and half for the receipts.
     """
 
     def __init__(self, files: Files, max_bytes: int, retention_s: float) -> None:
--- a/emberlatch/as2/explain.py
+++ b/emberlatch/as2/explain.py
@@ -1,6 +1,7 @@
 """Explains a captured message to operators, layer by layer: types, algorithms, signers and disposition.
 
-`describe_visible_layers` needs no keys; `describe_opened` removes the layers with keys, as the gateway does.
+`describe_visible_layers` needs no keys. `describe_opened` removes the layers by means of keys, as the
+gateway does.
 """
 
 from __future__ import annotations
--- a/emberlatch/as2/front.py
+++ b/emberlatch/as2/front.py
@@ -246,9 +246,10 @@
             raise
 
     def _submission(self, partner: Partner, order: Order, content: Entity) -> Submission:
-        """Build the submission of an order; its settings come from its signed content, else from the profile.
+        """Build the submission of an order.
 
-        HTTP headers are not signed and never used.
+        Its settings come from the headers of its content, which may be signed, else from the profile. HTTP
+        headers are never used, because they are not signed.
         """
         defaults = partner.order_defaults
         if defaults is None:
@@ -288,7 +289,7 @@
     # Answers and receipts.
 
     def on_accepted(self, order: Order, receipt_request: ReceiptRequest, reply: Reply) -> None:
-        """Answer an order that is in the journal; each repetition gets the same answer from now on.
+        """Answer an order that is in the journal. From now on, each repetition of it gets the same answer.
 
         An asynchronous receipt is posted only once, not for each repetition.
         """
--- a/emberlatch/as2/ledger.py
+++ b/emberlatch/as2/ledger.py
@@ -1,4 +1,6 @@
-"""The record of each message sent over AS2, from its first attempt until no receipt is expected; no I/O.
+"""The record of each message sent over AS2, from its first attempt until no receipt is expected.
+
+The module does no I/O.
 
 A message has at most one final state, which never changes. Receipts may arrive before or after the final
 state, twice, or never. A receipt that contradicts the final state or another receipt causes a dispute, which
@@ -16,7 +18,7 @@
 MAX_DISPUTES = 8  # number of disputes recorded for one message
 MAX_RECEIPTS = 4  # number of receipts recorded for one message
 CONFIRMED_RETENTION_S = 600.0
-"""How long the record of a confirmed final state is kept, as a duplicate receipt may still arrive."""
+"""How many seconds the record of a confirmed final state is kept: a duplicate receipt may still arrive."""
 
 FAILED_YET_PROCESSED = "ended {}, yet the partner processed it"
 DELIVERED_YET_REJECTED = "ended delivered, yet the partner refused it"
@@ -105,8 +107,8 @@
     if not record.status:
         record.status, record.status_at = status, at
     elif record.status != status:
-        # A later attempt may be processed after an earlier one was rejected: that is no contradiction. A
-        # rejection after `processed` is one, and so are two different statuses of a single attempt.
+        # It is no contradiction if a later attempt is processed after an earlier one was rejected. It is a
+        # contradiction if a rejection follows `processed`, or if a single attempt gets two statuses.
         if status is ProcessingStatus.REJECTED or len(record.attempts) < 2:
             _add_dispute(record, CONTRADICTION.format(record.status, status))
         else:
--- a/emberlatch/as2/mdn.py
+++ b/emberlatch/as2/mdn.py
@@ -45,7 +45,7 @@
 
     @property
     def short_form(self) -> str:
-        """The short form for operators and the ledger: `processed`, `failed/failure: unsupported format`."""
+        """The short form for operators and the ledger, for example `failed/failure: unsupported format`."""
         return self.type + (f"/{self.modifier}: {self.text}" if self.modifier else "")
 
 
@@ -103,7 +103,7 @@
 
 
 def parse(content: Entity) -> Mdn:
-    """Parse a receipt without layers; raises MimeError."""
+    """Parse a receipt whose layers have been removed; raises MimeError."""
     if not is_receipt(content):
         raise MimeError(f"no receipt but {content.type[:60]!r}")
     found = [mime.parse_entity(part) for part in mime.parts(content)]
@@ -129,7 +129,7 @@
 
 
 def _mic(value: str) -> tuple[bytes, str]:
-    """Decode the MIC of a receipt and its digest; both are empty if the value can't be read."""
+    """Decode a receipt's MIC and the name of its digest; both are empty if the value can't be read."""
     encoded, _, name = value.rpartition(",")
     try:
         mic = base64.b64decode(encoded.strip(), validate=True)
--- a/emberlatch/as2/message.py
+++ b/emberlatch/as2/message.py
@@ -1,11 +1,11 @@
 """The layers of an AS2 message (RFC 4130, 4; RFC 5402; RFC 8551, 3).
 
-Messages to a partner are compressed, signed and encrypted as its profile says; received messages are opened
-whatever the order of their layers.
+Messages to a partner are compressed, signed and encrypted as its profile says. A received message may have
+its layers in any order.
 
-The MIC in a receipt identifies the received content. It is computed over the signed bytes; without a
-signature, over the content with its headers if the message was encrypted or compressed, else over the content
-without its headers (RFC 4130, 7.3.1; RFC 5402, 4).
+The MIC in a receipt identifies the received content. For a signed message it is computed over the signed
+bytes. For an unsigned message that is encrypted or compressed, it is computed over the content with its
+headers, and for any other message over the content without its headers (RFC 4130, 7.3.1; RFC 5402, 4).
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
     layers: tuple[str, ...]
 
     def mic(self, digest: str = "") -> tuple[bytes, str]:
-        """Return the MIC and its digest: the signature's, else the requested one, else SHA-256."""
+        """Return the MIC and the digest used: that of the signature, else `digest`, else SHA-256."""
         name = self.digest or digest or "sha256"
         return cms.digest(name, self.mic_input), name
 
@@ -105,8 +105,8 @@
 
 
 def _multipart_signed(inner: bytes, signature: bytes, name: str) -> bytes:
-    # The boundary is derived from the digest of the content: the content can't contain the boundary, and a
-    # repeated attempt has the same bytes.
+    # The boundary is derived from the digest of the content. Therefore the content can't contain it, and a
+    # repeated attempt has the same boundary.
     boundary = f"el-{hashlib.sha256(inner).hexdigest()[:40]}"
     headers = (
         ("Content-Type", 'application/pkcs7-signature; name="smime.p7s"'),
--- a/emberlatch/as2/mime.py
+++ b/emberlatch/as2/mime.py
@@ -31,9 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Entity:
-    """Headers, and a body with its transfer encoding.
+    """Headers, and a body that is still in its transfer encoding.
 
-    `raw` is the complete entity as received; empty if the headers were received apart from the body.
+    `raw` is the complete entity as received. It is empty if headers and body were received separately.
     """
 
     headers: tuple[tuple[str, str], ...]
@@ -54,7 +54,7 @@
         return parameter(self.get(header), name)
 
     def content(self) -> bytes:
-        """Return the body without its transfer encoding; raises MimeError."""
+        """Return the body, decoded from its transfer encoding; raises MimeError."""
         encoding = self.get("content-transfer-encoding").strip().lower()
         if encoding in ("", "7bit", "8bit", "binary"):
             return self.body
@@ -92,7 +92,7 @@
 
 
 def make_entity(headers: Headers, body: bytes) -> Entity:
-    """Create an entity from headers and a body that were received apart, as with HTTP."""
+    """Create an entity from headers and a body that were received separately, as with HTTP."""
     return Entity(tuple(headers), body, b"")
 
 
@@ -144,8 +144,9 @@
 def _delimiters(body: bytes, delimiter: bytes) -> Iterator[tuple[int, int, bool]]:
     """Yield the start and the end of each delimiter line, and whether the delimiter is the last.
 
-    A line starts with the line break before the delimiter; a line break between two delimiters belongs to
-    both. No regular expression is used: it would be compiled for each boundary, which took ten times as long.
+    The start includes the line break before the delimiter, and the end the line break after it. A line break
+    between two delimiters belongs to both. No regular expression is used: it would have to be compiled for
+    each boundary, which took ten times as long.
     """
     at = body.find(delimiter)
     while at >= 0:
--- a/emberlatch/as2/names.py
+++ b/emberlatch/as2/names.py
@@ -7,7 +7,7 @@
 from emberlatch.as2.errors import MimeError
 
 MAX_NAME_CHARACTERS = 128
-MAX_MESSAGE_ID_CHARACTERS = 255  # the recommended limit; longer Message-IDs are rejected
+MAX_MESSAGE_ID_CHARACTERS = 255  # the limit that RFC 4130 recommends; longer ones are rejected
 
 _ATOM = re.compile(r"[\x21\x23-\x5b\x5d-\x7e]{1,128}")
 _QUOTED = re.compile(r'"((?:[\x20\x21\x23-\x5b\x5d-\x7e]|\\["\\])+)"')
--- a/emberlatch/as2/order_log.py
+++ b/emberlatch/as2/order_log.py
@@ -66,7 +66,7 @@
         try:
             self.put(order, now)
         except OSError as error:
-            # After a restart the journal, which is durable, tells which pending orders were accepted.
+            # The journal is durable: after a restart it shows which pending orders were accepted.
             log.error("orders cannot be recorded: %s", error)
             self._store.states[order.storage_key] = order.document()
 
--- a/emberlatch/as2/order_reply.py
+++ b/emberlatch/as2/order_reply.py
@@ -1,4 +1,4 @@
-"""Forwards the engine's answer to a partner's order to the front end that submitted the order."""
+"""Receives the engine's answer to a partner's order, and notifies the front end that submitted the order."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from emberlatch.net.server import Reply
 
 BUSY_RETRY_AFTER_S = 1.0
-"""Retry-After while the same order is being submitted, or the order can't be accepted or stored."""
+"""Retry-After, in seconds, if the same order is being submitted or an order can't be accepted or stored."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/emberlatch/as2/orders.py
+++ b/emberlatch/as2/orders.py
@@ -18,7 +18,8 @@
 RECEIPT_TEXT = "The message is taken on; its end is told as agreed."
 """The human-readable text of each positive receipt.
 
-It never changes, since all receipts of an order must be equal, also from different versions of this program.
+It must never change: all receipts of an order must be equal, even if different versions of this program build
+them.
 """
 
 
@@ -142,5 +143,5 @@
 
 
 def is_expired(order: Order, now: float, retention_s: float) -> bool:
-    """Whether an order may be deleted, after which a repetition is not recognized."""
+    """Whether an order may be deleted. A repetition of a deleted order is handled as a new order."""
     return now - order.received_at > retention_s
--- a/emberlatch/as2/ports.py
+++ b/emberlatch/as2/ports.py
@@ -15,7 +15,7 @@
     """Look-ups of partners and AS2 endpoints in the inventory."""
 
     def partner_of(self, target: Target) -> str | None:
-        """Return the name of the partner whose AS2 endpoint a target is; None if it is no AS2 endpoint."""
+        """Return the name of the partner that a target belongs to; None if the target is no AS2 endpoint."""
 
     def destination_number(self, partner: str) -> int | None:
         """Return the destination number of a partner; None if there is no such partner."""
--- a/emberlatch/as2/profile.py
+++ b/emberlatch/as2/profile.py
@@ -41,7 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderDefaults:
-    """Defaults for values that an order does not specify; each order must specify those left empty."""
+    """Defaults for values that an order does not specify.
+
+    If the default of a value is empty, each order must specify the value.
+    """
 
     category: str = ""
     tenant: str = ""
@@ -60,7 +63,7 @@
     tls: ssl.SSLContext | None = None
     layers: Layers = field(default_factory=Layers)
     signed_receipts: bool = True
-    asynchronous_receipts: bool = False  # whether receipts are asynchronous, instead of in the HTTP answer
+    asynchronous_receipts: bool = False  # whether receipts come separately, not in the HTTP answer
     policy: AcceptancePolicy = field(
         default_factory=AcceptancePolicy
     )  # requirements on messages from the partner
--- a/emberlatch/as2/receipt_sender.py
+++ b/emberlatch/as2/receipt_sender.py
@@ -50,7 +50,7 @@
         return headers | dict(sealed.headers)
 
     async def deliver(self, order: Order) -> None:
-        """Post the asynchronous receipt of an order until it is delivered or its Message-ID expires."""
+        """Post the asynchronous receipt of an order until it is delivered or the order expires."""
         partner, attempts = self._parties.partners.get(order.partner), 0
         url = partner.receipt_url if partner is not None else None
         while url is not None and self._now() - order.received_at < self._retention_s:
--- a/emberlatch/as2/side.py
+++ b/emberlatch/as2/side.py
@@ -50,7 +50,7 @@
         folders: StateFolders,
         notifier: CompletionNotifier,
     ) -> None:
-        """`call_settings` are the decision module's; `notifier` gets the completions of all messages.
+        """`call_settings` are those of the decision module. `notifier` gets the completions of all messages.
 
         Raises OSError if the state can't be read, and ValueError if a disk limit is too small.
         """
--- a/tests/cluster/consensus_model.py
+++ b/tests/cluster/consensus_model.py
@@ -7,16 +7,19 @@
 The following reductions keep the state space small without excluding any behaviour:
 
 * Requests are not stored. Every request that an attempt or a learned state allows is offered in each state.
-* Attempts belong to no process. Any process may begin one on any learned state. A restart (volatile state is
-  lost, the proposer id is new) is therefore an attempt that is not continued, followed by another attempt.
-* A proposer that can detect that its batch is chosen does so at once: its knowledge only allows more steps
-  and makes the later checks stricter. Votes that no attempt can count any more are dropped at that point.
+* Attempts belong to no process. Any process may begin one on any learned state. A process that restarts loses
+  its volatile state and gets a new proposer id: its old attempt is not continued, and another one begins.
+* A proposer that can detect that its batch is chosen does so at once. This excludes nothing: what a proposer
+  knows only allows more steps and makes the later checks stricter. Votes that no attempt can count any more
+  are dropped at that point.
 * A proposer receives all replies that it counts together, just before its stage changes. Its partial votes
   are not visible to others, and the messages stay available, so receiving them earlier makes no difference.
-* Handling, syncing and sending are one step. A crash before the sync undoes the record and the reply, which
-  gives the previous state; a crash after the sync is a reply that is never received.
+* A voter handles a request, syncs its record and sends its reply in one step. A crash before the sync undoes
+  the record and the reply, which gives the previous state. A crash after the sync is the same as a reply that
+  is never received.
 * `last_batch`, which is not on disk, is not part of a state: each request is handled with and without it.
-* Disks that the scenario calls symmetric are kept in sorted order, and their content names no disk.
+* Disks that the scenario lists as symmetric are kept in sorted order, and their content names no disk. So
+  states that differ only in the order of these disks are one state.
 """
 
 from __future__ import annotations
@@ -357,7 +360,7 @@
             self._check_recovery(system, learned, max((version for version, _ in chosen), default=0))
 
     def _chosen(self, system: SystemState) -> set[tuple[int, Hashable]]:
-        """Return the versions and batches that the sent votes choose, also those no proposer knows of yet."""
+        """Return the versions and batches that the sent votes choose, even if no proposer knows it yet."""
         return {
             (self._states[attempt.base].version + 1, attempt.batch)
             for attempt in system.attempts
@@ -385,7 +388,7 @@
             )
 
     def _check_recovery(self, system: SystemState, learned: list[ControlState], newest: int) -> None:
-        """Check that the disks alone can decide the next version and have lost nothing that was confirmed."""
+        """Check that the disks alone can decide the next version, and that nothing confirmed was lost."""
         records = tuple(disk.record for disk in system.disks)
         key = (records, system.lost)
         if key not in self._recovered_states:
--- a/tests/cluster/consensus_scenarios.py
+++ b/tests/cluster/consensus_scenarios.py
@@ -1,7 +1,7 @@
 """The small deployments in which every order of steps is explored, see `consensus_model`.
 
 Each scenario is explored separately, because all faults combined in one deployment give too many states.
-Where the initial state is symmetric, only one of the equal disks is listed as one that may be lost.
+Where disks are equal in the initial state, `may_lose` lists only one of them.
 """
 
 from __future__ import annotations
@@ -35,10 +35,13 @@
     max_version=2,
     symmetric=(0, 1, 2),
 )
-"""Two operators submit texts under one revision, one retries under a third ballot; one version is decided."""
+"""Two operators submit different texts under one revision, and one of them retries under a third ballot.
+
+Only one version is decided.
+"""
 
 SUCCESSION = replace(RACE, batch_choices=((TEXT_A,), (TEXT_B,), (TEXT_B,)), max_version=3)
-"""The same texts and one more version: the second text is applied without effect, or is proposed too late."""
+"""One version more than in RACE: the second text is chosen but has no effect, or is proposed too late."""
 
 READ = replace(RACE, batch_choices=((TEXT_A,), (TEXT_B,)), reads=True)
 """Two texts are submitted, and one read runs at any moment."""
@@ -67,7 +70,10 @@
 SECOND_LOSS_TOO_EARLY = replace(
     SECOND_LOSS, batch_choices=((TEXT_A, DUE_CHANGE), (TEXT_B,)), max_version=2, max_losses_at_once=2
 )
-"""Two disks are lost, each at any moment: more than is tolerated, so decisions may block but not conflict."""
+"""Two disks are lost, each at any moment.
+
+This is more than is tolerated: it may become impossible to decide, but decisions must not conflict.
+"""
 
 READ_ACROSS = replace(REPLACEMENT, batch_choices=((TEXT_A,), (DUE_CHANGE,)), reads=True)
 """A read runs at any moment of a replacement."""
@@ -97,7 +103,7 @@
     max_losses=1,
     decommissioned=2,
 )
-"""One of three is decommissioned while a text is submitted; another loses its disk at any moment."""
+"""One of three machines is decommissioned while a text is submitted. Another loses its disk at any moment."""
 
 PAIR = replace(
     DECOMMISSION,
@@ -106,7 +112,7 @@
     max_version=4,
     decommissioned=ABSENT,
 )
-"""In the group of two after a decommission a disk is lost, and its machine becomes a voter again."""
+"""After a decommission, the group has two voters. One loses its disk and becomes a voter again."""
 
 FOUNDING = Scenario(
     disks=(A, B, C, NEW_C),
@@ -124,7 +130,10 @@
     max_losses=1,
     symmetric=(0, 1),
 )
-"""Two processes found different groups, one possibly with other seeds; the disk of a seed is lost."""
+"""Two processes try to create different groups, and one of them may be configured with other seeds.
+
+One of the seeds may lose its disk.
+"""
 
 CI = {
     "a race of two texts": RACE,
--- a/tests/cluster/consensus_states.py
+++ b/tests/cluster/consensus_states.py
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class BatchChoice:
-    """A batch that an attempt may propose; None for the change that `next_change` finds due."""
+    """A batch that an attempt may propose; `batch` is None for the change that `next_change` finds due."""
 
     batch: Batch | None
 
@@ -50,16 +50,16 @@
     initial: ControlState
     batch_choices: tuple[tuple[BatchChoice, ...], ...]  # by attempt; later attempts have higher ballots
     max_version: int  # no version above this one is proposed
-    ballots: tuple[Ballot, ...] = ()  # by attempt; empty for a distinct ballot each
-    founding_voters: tuple[Voter | None, ...] = ()  # by disk; empty without a founding
+    ballots: tuple[Ballot, ...] = ()  # by attempt; if empty, each attempt has a ballot of its own
+    founding_voters: tuple[Voter | None, ...] = ()  # by disk; empty if no group is founded
     other_initial: tuple[ControlState, ...] = ()  # initial states of misconfigured proposers
     absent: frozenset[int] = frozenset()  # disks that exist only as replacements
     may_lose: tuple[int, ...] = ()  # disks that may be lost
     replacements: tuple[tuple[int, int], ...] = ()  # pairs of a lost disk and its empty replacement
     max_losses: int = 0
-    max_losses_at_once: int = 1  # losses before a completed change of voters
+    max_losses_at_once: int = 1  # limit of lost disks that are still voters
     tolerated_losses: int = 1  # simultaneous losses that must not lose data or block
-    decommissioned: int = ABSENT  # switched off when the voters without it have the state
+    decommissioned: int = ABSENT  # disk that is switched off once the other voters have the new state
     reads: bool = False
     symmetric: tuple[int, ...] = ()  # interchangeable disks
     min_disks: int = 2  # number of disks on which a chosen batch must be durable
@@ -102,7 +102,7 @@
     stage: Stage
     base: int  # number of the state before the proposed version
     batch: Batch
-    lost: int  # bit mask of the disks that it knows to be lost
+    lost: int  # bit mask of the disks that the proposer knows to be lost
     votes: frozenset[Voter]
 
 
@@ -133,7 +133,7 @@
 class Reading(NamedTuple):
     """A read in progress."""
 
-    state: int  # number of the state that it would confirm
+    state: int  # number of the state that the read would confirm
     min_version: int  # newest version that was confirmed before the read began
     lost: int  # bit mask of the disks that the reader knows to be lost
     confirmed: bool = False
@@ -146,7 +146,7 @@
     attempts: tuple[Attempt | None, ...]
     reading: Reading | None = None
     lost: int = 0  # bit mask of the lost disks
-    retired: int = 0  # bit mask of the lost or decommissioned disks without a vote in a durable state
+    retired: int = 0  # bit mask of lost or decommissioned disks that are no voters in a durable state
 
 
 @dataclass
@@ -170,7 +170,7 @@
 
 
 def expected_coverage(scenario: Scenario) -> set[str]:
-    """Return the events that must happen in some state, as otherwise the invariants would not be tested."""
+    """Return the events that must happen in some state; without them the invariants would not be tested."""
     expected = {f"version {scenario.max_version}"}
     expected |= {"loss"} if scenario.max_losses else set()
     expected |= {"read"} if scenario.reads else set()
--- a/tests/cluster/consensus_subject.py
+++ b/tests/cluster/consensus_subject.py
@@ -27,13 +27,14 @@
 )
 
 RECOVERY_BALLOT = Ballot(99, "recovery")
-RECOVERY_FOUNDING = (CreateVoterGroup((Voter("recovery", "recovery"),)),)  # seeds decide only a founding
+RECOVERY_FOUNDING = (CreateVoterGroup((Voter("recovery", "recovery"),)),)
+"""The batch to propose in version 0, in which voters accept nothing but the creation of a group."""
 RECOVERY_ATTEMPTS = 5
 STAGES = (Stage.PREPARING, Stage.ACCEPTING)
 
 
 class CodeUnderTest:
-    """The production acceptor, proposer and reads on interned values; one object per exploration."""
+    """Runs the production acceptor, proposer and reads on interned values; one object per exploration."""
 
     def __init__(self, scenario: Scenario) -> None:
         self._scenario = scenario
@@ -136,7 +137,10 @@
         return proposer != untouched
 
     def count(self, attempt: Attempt, replies: list[Promise | Accepted]) -> list[Attempt]:
-        """Return the attempts that result from subsets of these replies, each duplicated, in two orders."""
+        """Return the attempts in a new stage that result from any subset of these replies.
+
+        Each reply is received twice, and each subset in two orders.
+        """
         counting = [reply for reply in replies if self.changes_proposer(attempt, reply)]
         outcomes: dict[Attempt, None] = {}
         for size in range(1, min(len(counting), len(self._scenario.disks)) + 1):
@@ -202,7 +206,11 @@
         return read.outcome is ReadOutcome.CONFIRMED
 
     def recover(self, records: tuple[int, ...], lost: int) -> ControlState | None:
-        """Return the state after the first batch that a new proposer gets decided on these disks, or None."""
+        """Return the state after a new proposer has its own batch decided on these disks.
+
+        Batches of earlier proposers may be decided first. Returns None if a version can't be decided, or if
+        the proposer's own batch is not decided within RECOVERY_ATTEMPTS versions.
+        """
         records_by_index = {
             index: replace(
                 self.records[n],
--- a/tests/cluster/orders.py
+++ b/tests/cluster/orders.py
@@ -25,8 +25,9 @@
 
     Attributes:
         in_flight: whether a call of the store to a target is in flight.
-        accept_started: whether the store has started an ACCEPT: only a, and then c for the same client.
-        answers: answer to the client of each ACCEPT: "202", "never" or "unclear"; empty before it.
+        accept_started: whether the store has started an ACCEPT. Only store a does, and later store c for the
+            same client.
+        answers: the client's answer to each ACCEPT: "202", "never" or "unclear"; empty before the answer.
         acknowledged: (store, epoch) of the copies that stores have confirmed.
         cancel_confirmed_by: stores that have confirmed the cancellation of the first ACCEPT.
         success_read: whether a store has read a target's success response.
@@ -107,12 +108,14 @@
                 replace(model, accept_started=replace_at(model.accept_started, 2, True)), 2, (0, 2, "c")
             )
             yield send(after, (0, 2, "c"), "b")
-        elif not model.crashed[0]:  # the same client's next attempt probes a in one exchange
+        elif not model.crashed[0]:  # the same client's next attempt probes store a in one exchange
             first = model.copies[0]
             after = replace(model, accept_started=replace_at(model.accept_started, 2, True))
             if first is not None and first[0] >= MessageState.DEAD_LETTERED:
                 yield merge_at(after, 2, first)
-            elif model.in_flight[0]:  # a is delivering the message and keeps it under a later epoch
+            elif model.in_flight[
+                0
+            ]:  # store a is delivering the message and stays its owner under a later epoch
                 after = merge_at(merge_at(after, 0, (0, 3, "a")), 2, (0, 3, "a"))
                 yield replace(after, answers=replace_at(after.answers, 2, "202"))
             else:
@@ -151,7 +154,7 @@
     )
     if accepted and not model.in_flight[index]:  # this store owns the accepted message and starts a call
         breach = ""
-        if model.answers[0] == "never" and not model.accept_started[2]:  # the client's only answer
+        if model.answers[0] == "never" and not model.accept_started[2]:  # the client got no other answer
             breach = "REFUSED"
         if model.success_read and model.crash_count == 0:
             breach = "TWICE"
@@ -165,7 +168,7 @@
         )
         yield send(after, final_copy, *others)
     if accepted and not model.in_flight[index] and copy[1] < 5:
-        for new_owner in others:  # graceful shutdown: hand over to a store with a copy, which answers
+        for new_owner in others:  # graceful shutdown: a store that has a copy and answers becomes the owner
             owner_index = STORES.index(new_owner)
             if not model.crashed[owner_index] and model.copies[owner_index] is not None:
                 report = 0, copy[1] + 1, new_owner
--- a/tests/cluster/recorded_frames.py
+++ b/tests/cluster/recorded_frames.py
@@ -33,7 +33,7 @@
     method: str
     kind: str
     variant: str
-    recorded: bool  # sent in a simulated cluster; otherwise encoded directly by that release
+    recorded: bool  # whether a simulated cluster sent it; if not, that release only encoded it
     data: bytes
 
     @property
--- a/tests/cluster/rpc_support.py
+++ b/tests/cluster/rpc_support.py
@@ -119,7 +119,7 @@
 
 
 class ScriptedReceiver(ConnectionEnd):
-    """One end of a connection that answers an Identify frame; a test sends all its other frames."""
+    """One end of a connection. It answers an Identify frame itself; a test sends all its other frames."""
 
     def __init__(self, node: str = "receiver", incarnation: int = RECEIVER_INCARNATION) -> None:
         super().__init__()
@@ -154,7 +154,7 @@
 
 
 class Relay:
-    """Forwards a limited number of bytes after the Identify frame of a direction, then resets both connections.
+    """Forwards Identify frames and a limited number of bytes after them, then resets both connections.
 
     `to_receiver` and `to_caller` are the limits of the two directions; None means no limit.
     """
--- a/tests/cluster/test_backup.py
+++ b/tests/cluster/test_backup.py
@@ -25,7 +25,7 @@
 
 
 def exported_backup(folder: Path, sent: list[SentMessage], lacking: str = "") -> Path:
-    """Export a backup of a cluster with ten delivered and twenty queued messages, without store `lacking`."""
+    """Export a cluster with ten delivered and twenty queued messages, without the disk of store `lacking`."""
 
     async def steps(scenario: Scenario) -> None:
         await scenario.start()
--- a/tests/cluster/test_batch.py
+++ b/tests/cluster/test_batch.py
@@ -1,4 +1,4 @@
-"""Interrupted batch jobs lose and duplicate nothing; format of their progress logs."""
+"""Interrupted batch jobs lose and duplicate no item; their progress logs keep their format."""
 
 import asyncio
 import tempfile
--- a/tests/cluster/test_capacity.py
+++ b/tests/cluster/test_capacity.py
@@ -15,7 +15,7 @@
 
 IDLE_S = 4.0
 TOLERANCE = 1.03  # the measured period may include one heartbeat more or less
-TARGETS_FRAMES = 10.0  # frames per second of one store with one target
+TARGETS_FRAMES = 10.0  # allowed frames per second of a store for one target
 
 
 @cache
@@ -74,7 +74,7 @@
         rounds, learners = 2 * (voters - 1), stores - 1
         most = 2 * (
             rounds + learners + 2
-        )  # the last two: the first machine passes it to the proposing voter, and learns the result
+        )  # the 2: the machine that is called hands the change to the proposing voter, and learns the result
         assert most - 4 <= change(voters, stores, forwarders).methods["control state"].frames <= most
 
 
--- a/tests/cluster/test_carrier.py
+++ b/tests/cluster/test_carrier.py
@@ -277,7 +277,7 @@
         await asyncio.sleep(2.0)
         ((arrived, connection, data),) = fixture.requests
         deadline_s = requested_deadline_s(data)
-        sent = arrived - 0.225  # latest time of sending; the margin covers the latency
+        sent = arrived - 0.225  # earliest possible time of sending: a latency is at most 0.225 s
         assert sent + deadline_s <= started_at + GUARD_S + 0.002, str((arrived - started_at, deadline_s))
         assert fixture.results == [api.Result.TIMEOUT] and connection.lost
 
--- a/tests/cluster/test_consensus_model.py
+++ b/tests/cluster/test_consensus_model.py
@@ -75,7 +75,7 @@
 def decided_version_handled(
     self: Acceptor, record: AcceptorRecord, voter: Voter, request: Any
 ) -> Reply | None:
-    """Requests about decided versions are handled as if they were about the next one."""
+    """Requests about decided versions are handled as if they were about the next version."""
     reply = reply_unless_next(self, record, voter, request)
     return None if isinstance(reply, Chosen | Snapshot) else reply
 
@@ -93,7 +93,7 @@
 
 
 def all_survivors_suffice(self: Quorum, votes: set[Voter], required: int) -> bool:
-    """All survivors suffice, even if a majority may have none of them."""
+    """All survivors suffice, even if some majority of the voters contains none of them."""
     counted = len(votes & self.survivors)
     return counted >= required or counted == len(self.survivors)
 
--- a/tests/cluster/test_control_faults.py
+++ b/tests/cluster/test_control_faults.py
@@ -209,7 +209,7 @@
         cluster.nodes["s0"].power_off(1e6, wipe=True)
         await asyncio.sleep(1.0)
         cluster.add_store("s9", "z0")
-        await asyncio.sleep(4.5)  # after this time the replaced machine no longer counts as lost
+        await asyncio.sleep(4.5)  # by then the lost machine has been replaced and no longer counts
         cluster.nodes["s1"].power_off(1.0, wipe=True)
         await asyncio.sleep(4.5)
         status, raw = await call(scenario, "s9", "GET", RETRIEVE)
@@ -237,7 +237,7 @@
         storage = RecordStorage(cluster.nodes["s2"].folder / CONTROL_FOLDER, "s2")
         storage.initialize(AcceptorRecord(foreign_voter, None, state))
         await scenario.start()
-        await asyncio.sleep(5.0)  # s0 and s1 found the cluster after the wait for a third voter
+        await asyncio.sleep(5.0)  # s0 and s1 wait for a third voter, then create the cluster
         assert await send_until_clear(scenario, ["s0", "s1"], cluster.configuration_body(9, 700)) == 200
         for node in ("s0", "s1"):
             status, raw = await call(scenario, node, "GET", RETRIEVE)
--- a/tests/cluster/test_control_messages.py
+++ b/tests/cluster/test_control_messages.py
@@ -35,9 +35,9 @@
         "678267726561646d69746167"
     ),
 )
-"""Each kind of request, batches with one command of each kind, as CBOR sent by an earlier release.
+"""A request of each kind, as CBOR that an earlier release sent.
 
-That release had no message classes yet.
+Each batch contains one command of each kind. That release had no message classes yet.
 """
 
 REPLIES = (
--- a/tests/cluster/test_disks.py
+++ b/tests/cluster/test_disks.py
@@ -213,7 +213,7 @@
 
 
 def assert_stores_recovered(cluster: SimulatedCluster, starts: int = 1) -> None:
-    """No store's process ended unexpectedly, and all disks have recovered."""
+    """Assert that no store's process ended unexpectedly, and that all disks have recovered."""
     for name in STORES:
         node = cluster.nodes[name]
         assert node.up and node.incarnation <= starts, name
@@ -222,7 +222,7 @@
 
 
 def assert_no_repeated_success(cluster: SimulatedCluster) -> None:
-    """No message succeeded twice."""
+    """Assert that no message succeeded twice."""
     assert not executed_more_than_once(cluster), str(executed_more_than_once(cluster)[:3])
 
 
@@ -549,8 +549,8 @@
 class FolderModel:
     """Models a folder whose renames are durable only after a sync of the folder.
 
-    After a failed sync, a later sync makes only the renames since then durable; earlier ones may be lost
-    (Rebello 2020).
+    After a failed sync, a later sync makes only those renames durable that came after the failed one. Earlier
+    renames may be lost (Rebello 2020).
     """
 
     STEPS = ("", "", "write", "file sync", "folder sync")
@@ -602,7 +602,7 @@
 
 
 def count_checked_images(seed: int) -> int:
-    """Check identity and promises in every possible image; return the number of images."""
+    """Check identity and promises in each folder that a loss of power may leave; return their number."""
     rng, count = random.Random(seed), 0
     model = FolderModel(rng)
     with tempfile.TemporaryDirectory() as name:
--- a/tests/cluster/test_images.py
+++ b/tests/cluster/test_images.py
@@ -1,4 +1,4 @@
-"""Files after a loss of power: all synced data survives, and any part of the unsynced data may."""
+"""Files after a loss of power: all synced data survives, and any part of the unsynced data may be lost."""
 
 from __future__ import annotations
 
@@ -122,7 +122,7 @@
             if damage in ("complete", "old", "new file torn"):
                 assert record is not None and record.voter == first.voter
                 assert record.state in (older, newer)
-            else:  # the vote is stored with the state: without it the process is a new voter
+            else:  # without a state there is no vote either, and the process is a new voter
                 assert record is None or record.state == newer, damage
 
 
--- a/tests/cluster/test_repeated_calls.py
+++ b/tests/cluster/test_repeated_calls.py
@@ -1,4 +1,4 @@
-"""Tests that a duplicate of a call, at once or late, does not change the outcome, for every RPC method."""
+"""Tests, for every RPC method, that an immediate or late duplicate of a call does not change the outcome."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 )
 
 LATE_S = 1.3  # delay of a late duplicate; longer than any caller of these methods waits
-SOON_S = 0.02  # delay of a duplicate that certainly finds the link of the call still up
+SOON_S = 0.02  # delay of a duplicate after which the link of the call is certainly still up
 FAULTS = (
     Fault(0.7, FaultKind.CONFIGURE),
     Fault(1.0, FaultKind.KILL, "s1", 0.7),
@@ -47,9 +47,10 @@
     Fault(3.5, FaultKind.TERMINATE, "s2"),
     Fault(4.5, FaultKind.CONFIGURE_CONCURRENTLY),
 )
-"""Faults of a simulated day on which every method except `control` is called.
+"""Faults of a simulated run in which every method except `control` is called.
 
-`control` is not called because every process that operators call has a disk in these simulations.
+Only a process without a disk calls `control`, to forward a request of an operator. In these simulations
+operators call only processes that have a disk.
 """
 
 METHODS = tuple(name for name in METHOD_RULES if name != "control")
@@ -102,8 +103,10 @@
 
 
 def run_day_with_duplicates(name: str, delay_s: float) -> int:
-    """Run a simulated day with duplicates of one method, check that no rule was breached, and return how many
-    duplicates there were."""
+    """Simulate a run with duplicated calls of one method, and check that it breaches no rule.
+
+    Returns the number of duplicates.
+    """
     duplicator = CallDuplicator(name, delay_s)
 
     def serve(handlers: RequestHandlers, connection: RpcConnection, method: str, payload: Any) -> Any:
