--- a/emberlatch/cluster/cli/backup.py
+++ b/emberlatch/cluster/cli/backup.py
@@ -1,7 +1,7 @@
 """Backups of a cluster's state: one file, exported from machines' disks and restored on empty disks.
 
 The file is a sequence of CBOR items: a header, one item per record, and a trailer. The trailer contains the
-number of records and a digest, by which a truncated or damaged file is detected.
+number of records and a digest, which reveal a truncated or damaged file.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 from emberlatch.cluster.settings import ConfigurationError, read_configuration
 
 FORMAT_VERSION = 1
-FORMAT_KEY = "huts"  # header key; part of the file format, as are the keys below
+FORMAT_KEY = "huts"  # header key; this and the next three keys are part of the file format
 CONFIGURATION_KEY = "word"
 RECORD_COUNT_KEY = "records"
 DIGEST_KEY = "digest"
-INCARNATION_NOTE = "life"  # key of the incarnation number in the notes of the record database
+INCARNATION_NOTE = "life"  # key of the node's incarnation number in the record database
 MAX_ERROR_CHARS = 300
 IDENTITY_CHARS = 16
 
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Backup:
-    """Content of a backup; `configuration` is the text of the active configuration, None without one."""
+    """Content of a backup. `configuration` is the text of the active configuration; None if there is none."""
 
     records: list[Record]
     configuration: bytes | None
@@ -87,7 +87,7 @@
 
 
 def export(folders: list[Path], to: Path) -> ExitCode:
-    """Write a backup of these data folders. Return UNUSABLE if one can't be read."""
+    """Write a backup of these data folders without cancelled messages; UNUSABLE if one can't be read."""
     try:
         backup = merge_disks(folders)
     except BackupError as error:
@@ -148,7 +148,7 @@
 
 
 def _read_items(path: Path) -> _Content:
-    """Decode all items up to the trailer; without a trailer, the decoder raises at the end of the file."""
+    """Decode all items up to the trailer. Without a trailer, the decoder raises at the end of the file."""
     items = list[Any]()
     digest = hashlib.sha256()
     with path.open("rb") as source:
@@ -168,7 +168,8 @@
 
     Each record is restored on `copies` machines, and the first of them becomes its owner. The machines are
     chosen by rendezvous hashing, so that each machine can compute its own part alone. Return FAILED if the
-    backup is damaged, UNUSABLE if the arguments are invalid or the folder is not empty.
+    backup is damaged or its configuration is invalid. Return UNUSABLE if the arguments are invalid, or if the
+    folder already has records or control state.
     """
     if node not in nodes or not 0 < copies <= len(nodes):
         print(
@@ -222,7 +223,10 @@
 def _create_voter_group(
     folder: Path, backup_file: Path, node: str, nodes: list[str], copies: int, command: Configure
 ) -> None:
-    """Write this machine's state in a new voter group; all machines compute the same group."""
+    """Create a new voter group and write its state to this machine's disk.
+
+    Each machine computes the same group from the same arguments.
+    """
     digest = hashlib.sha256(backup_file.read_bytes()).hexdigest()
 
     def voter(name: str) -> Voter:
--- a/emberlatch/cluster/cli/disk.py
+++ b/emberlatch/cluster/cli/disk.py
@@ -45,7 +45,7 @@
 
 
 def read_contents(database: Path, verify: bool) -> DiskContents:
-    """Read all records; `verify` also reports queued records without a body, and a corrupt database."""
+    """Read all records. With `verify`, also report queued records without a body and a corrupt database."""
     contents = DiskContents()
     for record in read_records(database):
         if isinstance(record, DamagedRecord):
--- a/emberlatch/cluster/cli/loopback_cluster.py
+++ b/emberlatch/cluster/cli/loopback_cluster.py
@@ -26,7 +26,7 @@
 from emberlatch.simulation.target import SimulatedTarget
 
 THIS_CHECKOUT = Path(__file__).resolve().parents[3]
-NODE_PACKAGES = "emberlatch.cluster", "huts"  # packages that start a node; the second is in older checkouts
+NODE_PACKAGES = "emberlatch.cluster", "huts"  # packages that start a node; older checkouts have the second
 STORE_COUNT = 3
 FORWARDER_COUNT = 2
 TARGET_COUNT = 4
@@ -38,8 +38,8 @@
 READY_POLLS = 200
 READY_TIMEOUT_S = 1.0
 STATE_TIMEOUT_S = 2.0
-REGISTRATION_WAIT_S = 1.5  # time until each target has sent a heartbeat
-ROLL_OUT_PAUSE_S = 1.0  # pause between the replacements of two processes
+REGISTRATION_WAIT_S = 1.5  # time in which each target sends its first heartbeat
+ROLL_OUT_PAUSE_S = 1.0  # pause after the replacement of each process
 OK = 200
 UNKNOWN_STATE = "unknown"
 
@@ -75,7 +75,7 @@
     """Runs stores and forwarders as processes; clients, targets and operators are simulated in this process.
 
     Attributes:
-        hosts: loopback address of each process by its name.
+        hosts: loopback addresses of the processes, by process name.
         processes: running processes by name.
         checkout: checkout of the program from which processes are started.
     """
@@ -158,7 +158,7 @@
         return True
 
     async def wait_ready(self) -> bool:
-        """Wait until all forwarders are ready; return False if they are not after READY_POLLS."""
+        """Wait until all forwarders are ready; return False if they are not after READY_POLLS checks."""
         for _ in range(READY_POLLS):
             if await self._all_ready():
                 return True
@@ -177,7 +177,7 @@
         return True
 
     async def message_state(self, id: str) -> str:
-        """Query a message's state at a forwarder; return UNKNOWN_STATE without an answer."""
+        """Query a message's state at a forwarder; return UNKNOWN_STATE unless the answer has status 200."""
         address, path = (self.forwarders["front-0"], self.ports.client), f"/api/message/{id}"
         try:
             response = await send_request(address, "GET", path, b"", {"Host": "a"}, STATE_TIMEOUT_S)
@@ -206,7 +206,7 @@
         return exited
 
     async def roll_out(self, checkout: Path) -> None:
-        """Replace all processes, one after the other, by processes of another checkout."""
+        """Replace all processes, one after another, with processes from another checkout."""
         self.checkout = checkout
         for name in self.hosts:
             exited = await self.replace_process(name)
--- a/emberlatch/cluster/cli/simulate.py
+++ b/emberlatch/cluster/cli/simulate.py
@@ -1,4 +1,4 @@
-"""The command `simulate`: simulated clusters, each under one random plan, which is called a day."""
+"""The command `simulate`: runs simulated clusters. A day is one run with a random plan of load and faults."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DayOutcome:
-    """Outcome of a day. `accepted`: number of messages; `breaches`: lines that begin with a rule's name."""
+    """Outcome of a day. `accepted` counts accepted messages; each line of `breaches` begins with a rule."""
 
     seed: int
     accepted: int
@@ -58,7 +58,7 @@
 
 
 def shrink_plan(plan: Plan, breaks: Callable[[Plan], bool]) -> Plan:
-    """Remove from the plan each fault without which a rule is still broken."""
+    """Remove each fault that is not needed to break a rule; `breaks` returns whether a plan breaks one."""
     index = 0
     while index < len(plan.faults):
         smaller = replace(plan, faults=plan.faults[:index] + plan.faults[index + 1 :])
@@ -71,7 +71,7 @@
 
 @contextmanager
 def _outcomes(options: SimulationOptions) -> Iterator[Iterable[DayOutcome]]:
-    """Iterate over the outcomes of the days in the order of their seeds."""
+    """Provide the outcomes of the days in the order of their seeds."""
     seeds = range(options.seed, options.seed + options.days)
     work = partial(play_day, strange=options.strange, large=options.large)
     if options.jobs == 1:
--- a/emberlatch/cluster/cli/status.py
+++ b/emberlatch/cluster/cli/status.py
@@ -39,7 +39,10 @@
     value_of: Callable[[Heartbeat], int | None],
     what: str,
 ) -> list[str]:
-    """Return a line with the stores grouped by the value they report; no line if all values are equal."""
+    """Return a line with the stores grouped by the value they report; no line if all values are equal.
+
+    Missing and negative values are ignored.
+    """
     by_value: dict[int, list[str]] = {}
     for node, heartbeat in heartbeats:
         value = value_of(heartbeat)
@@ -116,7 +119,7 @@
 
 
 def message_lines(reports: list[StoreReport], message_id: str) -> list[str]:
-    """Return lines on each store's replica of a message, the most recent replica first."""
+    """Return lines on each store's replica of a message, in descending order of `MessageReplica.rank`."""
     replicas = [(r.member.node, r.replica) for r in reports if r.replica is not None]
     replicas.sort(key=lambda item: item[1].rank, reverse=True)
     lines = [line for node, replica in replicas for line in _replica_lines(node, replica)]
@@ -141,7 +144,7 @@
 
 
 def _collect(store: str, message_id: str) -> list[StoreReport] | None:
-    """Query all stores; if there are no reports, print the error on standard error and return None."""
+    """Query all stores. If this fails, print the reason on standard error and return None."""
     address = parse_address(store)
     if address is None:
         print(f"{store}: HOST:PORT of a store expected, its port for other processes", file=sys.stderr)
--- a/emberlatch/cluster/cli/store_reports.py
+++ b/emberlatch/cluster/cli/store_reports.py
@@ -1,4 +1,4 @@
-"""Queries to the stores of a running cluster, through the ports that they open for peers."""
+"""Queries to the stores of a running cluster, through the ports that stores open for other processes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from emberlatch.engine import Tasks
 
 CALLER_NODE = "emberlatch-cluster"  # the node name that a command sends when it connects
-QUERY_TIMEOUT_S = 1.5  # time limit for connecting to a store and all its answers
+QUERY_TIMEOUT_S = 1.5  # time limit for connecting to a store and receiving all its answers
 
 Address = tuple[str, int]
 
@@ -36,7 +36,7 @@
 
     Attributes:
         ended_s: time of the final state; None while the message is queued.
-        seal: seal that the target returned.
+        seal: the target's proof that it executed the message; empty if there is none.
         payload: record as received, without the message's body.
     """
 
@@ -76,7 +76,10 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Sort key: final states rank above queued ones; among equal states, a later epoch ranks higher."""
+        """Sort key: COMPLETED ranks highest, then DEAD_LETTERED, then QUEUED and CANCELLED alike.
+
+        At equal rank of the state, a later epoch ranks higher.
+        """
         return max(0, self.state - MessageState.CANCELLED), self.epoch
 
 
@@ -88,7 +91,7 @@
         error: reason for a missing or malformed answer; empty if there is none.
         heartbeat: decoded heartbeat; None if there is an error.
         payload: heartbeat as received.
-        replica: the store's record of the requested message; None if it has none.
+        replica: the store's record of the requested message; None if the store has no such record.
     """
 
     member: Member
@@ -114,8 +117,8 @@
     """Send queries to the process at this address, and return the responses in order.
 
     Raises:
-        CallFailedError: a step failed, or all steps together took longer than QUERY_TIMEOUT_S. Its `step` is
-            "connect" or the method that was not answered.
+        CallFailedError: a step failed, or all steps together took longer than QUERY_TIMEOUT_S. The `step`
+            of the error is "connect" or the method that was not answered.
     """
     loop, peer = asyncio.get_running_loop(), f"{address[0]}:{address[1]}"
     endpoint = LocalEndpoint(Incarnation(CALLER_NODE, time.time_ns()))
--- a/emberlatch/cluster/cli/trial.py
+++ b/emberlatch/cluster/cli/trial.py
@@ -1,8 +1,9 @@
 """The command `try`: runs a complete cluster under load on this machine.
 
 Three stores and two forwarders run as processes on loopback addresses; targets and clients run in this
-process. A roll-out is tried in the same way: all processes start from another checkout of the program. Under
-load, they are replaced one by one by processes of this checkout, and then by the other checkout again.
+process. A roll-out is tried in the same way. All processes start from another checkout of the program. Under
+load, the processes are replaced one by one with processes from this checkout. Then they are replaced in the
+same way with processes from the other checkout.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 ACCEPTED = 202
 KILLED_STORE = "store-0"
-FAULT_TOLERANCE_S = 0.1  # faults are recorded this much earlier, as effects may be seen before the record
+FAULT_TOLERANCE_S = 0.1  # subtracted from a fault's time: its effects may be seen before it is recorded
 UNLIMITED_S = 1e6
 WARM_UP_S = 2.0  # duration of the load before a roll-out
 COMPLETION_WAIT_S = 3.0  # time after the last message for deliveries to complete
@@ -94,7 +95,7 @@
 
 
 def run(seconds: float, per_s: float, kill: bool, other: Path | None) -> ExitCode:
-    """Run a cluster under load. With `other`, roll out this checkout from `other`, then roll back.
+    """Run a cluster under load. With `other`, start from that checkout, roll out this one, then roll back.
 
     Return FAILED if a message was lost or a rule was broken, UNUSABLE if `other` is not a checkout.
     """
--- a/emberlatch/cluster/cli/validation.py
+++ b/emberlatch/cluster/cli/validation.py
@@ -46,7 +46,8 @@
 def _line_of(raw: bytes, reason: str) -> int:
     """Return the number of the line that an error refers to; 0 if it can't be found.
 
-    Searches the file for each term of `reason` in quotes, the last term first; returns the first match.
+    Takes the terms of `reason` from the last to the first, and searches the file for each in double quotes.
+    Returns the first line that matches.
     """
     terms = [term.strip(":,") for term in reason.split() if len(term) >= MIN_TERM_CHARS]
     lines = raw.decode("utf-8", "replace").splitlines()
--- a/emberlatch/cluster/control_api/api.py
+++ b/emberlatch/cluster/control_api/api.py
@@ -1,6 +1,6 @@
 """The control address: HTTP calls of targets and operators.
 
-A store handles them itself (`local`), a process without a disk forwards them to one (`forwarding`).
+A store handles the calls itself (`local`). A process without a disk forwards them to a store (`forwarding`).
 """
 
 from __future__ import annotations
--- a/emberlatch/cluster/control_api/forwarding.py
+++ b/emberlatch/cluster/control_api/forwarding.py
@@ -9,7 +9,7 @@
 from emberlatch.cluster.control_api.messages import ControlRequest, ControlResponse
 from emberlatch.cluster.rpc import CallFailedError, Peer, RpcMethod
 
-FORWARD_TIMEOUT_S = 0.9  # seconds for all attempts together, since callers wait for one second
+FORWARD_TIMEOUT_S = 0.9  # seconds for all attempts together, because callers wait for one second
 FORWARD_ATTEMPT_S = 0.45  # seconds for one attempt, after which the next store is tried
 
 
@@ -29,7 +29,8 @@
     async def handle(self, request: ControlRequest) -> ControlResponse:
         """Try the stores in turn until one responds with a status other than 503.
 
-        A store that can be reached from here may itself be isolated from the majority, and responds 503.
+        A store that this process can reach may be isolated from the majority of the voters. It then responds
+        503.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + FORWARD_TIMEOUT_S
--- a/emberlatch/cluster/control_api/local.py
+++ b/emberlatch/cluster/control_api/local.py
@@ -13,8 +13,8 @@
 from emberlatch.cluster.rpc import Peer, RpcMethod
 from emberlatch.cluster.settings.configuration import MAX_CONFIGURATION_BYTES
 
-TARGET_NOTIFY_TIMEOUT_S = 0.35  # seconds that a target's call waits for the other stores to confirm a change
-# A heartbeat without a change is reported to the other stores unless this divides its sequence number.
+TARGET_NOTIFY_TIMEOUT_S = 0.35  # seconds that a target waits while the other stores confirm a change
+# Heartbeats without a change are reported to other stores, except those whose number is a multiple of this.
 HEARTBEATS_PER_NOTICE = 2
 MAX_ERROR_TEXT = 200  # characters
 
@@ -60,7 +60,11 @@
         self._decommissions, self._contact = decommissions, contact
 
     async def handle(self, request: ControlRequest) -> ControlResponse:
-        """Return the response to a call: 404 if there is no such call, 503 if its outcome is uncertain."""
+        """Return the response to a call.
+
+        The status is 404 if there is no such call, and 503 if the outcome is uncertain or this machine has no
+        contact with a majority of the voters.
+        """
         match request.method, request.segments:
             case "POST", ("api", "instances", target_id, "heartbeat"):
                 return await self._heartbeat(target_id, request.body)
@@ -102,7 +106,7 @@
         return ControlResponse(200, b"{}")
 
     async def _notify_stores(self, target: Target, changed: bool) -> None:
-        """Report a target to the other stores; if it has changed, wait a short time for their responses."""
+        """Report a target to the other stores; if it has changed, wait briefly for the responses."""
         now, stores = asyncio.get_running_loop().time(), self._contact.reachable_stores()
         known = self._targets.targets_by_id.get(target.id, target)
         payload = known.report(now).to_wire()
--- a/emberlatch/cluster/control_api/messages.py
+++ b/emberlatch/cluster/control_api/messages.py
@@ -1,4 +1,4 @@
-"""Calls on the control API, and their forwarding from one process to another.
+"""Calls on the control API, and their encoding for forwarding from one process to another.
 
 A call is forwarded as the list `[method, segments, body]`, and its response comes back as `[status, body]`.
 """
@@ -26,7 +26,7 @@
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """Decode a payload; MessageDecodeError if it is not a call."""
+        """Decode a payload. Raises MessageDecodeError if it is not a call."""
         match payload:
             case [str(method), [*segments], bytes(body), *_]:
                 return cls(method, tuple(map(str, segments)), body)
@@ -51,7 +51,7 @@
 
     @classmethod
     def from_wire(cls, payload: object) -> Self:
-        """Decode a payload; MessageDecodeError if it is not a response."""
+        """Decode a payload. Raises MessageDecodeError if it is not a response."""
         match payload:
             case [int(status), bytes(body)]:
                 return cls(status, body)
--- a/emberlatch/cluster/decommission/decommissions.py
+++ b/emberlatch/cluster/decommission/decommissions.py
@@ -1,7 +1,7 @@
 """Decommissions: a machine with a disk is emptied on the operator's order, so that it can be removed.
 
-The progress of a decommission is part of the agreed control state: a majority of the voters confirms it
-before it is acknowledged, and the decommission resumes after any restart. The machine empties itself. The
+The progress of a decommission is part of the agreed control state: a majority of the voters confirms each
+step before it is acknowledged. A decommission resumes after any restart. The machine empties itself. The
 decommission is completed once no record depends on the machine's disk and the machine has no vote.
 """
 
@@ -21,12 +21,12 @@
 from emberlatch.cluster.message_store import MessageStore
 from emberlatch.engine import Tasks
 
-DECISION_TIMEOUT_S = 0.8  # seconds for a call to be decided, after which its outcome is uncertain
-MARK_RETRY_INTERVAL_S = 0.1  # seconds between two attempts to have the machine marked as empty
+DECISION_TIMEOUT_S = 0.8  # seconds for the voters to decide; after that the outcome is uncertain
+MARK_RETRY_INTERVAL_S = 0.1  # seconds between two attempts to mark the machine as empty
 
 
 class Decommissions:
-    """Handles the operator's calls for any store, and empties the local store once its machine is marked.
+    """Handles the operator's calls for any store, and empties the local store once this machine is marked.
 
     Args:
         node: The name of this machine.
@@ -50,7 +50,7 @@
         self._running = False
 
     def state_changed(self, before: ControlState, state: ControlState) -> None:
-        """Log the changes of the agreed state, and begin the decommission of this machine if it is marked."""
+        """Log the changed marks in the agreed state, and begin to empty this machine if it is marked."""
         for node, mark in state.decommissions:
             if before.decommission_mark(node) is not mark:
                 marked = mark is DecommissionMark.MARKED
@@ -75,8 +75,9 @@
     async def initiate(self, node: str, body: bytes) -> ControlResponse:
         """Begin to decommission a machine.
 
-        400 if the body is invalid, 404 if the machine is unknown, 409 if too few machines would remain or
-        another decommission is in progress, 503 if the outcome is uncertain.
+        Returns status 400 if the body is invalid, 404 if the machine is unknown, and 409 if too few machines
+        would remain or another decommission is in progress. Returns 503 without contact with a majority of
+        the voters, or if the outcome is uncertain.
         """
         cause = _invalid_period(body)
         if cause:
@@ -97,7 +98,7 @@
         return ControlResponse(200, b"{}")
 
     def _rejection(self, state: ControlState, node: str) -> ControlResponse | None:
-        """Return the error response if a decommission is refused; None if it is allowed or has begun."""
+        """Return the error response if a decommission is refused; None if it is allowed or already marked."""
         if state.decommission_mark(node) is not None:
             return None
         counted = self._stores.counted_stores()
@@ -114,8 +115,9 @@
     async def retrieve(self, node: str) -> ControlResponse:
         """Return the progress of a decommission.
 
-        The decommission is completed once a majority has a state in which the machine is empty and has no
-        vote. 404 if the machine is not being decommissioned, 503 if the state can't be confirmed.
+        The decommission is completed once a majority of the voters has a state in which the machine is empty
+        and has no vote. Returns status 404 if no decommission of the machine was begun, and 503 if the state
+        can't be confirmed.
         """
         if not self._stores.has_confirmed_majority():
             return NO_MAJORITY
--- a/emberlatch/cluster/decommission/evacuation.py
+++ b/emberlatch/cluster/decommission/evacuation.py
@@ -19,7 +19,7 @@
         self._node, self._message_store, self._stores = node, message_store, stores
 
     async def run(self) -> None:
-        """Evacuate; return once no message is owned here and no record needs its replica on this machine."""
+        """Evacuate; return once this store owns no message and no record needs the replica on this disk."""
         while self._message_store.phase is Phase.STARTING:
             await asyncio.sleep(POLL_INTERVAL_S)
         self._message_store.enter_phase(Phase.RETIRING)
--- a/emberlatch/cluster/decommission/ports.py
+++ b/emberlatch/cluster/decommission/ports.py
@@ -9,13 +9,13 @@
 
 
 class StoreDirectory(Protocol):
-    """Lists the other stores, and checks whether stores suffice for the losses that the settings tolerate."""
+    """Lists the other stores, and checks whether a set of stores is a quorum."""
 
     def satisfies_quorum(self, nodes: Iterable[str]) -> bool:
         """Whether a message on the disks of these machines survives the losses that the settings tolerate."""
 
     def counted_stores(self) -> dict[str, Peer]:
-        """The other stores, by node, without those that were decommissioned or removed by agreement."""
+        """The other stores, by node, except those that were decommissioned or removed by agreement."""
 
     def writable_stores(self) -> list[Peer]:
         """The other stores that accept messages and replicas."""
--- a/emberlatch/cluster/discovery/heartbeat.py
+++ b/emberlatch/cluster/discovery/heartbeat.py
@@ -14,7 +14,7 @@
 
 
 class InvalidHeartbeatError(ValueError):
-    """A malformed heartbeat. `target_id`: the target that sent it; `reason`: the first fault found."""
+    """A malformed heartbeat. `target_id` names the target that sent it; `reason` is the first fault found."""
 
     def __init__(self, target_id: str, reason: str) -> None:
         super().__init__(f"heartbeat of {target_id[:60]}: {reason}"[:MAX_ERROR_LENGTH])
--- a/emberlatch/cluster/discovery/target.py
+++ b/emberlatch/cluster/discovery/target.py
@@ -25,7 +25,7 @@
         capacity: maximum number of concurrent calls.
         sequence: number of the newest heartbeat.
         last_contact_s_ago: seconds since the target's last heartbeat or its deregistration.
-        warmup_remaining_s: seconds until the target has warmed up; negative if it has.
+        warmup_remaining_s: seconds until the target has warmed up; negative if that time has passed.
     """
 
     id: str
@@ -100,8 +100,8 @@
     state: TargetState
     sequence: int  # number of its newest heartbeat
     last_contact_at: float  # loop time of its last heartbeat or its deregistration
-    warmed_up_at: float = 0.0  # loop time at which it has warmed up; it is slow until then
-    lease_expired: bool = False  # judgement of this process, not sent to other stores
+    warmed_up_at: float = 0.0  # loop time at which warm-up ends; the target is slow until then
+    lease_expired: bool = False  # decided by this process alone, and not sent to other stores
 
     @classmethod
     def from_report(cls, report: TargetReport, now: float) -> Self:
--- a/emberlatch/cluster/discovery/target_directory.py
+++ b/emberlatch/cluster/discovery/target_directory.py
@@ -1,12 +1,13 @@
 """The directory of targets. It performs no I/O and reads no clock: each call passes the time.
 
-Each start of a target is a new incarnation with a new id, and the state of an incarnation only increases: in
-service, draining, deregistered. Therefore a duplicate or late report changes nothing. The directory is soft
-state: if it is lost, the next heartbeats rebuild it.
-
-Each process decides for itself whether a target's lease has expired, because a process without heartbeats may
-be the isolated one. An expired lease is not reported to other stores. The lease is renewed by the next
-heartbeat, whether it arrives from the target or in a report of another store.
+Each start of a target is a new incarnation with a new id. The state of an incarnation changes only in this
+order: in service, draining, deregistered. Therefore a duplicate or late report cannot change a state back.
+The directory is not stored: if it is lost, the next heartbeats rebuild it.
+
+A target's lease expires if no heartbeat renews it. Each process decides for itself whether a lease has
+expired, and does not report this to other stores: if heartbeats stop arriving, the process itself may be
+isolated. The next heartbeat renews the lease, whether it arrives from the target or in a report of another
+store.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 from emberlatch.cluster.events import Event, log_event
 
 LEASE_HEARTBEATS = 3.2  # a target's lease expires after this many heartbeat intervals
-TOMBSTONE_RETENTION_S = 60.0  # a deregistered target is kept so that no late report registers it again
+TOMBSTONE_RETENTION_S = 60.0  # keeps a deregistered target so that no late report registers it again
 MAX_TARGETS = 20_000
 
 
 @dataclass(frozen=True, slots=True)
 class AppliedHeartbeat:
-    """The target that sent a heartbeat, and whether it registered the target or changed its state."""
+    """A target as its heartbeat reports it; `state_changed` is also true if the target was registered."""
 
     target: Target
     state_changed: bool
@@ -84,7 +85,7 @@
         return target
 
     def on_wrong_instance(self, target_id: str, now: float) -> None:
-        """Deregister a target at whose address another instance answered: this incarnation has ended."""
+        """Deregister a target: another instance answered at its address, so this incarnation has ended."""
         self.deregister(target_id, now)
 
     def expire(self, now: float) -> None:
@@ -99,7 +100,10 @@
                     del self._by_address[target.address]
 
     def _merge(self, reported: Target, now: float) -> bool:
-        """Merge a report into the directory; return whether it registered the target or changed its state."""
+        """Merge a report into the directory; return whether this registered the target or changed its state.
+
+        The service, address, zone and capacity of a registered target do not change.
+        """
         known = self.targets_by_id.get(reported.id)
         if known is None:
             if len(self.targets_by_id) >= MAX_TARGETS or now - reported.last_contact_at > self._lease_s:
@@ -122,7 +126,7 @@
         if target.state is TargetState.DEREGISTERED:
             return
         previous = self._by_address.get(target.address)
-        if previous is not None:  # replaced at this address, perhaps by another service's target
+        if previous is not None:  # The new target, perhaps of another service, replaces it at this address.
             self._set_state(previous, TargetState.DEREGISTERED)
         self._by_address[target.address] = target
         host, port = target.address
@@ -130,7 +134,7 @@
         self._notify(target)
 
     def _set_state(self, target: Target, state: TargetState) -> None:
-        """Set the state of a known target if the new state is higher; no other method changes it."""
+        """Set the state of a known target if the new state is higher. No other method changes a state."""
         if state <= target.state:
             return
         target.state = state
--- a/emberlatch/cluster/dispatch/carrier.py
+++ b/emberlatch/cluster/dispatch/carrier.py
@@ -19,7 +19,7 @@
 from emberlatch.net.retry_after import parse_retry_after
 
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
-ATTEMPT_ID_HEADER = "emberlatch-attempt-id"  # repeated in a response: id of the answered message
+ATTEMPT_ID_HEADER = "emberlatch-attempt-id"  # response header: id of the message that is answered
 SEAL_HEADER = "emberlatch-server-seal"
 NOT_EXECUTED_HEADER = "emberlatch-not-executed"
 
@@ -40,7 +40,7 @@
 
 
 class DeliverySource(Protocol):
-    """Provides the content of the carrier's calls, and receives their results."""
+    """Provides the content of the carrier's calls, and receives the results of the calls."""
 
     def delivery_request(self, ref: int, target: bytes) -> DeliveryRequest:
         """Return the content of a call; `ref` identifies the delivery in the decision module."""
@@ -65,19 +65,20 @@
         self._deliveries = deliveries
 
     def _is_wanted(self, call: Call) -> bool:
-        # While the connection was established, another store may have taken over the message or ended it.
+        # While the connection was being opened, another store may have taken over or ended the message.
         return self._deliveries.is_wanted(call.items[0].ref)
 
     async def _connect(self, target: Endpoint) -> Connection:
         return await connect_to_target(target.address, self._settings.connect_timeout, MAX_RESPONSE_BYTES)
 
     def _is_reusable(self, connection: Connection, call: Call) -> bool:
-        # A duplicate response to an earlier attempt has the same attempt id as the response to this attempt.
+        # A connection that carried an earlier attempt of this message is not reused: a duplicate response to
+        # that attempt would have the same attempt id as the response to this one.
         return isinstance(connection, TargetConnection) and call.items[0].id not in connection.message_ids
 
     def _request(self, target: Endpoint, call: Call) -> bytes:
         request = self._deliveries.delivery_request(call.items[0].ref, call.target)
-        # The time for the connection is deducted, so that the target stops before this call times out.
+        # The time that the call has taken so far is deducted, so that the target stops before it times out.
         remaining_s = request.guard_s - call.age
         record, body = request.record, request.record.body or b""
         head = (
--- a/emberlatch/cluster/dispatch/decision_inbox.py
+++ b/emberlatch/cluster/dispatch/decision_inbox.py
@@ -1,4 +1,4 @@
-"""Event queue of the decision module, which decides once per iteration of the event loop."""
+"""Event queue of the decision module, which processes its events at most once per event loop iteration."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class DecisionInbox:
-    """Collects events until `decide` drains them."""
+    """Collects events until `decide` removes them with `drain`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, decide: Callable[[], None]) -> None:
         self._loop, self._decide = loop, decide
--- a/emberlatch/cluster/dispatch/delay_queue.py
+++ b/emberlatch/cluster/dispatch/delay_queue.py
@@ -9,11 +9,11 @@
 
 from emberlatch.cluster.dispatch.delivery import Delivery, DeliveryStage, DeliveryTable
 
-TIMER_TOLERANCE_S = 1e-4  # a timer may fire this much early because clocks are rounded
+TIMER_TOLERANCE_S = 1e-4  # a timer may fire early by this time, because clocks are rounded
 
 
 class DelayQueue:
-    """A heap of delayed deliveries; `on_wake` is called when one is due, or when `wake_at` requests it."""
+    """A heap of delayed deliveries. `on_wake` is called when one is due and at times set by `wake_at`."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, deliveries: DeliveryTable, on_wake: Callable[[], None]
@@ -48,7 +48,8 @@
         latest = self._loop.time() + TIMER_TOLERANCE_S
         while self._heap and self._heap[0][0] <= latest:
             delivery = heapq.heappop(self._heap)[2]
-            # Skip an outdated entry: the delivery was rescheduled, withdrawn or replaced after the push.
+            # Skip the entry if the delivery is not delayed any more, or was withdrawn or replaced. An older
+            # entry of a delivery that is delayed again is not skipped.
             if (
                 delivery.stage is DeliveryStage.DELAYED
                 and self._deliveries.by_id.get(delivery.record.id) is delivery
--- a/emberlatch/cluster/dispatch/delivery.py
+++ b/emberlatch/cluster/dispatch/delivery.py
@@ -1,8 +1,10 @@
 """The deliveries of this store and their stages.
 
-Stages of a delivery: DELAYED -> READY -> QUEUED_IN_POOL -> IN_FLIGHT, and back to DELAYED for each retry. A
-delivery that has ended, or that another store takes over, is removed from the table. The deliveries that are
-in the decision module, in the last two stages, are called the pool.
+Stages of a delivery: DELAYED -> READY -> QUEUED_IN_POOL -> IN_FLIGHT. A delivery returns to DELAYED for each
+retry or new offer, and to QUEUED_IN_POOL if the decision module has to choose another target. A delivery that
+has ended, or that another store takes over, is removed from the table.
+
+A delivery in one of the last two stages is in the decision module. These deliveries are called the pool.
 """
 
 from __future__ import annotations
@@ -19,7 +21,7 @@
 
     DELAYED = "delayed"  # waits until the message or its next retry is due
     READY = "ready"  # queued for its service, not offered to the decision module yet
-    QUEUED_IN_POOL = "queued in pool"  # offered to the decision module, which looks for a target
+    QUEUED_IN_POOL = "queued in pool"  # offered to the decision module, which has to choose a target
     IN_FLIGHT = "in flight"  # a call to a target has started
 
 
@@ -43,13 +45,13 @@
     Attributes:
         record: the message; its `attempts` count the attempts that targets reported as failed.
         stage: current stage; only `DeliveryTable.change_stage` changes it.
-        ref: number of the delivery in the decision module, new with each offer; 0 before the first offer.
+        ref: number of the delivery in the decision module; each offer gets a new one, 0 stands for none yet.
         send_count: number of calls under this `ref`, including those that the rate quota rejected.
         route: route from the configuration that was active when the delivery became ready.
-        offer_count: number of offers without a lease since the last attempt.
-        pool_sizes: counters of its service's deliveries in the decision module.
-        locality: locality of the targets to which it was offered last.
-        result: result given by the response to the call in flight; None again once the outcome is processed.
+        offer_count: number of offers that ended without a call slot since the last attempt.
+        pool_sizes: `ReadyQueue.pool_sizes` of the service, in which this delivery is counted.
+        locality: locality of the targets to which the delivery was last offered.
+        result: result of the response to the call in flight; None again once the outcome is processed.
         seal: seal of that response; empty if there is none.
     """
 
@@ -100,7 +102,7 @@
         self.by_ref[delivery.ref] = delivery
 
     def change_stage(self, delivery: Delivery, stage: DeliveryStage) -> None:
-        """Set the stage of a delivery, and update the pool size in which it is counted."""
+        """Set the stage of a delivery. Update the pool sizes if the delivery enters or leaves the pool."""
         was_in_pool, is_in_pool = delivery.stage in POOL_STAGES, stage in POOL_STAGES
         if is_in_pool and not was_in_pool:
             delivery.pool_sizes[delivery.locality] += 1
--- a/emberlatch/cluster/dispatch/delivery_result.py
+++ b/emberlatch/cluster/dispatch/delivery_result.py
@@ -10,10 +10,12 @@
 class DeliveryResult(Enum):
     """Meaning of a response for the delivery attempt."""
 
-    COMPLETED = "completed"  # a success, with its seal
+    COMPLETED = "completed"  # a 2xx status with a seal
     ATTEMPT_FAILED = "attempt failed"  # the message was executed and failed; it may be retried
     REJECTED_PERMANENTLY = "rejected permanently"  # no retry can succeed
-    OVERLOADED = "overloaded"  # not executed: 429, 503, or another status with the not-executed header
+    OVERLOADED = (
+        "overloaded"  # not executed: 429, 503, or an unclassified status with the not-executed header
+    )
     STILL_RUNNING = "still running"  # not executed: an earlier attempt is still running
     WRONG_INSTANCE = "wrong instance"  # not executed: another instance listens at the address
     UNKNOWN = "unknown"  # the message may have been executed
@@ -29,7 +31,7 @@
     DeliveryResult.WRONG_INSTANCE: (Result.NOT_EXECUTED, False),
     DeliveryResult.UNKNOWN: (Result.ERROR, False),
 }
-"""The result passed to the decision module per delivery result, and whether the delivery ends there."""
+"""The decision module's result for each delivery result, and whether the delivery leaves the module."""
 
 
 def classify_response(status: int, seal: str, not_executed: bool) -> DeliveryResult:
--- a/emberlatch/cluster/dispatch/destinations.py
+++ b/emberlatch/cluster/dispatch/destinations.py
@@ -1,8 +1,9 @@
 """Destinations and endpoints in the terms of the decision module.
 
-The local targets of a service are one destination of the module, its remote targets another. A delivery that
-gets no local lease is returned by the module and may then be offered to the remote destination. In this way
-a message's body is sent to another zone only if its delivery was offered to the remote destination.
+In the decision module, the local targets of a service form one destination, and its remote targets another.
+The module sends a delivery only to targets of the destination to which the delivery was offered. Therefore a
+message's body reaches another zone only after an offer to the remote destination. Such an offer is made if
+the local destination has no available target, has reached its limit, or gave no call slot before.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
         self._targets: dict[bytes, Target] = {}
 
     def number(self, service: str, locality: Locality) -> int:
-        """Return the number of a destination; assign the next number to a new one."""
+        """Return the number of a destination; a new destination gets the next number."""
         return self._numbers.setdefault((service, locality), len(self._numbers))
 
     def configure(self, services: Iterable[Service]) -> Iterator[EndpointUpdate]:
@@ -69,14 +70,14 @@
             yield EndpointUpdate(tuple(entries), addresses)
 
     def update_target(self, target: Target) -> EndpointUpdate | None:
-        """Apply a target's new state; return None if nothing changes for the module."""
+        """Apply a target's new state; return None for an unknown target that is already removed."""
         name = target.id.encode()
         phase = api.Phase.REMOVED if target.lease_expired else PHASES[target.state]
         if phase is api.Phase.REMOVED and name not in self._entries:
             return None
         remote = target.zone != self._zone
         locality = Locality.REMOTE if remote else Locality.LOCAL
-        # A store in another zone uses half of the capacity; the rest is for stores in the target's zone.
+        # This store uses half of the capacity of a target in another zone; that zone's stores use the rest.
         capacity = max(1, target.capacity // 2) if remote else target.capacity
         entry = api.Entry(name, self.number(target.service, locality), phase, max_concurrency=capacity)
         if phase is api.Phase.REMOVED:
--- a/emberlatch/cluster/dispatch/dispatcher.py
+++ b/emberlatch/cluster/dispatch/dispatcher.py
@@ -29,9 +29,9 @@
 from emberlatch.core.forwarder import Forwarder
 from emberlatch.engine import CallItem, Tasks
 
-CONFIGURATION_RETRY_S = 0.1  # delay of a message whose configuration this store does not have yet
+CONFIGURATION_RETRY_S = 0.1  # retry interval while this store lacks the message's configuration revision
 RESPONSE_MARGIN_S = 0.15  # time after a delivery's guard time in which its response may arrive
-SHUTDOWN_ABANDON_S = 0.8  # time before the end of the grace period at which calls are abandoned
+SHUTDOWN_ABANDON_S = 0.8  # `close` stops waiting for calls this long before the grace period ends
 SHUTDOWN_POLL_S = 0.02
 
 
@@ -68,7 +68,10 @@
     # Called by the store.
 
     def configure(self, config: Configuration) -> None:
-        """Apply a configuration; deliveries that were not offered yet are routed by it."""
+        """Apply a configuration, and route the DELAYED and READY deliveries again.
+
+        They become due at once, or at the message's due time if that is later.
+        """
         self._config = config
         for update in self._destinations.configure(config.services):
             self._announce(update)
@@ -84,7 +87,7 @@
             self._inbox.schedule()
 
     def deliver(self, record: Record) -> None:
-        """Deliver a message once it is due; ignore one that has a delivery already or has ended."""
+        """Deliver a message once it is due; do nothing if it has a delivery already or has ended."""
         if record.id in self._deliveries.by_id or not record.is_queued:
             return
         delivery = self._deliveries.by_id[record.id] = Delivery(record)
@@ -95,10 +98,10 @@
             self._inbox.schedule()
 
     def withdraw(self, record: Record) -> bool:
-        """Stop the delivery of a message, and return true.
+        """Stop the delivery of a message; return whether the delivery is stopped.
 
-        If the message is open and its call is in flight, nothing changes and the result is false. If another
-        store has ended the message, its call is cancelled.
+        Return false, and change nothing, if the message is queued and its call is in flight. If another store
+        has ended the message, a call in flight is cancelled.
         """
         delivery = self._deliveries.by_id.get(record.id)
         if delivery is None:
@@ -120,15 +123,15 @@
         return [delivery.record for delivery in idle]
 
     def schedule_decision(self) -> None:
-        """Schedule a decision, as `DeliveryOwner.may_start_calls` may have changed without an event."""
+        """Schedule a decision; called at intervals, as no event reports a change of `may_start_calls`."""
         if self._offers.has_queues and self._deliveries.by_id:
             self._inbox.schedule()
 
     async def close(self, hand_over: Callable[[list[Record]], Awaitable[None]], until: float) -> None:
         """Stop offering deliveries, and hand over those without a call in flight until none remains.
 
-        `until` is the end of the grace period in the loop's time. Calls that are still in flight
-        `SHUTDOWN_ABANDON_S` before it are abandoned.
+        `until` is the end of the grace period in the loop's time. `SHUTDOWN_ABANDON_S` before it, the method
+        returns even if calls are still in flight.
         """
         self._deliveries.draining = True
         while self._deliveries.by_id:
@@ -209,7 +212,7 @@
                 self._carrier.cancel(ref, attempt)
             case api.LogLine(text=text):
                 log_event(Event.DISPATCH_NOTE, text)
-            case _:  # this program has no use for actions on health checks, directories and forwarders
+            case _:  # actions on health checks, directories and forwarders, which the cluster does not use
                 pass
 
     def _on_module_timer(self) -> None:
--- a/emberlatch/cluster/dispatch/module_settings.py
+++ b/emberlatch/cluster/dispatch/module_settings.py
@@ -8,7 +8,7 @@
 CONNECT_TIMEOUT_S = 0.5
 CONNECTION_IDLE_S = 6.0
 MAX_RETRY_AFTER_S = 2.0
-UNLIMITED = 1_000_000  # too high to take effect in the module; this package limits messages and attempts
+UNLIMITED = 1_000_000  # a limit that the module never reaches; this package limits messages and attempts
 
 
 class LeaseWaitCategories:
@@ -23,7 +23,11 @@
         self.settings = _module_settings([])
 
     def add(self, target_s: float, deadline_s: float) -> tuple[int, api.SettingsChanged | None]:
-        """Return the category's number and, if it is new, the event that the module must receive first."""
+        """Return the number of the category for the lease wait `target_s`.
+
+        If the category is new, the second value is an event, which the module must receive before the
+        category is used.
+        """
         key = round(target_s, 3), round(deadline_s, 3)
         if (number := self._numbers.get(key)) is not None:
             return number, None
--- a/emberlatch/cluster/dispatch/offers.py
+++ b/emberlatch/cluster/dispatch/offers.py
@@ -57,7 +57,7 @@
         queue.push(delivery)
 
     def offer_ready(self, config: Configuration | None, now: float) -> None:
-        """Offer ready deliveries as far as quotas and destinations have capacity."""
+        """Offer ready deliveries until a quota or the limit of the destinations is reached."""
         if config is None:
             return
         for name, queue in self._queues.items():
--- a/emberlatch/cluster/dispatch/outcomes.py
+++ b/emberlatch/cluster/dispatch/outcomes.py
@@ -60,7 +60,7 @@
                 self._try_other_target(delivery)
 
     def on_no_lease(self, ref: int) -> None:
-        """After `NO_LEASE_RETRY_S`, offer a delivery again that the decision module rejected or failed."""
+        """Offer a delivery again after `NO_LEASE_RETRY_S`: the decision module has rejected or failed it."""
         if (delivery := self._deliveries.by_ref.get(ref)) is not None:
             delivery.offer_count += 1
             self._delayed.delay_for(delivery, NO_LEASE_RETRY_S)
@@ -74,12 +74,12 @@
         self._deliveries.remove(delivery)
         if delivery.stage in POOL_STAGES:
             self._inbox.add(api.ClientDisconnected(delivery.ref))
-        # Any stage outside the pool would do: the delivery must no longer count in the pool sizes.
+        # DELAYED is a stage outside the pool, so the delivery is no longer counted in the pool sizes.
         self._deliveries.change_stage(delivery, DeliveryStage.DELAYED)
         self._inbox.schedule()
 
     def _end_lease_wait(self, delivery: Delivery, ref: int) -> None:
-        # The message was not sent, so this counts neither as an attempt nor as a failure.
+        # The message was not sent, so neither an attempt nor a failure is counted.
         if delivery.ref == ref and delivery.stage is DeliveryStage.QUEUED_IN_POOL:
             self._inbox.add(api.ClientDisconnected(ref))
             delivery.offer_count += 1
@@ -100,7 +100,7 @@
             self._retry(delivery, RETRY_BACKOFF_S[min(record.attempts - 1, len(RETRY_BACKOFF_S) - 1)])
 
     def _try_other_target(self, delivery: Delivery) -> None:
-        """Leave a delivery without a conclusive response in the module, which sends it to another target.
+        """Leave a delivery without a conclusive response in the module, which may send it to another target.
 
         The delivery is withdrawn instead if the store is draining or does not own the message any more.
         """
--- a/emberlatch/cluster/dispatch/ports.py
+++ b/emberlatch/cluster/dispatch/ports.py
@@ -1,4 +1,4 @@
-"""What the dispatcher needs from the store that it runs in."""
+"""The interface through which the dispatcher uses its store, and the settings of the dispatcher."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
         zone: zone of this store; targets in this zone are local, all others are remote.
         seed: seed of the decision module's random number generator.
         rate_window_s: length in seconds of the sliding window to which a rate limit applies.
-        rate_window_excess: factor by which the calls of one window may exceed rate limit x window.
+        rate_window_excess: a window may contain rate limit x window x this factor calls; `RateShare` allows
+            a few calls more.
         max_connections: maximum number of open connections to targets.
     """
 
--- a/emberlatch/cluster/dispatch/quota.py
+++ b/emberlatch/cluster/dispatch/quota.py
@@ -6,8 +6,8 @@
 from emberlatch.cluster.rate_limits import RateShare
 from emberlatch.cluster.settings import Service
 
-QUOTA_LOOKAHEAD_S = 0.3  # the decision module may hold deliveries for this many seconds of the quota
-MIN_IN_POOL = 2  # deliveries that the decision module may have even under a smaller quota
+QUOTA_LOOKAHEAD_S = 0.3  # the decision module may have as many deliveries as the quota allows in this time
+MIN_IN_POOL = 2  # deliveries allowed in addition, so that some are offered under a small quota as well
 
 
 class ServiceQuotas:
@@ -19,7 +19,7 @@
         self._shares: dict[str, RateShare] = {}
 
     def max_in_pool(self, service: Service) -> int:
-        """Return the maximum number of the service's deliveries in the decision module."""
+        """Return the maximum number of the service's deliveries in the decision module for local targets."""
         divisor = self._owner.quota_divisor(service.name)
         return MIN_IN_POOL + int(QUOTA_LOOKAHEAD_S * service.rate_per_s / divisor)
 
@@ -33,7 +33,8 @@
     def try_spend(self, service: Service | None, now: float) -> bool:
         """Count one call against the quota and return true; return false if the quota does not allow it now.
 
-        A service that has no rate limit, or is not configured any more, is not limited.
+        Always true for a service that has no rate limit, is not configured any more, or was never queried
+        with `next_call_at`.
         """
         if service is None or service.rate_per_s <= 0 or (share := self._shares.get(service.name)) is None:
             return True
--- a/emberlatch/cluster/dispatch/ready_queue.py
+++ b/emberlatch/cluster/dispatch/ready_queue.py
@@ -10,6 +10,8 @@
 class ReadyQueue:
     """A FIFO queue in which deliveries that can still start in time precede the late ones.
 
+    A delivery is late if the route's `nominal_start_ms` has passed since the message was due.
+
     Attributes:
         pool_sizes: number of the service's deliveries in the decision module, by `Locality`.
     """
--- a/emberlatch/cluster/dispatch/target_connection.py
+++ b/emberlatch/cluster/dispatch/target_connection.py
@@ -1,9 +1,9 @@
 """A connection to a target that drops responses to earlier requests.
 
 A faulty target may send a second response, or a response to an earlier message. The attempt id in such a
-response differs from the id of the current request, and the response is dropped. The connection stays open
-then, because the expected response may still follow and closing would abort the execution of the message.
-No other request is sent on this connection.
+response differs from the id of the current request, and the response is dropped. The connection then stays
+open: the expected response may still follow, and closing would abort the execution of the message. The
+connection is closed after the expected response, so that no other request is sent on it.
 """
 
 from __future__ import annotations
--- a/emberlatch/cluster/ingress/front.py
+++ b/emberlatch/cluster/ingress/front.py
@@ -1,7 +1,8 @@
 """Handles client requests: submits messages for delivery, and answers queries about their state and body.
 
 The response 202 to a submitted message means that the message is durable on a quorum of disks. 429 and 503
-guarantee that the message was not executed and never will be. The response is 504 if a store may have it.
+guarantee that the message was not executed and never will be. The response is 504 if a store may have the
+message.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from emberlatch.cluster.settings import Configuration
 from emberlatch.net.server import Reply, Request
 
-STATE_PATH, BODY_PATH = "/api/message/", "/api/message-body/"  # The id of a message follows.
+STATE_PATH, BODY_PATH = "/api/message/", "/api/message-body/"  # prefixes; the id of a message follows
 RETRY_AFTER_S = 0.12  # seconds after which a client may retry
 MESSAGE_ID = re.compile(r"[A-Za-z0-9._-]{1,64}")
 MAX_DELAY_S = 7 * 86400.0
@@ -111,7 +112,7 @@
 
 
 def _delay_s(milliseconds: str) -> float | None:
-    """Convert the delay of a header to seconds; None if it is not a number from 0 to MAX_DELAY_S."""
+    """Convert the delay in a header to seconds; None if it is not a number, or not from 0 to MAX_DELAY_S."""
     try:
         delay_s = float(milliseconds) / 1000
     except ValueError:
--- a/emberlatch/cluster/ingress/listener.py
+++ b/emberlatch/cluster/ingress/listener.py
@@ -20,10 +20,10 @@
         "emberlatch-deadline-ms",
     }
 )
-"""Headers that a request may have only once; with two values, two programs could each use another one."""
+"""Headers that a request may have only once. Given two values, two programs could use different values."""
 
 RequestHandler = Callable[[Request, Reply], Coroutine[object, object, None]]
-"""Answers one request through its reply."""
+"""Answers a request through the `Reply` that is passed with it."""
 
 
 class HttpListener(Server):
--- a/emberlatch/cluster/ingress/message_queries.py
+++ b/emberlatch/cluster/ingress/message_queries.py
@@ -16,11 +16,14 @@
 
 
 class NoSuchMessageError(LookupError):
-    """Every store responded and none has the message, or the body of a completed message was requested."""
+    """The message or its body was not found although every store responded.
+
+    Also raised for the body of a completed message, which was deleted.
+    """
 
 
 class StoresUnreachableError(LookupError):
-    """No store that responded has the message, and not all responded."""
+    """Not all stores responded, and those that did do not have the message or its body."""
 
 
 class MessageQueries:
@@ -30,7 +33,7 @@
         self._stores = stores
 
     async def status(self, message_id: str) -> MessageStatus:
-        """Return the most final state that any store reports.
+        """Return the most final of the reported states: completed, then dead-lettered, then queued.
 
         Raises NoSuchMessageError or StoresUnreachableError if no store reports the message.
         """
--- a/emberlatch/cluster/ingress/readiness_endpoint.py
+++ b/emberlatch/cluster/ingress/readiness_endpoint.py
@@ -19,7 +19,7 @@
     """Why a process can't accept messages; the values are logged."""
 
     SHUTTING_DOWN = "shutting down"  # SIGTERM was received; this state lasts until the process exits.
-    NO_CONFIGURATION = "no configuration"  # None has been active since this process started.
+    NO_CONFIGURATION = "no configuration"  # No configuration has been active since this process started.
     NO_QUORUM = "no quorum of writable stores"  # too few stores, zones or regions for `resilience`
 
 
@@ -33,8 +33,8 @@
 class ReadinessEndpoint:
     """Answers 200 while messages are accepted, else 503.
 
-    A request that finds a changed reason logs the change (events 107 and 108); nothing is logged between
-    requests.
+    The first request logs the reason, and so does each request that finds another reason than the last one
+    (events 107 and 108). A change is not logged before the next request.
     """
 
     def __init__(self, check: ReadinessCheck) -> None:
--- a/emberlatch/cluster/ingress/stores.py
+++ b/emberlatch/cluster/ingress/stores.py
@@ -11,7 +11,7 @@
     """The stores that accept messages and answer queries."""
 
     def nearest_stores(self, key: str = "") -> list[Peer]:
-        """The writable stores for the messages of the service `key`, the best first."""
+        """The writable stores, the nearest first. The service `key` decides between equally near stores."""
 
     def reachable_stores(self) -> list[Peer]:
         """All stores that can be reached."""
--- a/emberlatch/cluster/ingress/submitter.py
+++ b/emberlatch/cluster/ingress/submitter.py
@@ -9,9 +9,9 @@
 from emberlatch.cluster.message_store import AcceptReply, AcceptRequest, SubmittedMessage
 from emberlatch.cluster.rpc import CallFailedError, Peer, RpcMethod
 
-STORE_TIMEOUT_S = 0.15  # seconds for one store to accept a message; the last one gets the remaining time
-SUBMIT_TIMEOUT_S = 0.46  # seconds for all attempts, after which the client gets its response
-MIN_ATTEMPT_S = 0.02  # No attempt begins with this many seconds remaining, or fewer.
+STORE_TIMEOUT_S = 0.15  # seconds for a store to accept a message; the last store gets the remaining time
+SUBMIT_TIMEOUT_S = 0.46  # seconds for all attempts together; then the client gets its response
+MIN_ATTEMPT_S = 0.02  # An attempt begins only if more than this number of seconds remains.
 
 
 class SubmitOutcome(Enum):
@@ -23,7 +23,7 @@
 
 
 class MessageSubmitter:
-    """Tries the stores in order within the timeout.
+    """Tries the stores in order, within SUBMIT_TIMEOUT_S.
 
     Each request names the stores that may already have the message from an earlier attempt.
     """
--- a/emberlatch/cluster/node/builder.py
+++ b/emberlatch/cluster/node/builder.py
@@ -37,7 +37,7 @@
 from emberlatch.engine import Machine, Tasks
 
 RESERVED_FDS = 300  # file descriptors for uses other than client and target connections
-MIN_CLIENTS, MAX_READINESS_CLIENTS = 16, 64  # numbers of connections
+MIN_CLIENTS, MAX_READINESS_CLIENTS = 16, 64  # numbers of client connections
 MIN_TARGET_CONNECTIONS = 64
 MAX_CONTROL_BODY_BYTES = 2 * 1024 * 1024
 CONTROL_IDLE_TIMEOUT_S = 30.0
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeParts:
-    """All components of a process; those that its settings do not call for are None."""
+    """All components of a process; a component that the settings do not require is None."""
 
     endpoint: LocalEndpoint
     membership: MembershipView
@@ -172,7 +172,7 @@
     # Listening addresses.
 
     def _listener(self, name: str, handle: RequestHandler, max_clients: int) -> HttpListener | None:
-        """Create a listener on the address with this name in the settings; None if there is none."""
+        """Create a listener on the address with this name in the settings; None if the name is missing."""
         address = self._settings.listen.get(name)
         if address is None:
             return None
--- a/emberlatch/cluster/node/change_notifier.py
+++ b/emberlatch/cluster/node/change_notifier.py
@@ -1,4 +1,4 @@
-"""Signals a change that other processes should be notified of promptly."""
+"""Signals a change that this process should report to other processes at once."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 class ChangeNotifier:
-    """Avoids a circular dependency between components and the heartbeats that report their state."""
+    """Passes the signal from the components to the heartbeats that report their state.
+
+    Without it, the components and the heartbeats would depend on each other.
+    """
 
     def __init__(self) -> None:
         self._subscribers: list[Callable[[], None]] = []
--- a/emberlatch/cluster/node/configuration_activation.py
+++ b/emberlatch/cluster/node/configuration_activation.py
@@ -17,7 +17,7 @@
         self._front, self._store, self._heartbeats = front, store, heartbeats
 
     def apply(self, config: Configuration) -> None:
-        """Put this configuration in force in this process; a store announces its revision."""
+        """Put a configuration in force in this process; a store announces the revision to other processes."""
         if self._front is not None:
             self._front.apply_limits(config.limits)
         if self._store is not None:
--- a/emberlatch/cluster/node/delivery_owner.py
+++ b/emberlatch/cluster/node/delivery_owner.py
@@ -1,4 +1,4 @@
-"""The interface of the store to its dispatcher."""
+"""The interface that the store provides to its dispatcher."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         self._targets.on_wrong_instance(target_id, asyncio.get_running_loop().time())
 
     def may_start_calls(self) -> bool:
-        """Return whether deliveries may begin."""
+        """Return whether calls to targets may start."""
         return self._message_store.may_start_deliveries()
 
     def quota_divisor(self, service: str) -> float:
--- a/emberlatch/cluster/node/graceful_shutdown.py
+++ b/emberlatch/cluster/node/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Ends a process within its grace period: finishes calls in flight, hands queued messages to other stores."""
+"""Ends a process within its grace period. Calls in flight finish; queued messages go to other stores."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 FLUSH_MARGIN_S = 0.5  # seconds from the end of the wait for the disk to the end of the grace period
 FRONT_POLL_S = 0.05  # seconds between two checks whether all clients have disconnected
 STORE_POLL_S = 0.02  # seconds between two checks whether all calls have been answered
-NOTICE_SEND_S = 0.03  # seconds that notices get for transmission before the links are closed
-LINK_CLOSE_S = 0.02  # seconds that the links get for closing before the database is closed
+NOTICE_SEND_S = 0.03  # seconds for the transmission of notices before the links are closed
+LINK_CLOSE_S = 0.02  # seconds for the links to close before the database is closed
 
 
 class GracefulShutdown:
@@ -58,14 +58,18 @@
             self._store.control.close()
         self._membership.close()
         await asyncio.sleep(LINK_CLOSE_S)
-        # Without a complete flush a commit is stuck or has failed; the other stores know of it already.
+        # If the flush is incomplete, a commit is blocked or has failed. The database is not closed then, as
+        # `close` commits again. The other stores know of the commit already.
         if self._store is not None and flushed:
             with contextlib.suppress(OSError):
                 self._store.message_store.local_store.database.close()
         log_event(Event.STOPPED, self._node)
 
     async def _drain_front(self, front: HttpListener, deadline: float) -> None:
-        """Accept clients until the platform stops sending them, then answer those still connected."""
+        """Answer clients until they have disconnected.
+
+        New connections are accepted for a time, because load balancers do not stop sending clients at once.
+        """
         front.drain(True)
         await asyncio.sleep(min(SHUTDOWN_ACCEPT_S, self._grace_s * SHUTDOWN_ACCEPT_SHARE))
         front.close_listener()
@@ -76,7 +80,7 @@
         )
 
     async def _drain_store(self, store: StoreParts, deadline: float) -> None:
-        """Accept no new messages, hand over those that are not in flight, and finish those that are."""
+        """Stop accepting messages, hand over those without a call in flight, and wait for other calls."""
         message_store, listener = store.message_store, self._control_listener
         message_store.enter_phase(Phase.CLOSING)
         if listener is not None:
--- a/emberlatch/cluster/node/heartbeats.py
+++ b/emberlatch/cluster/node/heartbeats.py
@@ -1,4 +1,4 @@
-"""The reports that this process sends about itself on its links, and the handling of reports it receives."""
+"""Handshakes and heartbeats: the reports that processes send about themselves, and their handling."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class HeartbeatService:
-    """Implements the delegate of the links. `store` is None in a process without a disk."""
+    """Implements `PeerDelegate` for the links. `store` is None in a process without a disk."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._membership, self._agreed = membership, agreed
         self._active_configuration, self._store = active_configuration, store
         self._decoder = HeartbeatDecoder()
-        self._encoded: tuple[Heartbeat, object] | None = None  # the last heartbeat sent, and its payload
+        self._encoded: tuple[Heartbeat, object] | None = None  # the last encoded heartbeat, and its payload
 
     # Reports that this process sends.
 
@@ -50,9 +50,10 @@
     def heartbeat_interval_s(self) -> float:
         """Seconds between two heartbeats to one peer.
 
-        A store has to detect quickly that another store is unreachable. A forwarder detects it from calls
-        without a response, and there are many forwarders: above FULL_RATE_STORES stores the interval of a
-        forwarder grows with their number, so that the heartbeats it sends per second do not increase.
+        A store has to detect quickly that another store is unreachable. A forwarder (a process without a
+        disk) detects this from calls without a response. As there are many forwarders, each sends fewer
+        heartbeats above FULL_RATE_STORES stores: its interval grows with the number of stores, so that its
+        heartbeats per second do not increase.
         """
         if self._is_store:
             return DEFAULT_HEARTBEAT_INTERVAL_S
@@ -65,7 +66,7 @@
     def current(self) -> Heartbeat:
         """The heartbeat that describes the present state of this process.
 
-        Heartbeats are frequent, so the previous one is returned while its contents are unchanged.
+        Heartbeats are frequent: while nothing has changed, the last encoded heartbeat is returned again.
         """
         store, revision = self._store, self.reported_revision()
         phase, disk, control = None, None, None
@@ -93,7 +94,7 @@
     def reported_revision(self) -> int:
         """The configuration revision that forwarders may fetch from this process.
 
-        REVISION_WITHHELD while this machine is isolated from the majority of the voters.
+        A store that is isolated from the majority of the voters reports REVISION_WITHHELD.
         """
         if self._store is not None and not self._store.control.has_confirmed_majority():
             return REVISION_WITHHELD
@@ -121,7 +122,7 @@
         self._apply(peer, self._decoder.decode(peer.name, payload))
 
     def on_state_change(self, peer: Peer) -> None:
-        """Handle a change of a link's state; send the known targets to a peer whose link is up now."""
+        """Handle a change of a link's state. If the link is up, a store sends the peer its known targets."""
         if peer.up and self._store is not None and self._store.targets.targets_by_id:
             now = asyncio.get_running_loop().time()
             peer.notify(RpcMethod.TARGETS, self._store.targets.reports(now).to_wire())
@@ -150,7 +151,7 @@
             self._apply(peer, notice.heartbeat)
 
     def _apply(self, peer: Peer, heartbeat: Heartbeat) -> None:
-        """Apply a store's report; only a forwarder fetches its configuration by the reported revision."""
+        """Apply a store's report. Only a forwarder uses the reported revision, to fetch the configuration."""
         if heartbeat.control is None:
             return
         self._membership.apply_heartbeat(peer, heartbeat)
--- a/emberlatch/cluster/node/node.py
+++ b/emberlatch/cluster/node/node.py
@@ -53,7 +53,7 @@
         return self._store.dispatcher if self._store is not None else None
 
     async def start(self) -> None:
-        """Start; return once all addresses listen. Raises OSError if one of them can't be listened on."""
+        """Start; return once all addresses are open. Raises OSError if listening on one of them fails."""
         settings = self.settings
         if self._store_service is not None:
             self._store_service.open()
--- a/emberlatch/cluster/node/parts.py
+++ b/emberlatch/cluster/node/parts.py
@@ -1,4 +1,4 @@
-"""The components that only a node with a disk has, grouped so that they can be passed to its services."""
+"""The components that only a node with a disk has, in one object that is passed to other components."""
 
 from __future__ import annotations
 
--- a/emberlatch/cluster/node/quota_shares.py
+++ b/emberlatch/cluster/node/quota_shares.py
@@ -5,7 +5,7 @@
 from emberlatch.cluster.membership import primary_store
 from emberlatch.cluster.membership.view import MembershipView
 
-PRIMARY_STORE_QUOTA_SHARE = 0.8  # fraction of a zone's share for the primary store in that zone
+PRIMARY_STORE_QUOTA_SHARE = 0.8  # part of a zone's share that its primary store gets
 
 
 class QuotaShares:
@@ -21,8 +21,8 @@
         """Return the number by which a service's rate limit is divided for this store; at least 1.
 
         Each zone gets the same share. Within a zone the primary store, to which the forwarders send the
-        service's messages, gets most of the share. The other stores divide the remainder, and need it for
-        messages that they took over.
+        service's messages, gets most of the share. The other stores divide the rest, which they need to
+        deliver messages that they took over.
         """
         stores = self._membership.roster.stores()
         zones = len({store.zone for store in stores})
--- a/emberlatch/cluster/node/readiness.py
+++ b/emberlatch/cluster/node/readiness.py
@@ -10,8 +10,8 @@
 class Readiness:
     """The readiness of an ingress node.
 
-    A node is ready while it has a configuration and reaches a quorum of writable stores, and its shutdown has
-    not begun.
+    Until its shutdown begins, a node is ready while it has a configuration and can reach a quorum of
+    writable stores.
     """
 
     def __init__(self, active_configuration: ActiveConfiguration, membership: MembershipView) -> None:
--- a/emberlatch/cluster/node/request_handlers.py
+++ b/emberlatch/cluster/node/request_handlers.py
@@ -9,25 +9,25 @@
 
 
 class RequestError(ValueError):
-    """Base class of errors for requests that this process can't handle. `method` is the requested one."""
+    """Base class of errors for requests that this process can't handle. `method` is the requested method."""
 
     def __init__(self, method: str, text: str) -> None:
         super().__init__(text)
         self.method = method
 
-    def __repr__(self) -> str:  # The text is sent to the caller, which may run another program version.
+    def __repr__(self) -> str:  # The repr is sent to callers, which may run other versions.
         return f"ValueError({str(self)!r})"
 
 
 class NotAStoreError(RequestError):
-    """The method needs a disk, and this process has none."""
+    """This process has no disk, and has no handler for the method."""
 
     def __init__(self, method: str) -> None:
         super().__init__(method, f"{method}: not kept here")
 
 
 class UnknownMethodError(RequestError):
-    """This version of the program has no such method."""
+    """A process with a disk has no handler for the method: this version of the program lacks it."""
 
     def __init__(self, method: str) -> None:
         super().__init__(method, f"no such question: {method}")
@@ -36,7 +36,7 @@
 class RequestHandlers:
     """Finds the handler of a method.
 
-    `store_handlers` maps the methods that need a disk to their handlers; it is None in a process without one.
+    `store_handlers` maps the methods that need a disk to their handlers. It is None if there is no disk.
     """
 
     def __init__(
--- a/emberlatch/cluster/node/store_service.py
+++ b/emberlatch/cluster/node/store_service.py
@@ -23,10 +23,10 @@
         self._roster_restored = False  # whether the roster of the earlier incarnation was read from disk
 
     def open(self) -> None:
-        """Open the database and read the roster of the earlier incarnation: the stores that it knew.
+        """Open the database and read the roster: the stores that the earlier incarnation of this node knew.
 
-        An unreadable disk is not an error here: the message store opens the database again, and `run` reads
-        the roster after that.
+        An unreadable disk is no error here. `run` starts the message store, which opens the database again,
+        and then reads the roster.
         """
         with contextlib.suppress(OSError):
             self._store.message_store.local_store.database.open()
@@ -41,7 +41,7 @@
         message_store = self._store.message_store
         await message_store.start(self._initial_start)
         if not self._roster_restored:
-            with contextlib.suppress(OSError):  # If this fails, the seeds report the other stores.
+            with contextlib.suppress(OSError):  # If this fails, the seed nodes report the other stores.
                 self._restore_roster()
                 self._membership.dial()
         self._tasks.spawn(message_store.run_maintenance())
--- a/emberlatch/cluster/settings/configuration.py
+++ b/emberlatch/cluster/settings/configuration.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Routes messages to a service by their host and the prefix of their path.
+    """Selects the service for messages by their host and the prefix of their path.
 
     Times are in the unit that their names end with: `_ms` milliseconds, `_s` seconds.
     """
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """One revision of the configuration; `raw` is the body that the operator sent, byte by byte."""
+    """One revision of the configuration; `raw` has the unchanged bytes that the operator sent."""
 
     revision: int
     route_entries: list[Route]
@@ -78,7 +78,7 @@
 
     @cached_property
     def by_host(self) -> dict[str, list[Route]]:
-        """The routes by host name in lower case; each host's routes are sorted, the longest prefix first."""
+        """The routes by host name in lower case. The routes of a host begin with the longest prefix."""
         routes: dict[str, list[Route]] = {}
         for route in sorted(self.route_entries, key=lambda r: -len(r.path_prefix)):
             routes.setdefault(route.host_name.lower(), []).append(route)
@@ -116,7 +116,7 @@
 
 
 def _document(raw: bytes) -> dict[str, object]:
-    """Decode the JSON object of a configuration; return only its known entries."""
+    """Decode the JSON object of a configuration; return only the entries with known keys."""
     document = json.loads(raw)
     if not isinstance(document, dict):
         raise ConfigurationError("not an object")
@@ -156,7 +156,7 @@
 def _route_error(route: Route, service_names: set[str], prefixes: set[tuple[str, str]]) -> str:
     """Return why a route is invalid; empty if it is valid.
 
-    `prefixes` has the host and path prefix of each earlier route.
+    `prefixes` contains the pairs of host and path prefix of the earlier routes.
     """
     if route.service not in service_names:
         return f"unknown service {route.service}"
--- a/emberlatch/cluster/settings/node_settings.py
+++ b/emberlatch/cluster/settings/node_settings.py
@@ -1,4 +1,7 @@
-"""The settings file of a process: TOML. The users' page DEPLOY lists its fields; others are ignored."""
+"""The settings file of a process, in TOML. The users' page DEPLOY lists its fields.
+
+Other fields in the file are ignored.
+"""
 
 from __future__ import annotations
 
@@ -19,9 +22,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The limits that the rules of the cluster refer to.
+    """The limits to which the rules for the cluster's behaviour refer.
 
-    They are in seconds or, with the suffix `_ms`, in milliseconds; `origin_excess` is a factor.
+    Limits ending in `_s` are in seconds, those ending in `_ms` in milliseconds. `origin_excess` is a factor.
     """
 
     seed_lag_s: float = 3.0
@@ -40,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resilience:
-    """The numbers of machines, zones and regions that may fail at once without breaking a rule."""
+    """The numbers of machines, zones and regions whose simultaneous failure must not break a rule."""
 
     machines: int = 1
     zones: int = 0
@@ -49,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """The settings of one process. Addresses are (host, port); the suffixes of names state the units."""
+    """The settings of one process. Addresses are (host, port); the suffix of a name states the unit."""
 
     node: str
     role: str
@@ -73,7 +76,7 @@
 
     @property
     def is_store(self) -> bool:
-        """Whether this process is a store: it stores messages and votes on the control state."""
+        """Whether this process is a store: it stores messages and may be a voter for the control state."""
         return "store" in self.serves and self.data_dir is not None
 
 
@@ -146,7 +149,7 @@
         )
 
     def settings(self) -> NodeSettings:
-        """All settings, validated; SettingsError for the first invalid one."""
+        """Return the validated settings. Raises SettingsError for the first invalid field."""
         ports = self._get("port_range", list)
         if len(ports) != 2 or not all(isinstance(p, int) and 0 < p < 65536 for p in ports):
             raise self._fail("port_range", f"expected two port numbers from 1 to 65535, found {ports!r}")
