--- a/emberlatch/engine/active_settings.py
+++ b/emberlatch/engine/active_settings.py
@@ -13,10 +13,10 @@
 log = logging.getLogger(__name__)
 
 DEADLINE_MARGIN_S = 0.25
-"""Seconds before its deadline at which this process completes a message that is not delivered.
+"""An undelivered message is completed this many seconds before its deadline.
 
-The timers of a process that gets too little processor time fire late, above all just after its start: by up
-to 0.6 s in measurements. A message whose completion is 0.3 s late counts as lost.
+Timers fire late in a process that gets too little processor time, above all just after its start. Delays of
+up to 0.6 s were measured. A message whose completion is 0.3 s late counts as lost.
 """
 MAX_NAME_LENGTH = 256
 """Maximum length of a message's id and of its idempotency key, in characters."""
@@ -61,7 +61,7 @@
         return None if number is None else self._terms[number][0]
 
     def latency_deadline(self, entry: Entry) -> float:
-        """Return the time on the journal's clock at which the latency target of a message ends."""
+        """Return the time by which a message meets its latency target, on the journal's clock."""
         terms = self.terms_of(entry)
         category = terms.category if terms is not None else self.current.categories[0]
         return entry.deadline - category.deadline + category.latency_target
--- a/emberlatch/engine/carrier_router.py
+++ b/emberlatch/engine/carrier_router.py
@@ -42,7 +42,7 @@
         for carrier, share in shares.items():
             if share or is_complete:
                 carrier.update(share, {entry.target: addresses[entry.target] for entry in share}, is_complete)
-        # A carrier returns no entry for an endpoint that was removed and has no call in flight.
+        # Drop removed endpoints without a call in flight: their carrier returns no entry for them.
         self._carrier_by_target = {
             target: carrier
             for target, carrier in self._carrier_by_target.items()
--- a/emberlatch/engine/counters.py
+++ b/emberlatch/engine/counters.py
@@ -13,9 +13,9 @@
 
 LINE_INTERVAL_S = 1.0
 MAX_LINE_TARGETS = 200
-"""Maximum number of targets in one line; the targets with the lowest counts are omitted beyond that."""
+"""Maximum number of targets in one line. If there are more, those with the lowest counts are omitted."""
 MAX_LINE_PERIOD_S = 999.0
-"""Upper limit of the interval that a line states."""
+"""A line states a longer interval as this many seconds."""
 
 
 class Counters:
--- a/emberlatch/engine/deliveries.py
+++ b/emberlatch/engine/deliveries.py
@@ -15,7 +15,7 @@
 NOT_EXECUTED_RESULTS = (api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.NOT_EXECUTED)
 """Results that rule out an execution; after any other result the attempt may have been executed."""
 MIN_TIMEOUT_S = 0.001
-"""Lower bound of a call's timeout, for a message whose deadline has passed."""
+"""Lower bound of a message's remaining time, from which the timeout of its call is computed."""
 
 CallsByTarget = dict[api.Target, list[CallItem]]
 
@@ -37,10 +37,13 @@
         self._messages, self._clock = journal.messages, journal.clock
         self._durability = journal.durability
         self._counters, self._post = counters, post
-        self._awaiting_sync: set[AttemptKey] = set()  # attempts not sent yet: their records are not durable
+        self._awaiting_sync: set[AttemptKey] = set()  # attempts that wait until their records are durable
 
     def add_attempts(self, action: api.Send, calls: CallsByTarget) -> None:
-        """Record an attempt, which must precede its sending, and add it to the calls of its target."""
+        """Record an attempt, then add it to the calls of its target.
+
+        An attempt must be recorded before it is sent.
+        """
         calls.setdefault(action.target, []).extend(self._record_attempt(action))
 
     def _record_attempt(self, action: api.Send) -> Iterator[CallItem]:
@@ -72,7 +75,7 @@
         self._post(api.Outcome(ref, attempt, target, api.Result.NOT_EXECUTED, 0.0, is_final=is_final))
 
     def start_calls(self, calls: CallsByTarget) -> None:
-        """Start the calls of one decision, each with at most as many messages as its target accepts."""
+        """Start the calls of one decision. A call has at most as many messages as its target accepts."""
         for target, items in calls.items():
             size = self._max_items_per_call(target)
             for first in range(0, len(items), size):
@@ -102,7 +105,7 @@
 
         def send_remaining() -> None:
             remaining = [item for item in items if (item.ref, item.attempt) in self._awaiting_sync]
-            for item in items:  # completed or cancelled during the sync, so it was not sent
+            for item in items:  # not sent if completed or cancelled during the sync
                 if item not in remaining or item.ref not in self._messages.open_messages:
                     result = api.Result.NOT_EXECUTED
                     self.report(api.Outcome(item.ref, item.attempt, target, result, 0.0))
@@ -130,7 +133,7 @@
         self._post(outcome)
 
     def _record_outcome(self, outcome: api.Outcome) -> None:
-        """Write the change that an outcome makes to its message."""
+        """Write the effect of an outcome on its message to the journal."""
         entry = self._messages.open_messages.get(outcome.ref)
         self._counters.count_target(outcome.target, outcome.result.name.lower())
         if entry is not None and outcome.is_final:
--- a/emberlatch/engine/durability.py
+++ b/emberlatch/engine/durability.py
@@ -33,7 +33,7 @@
 
 
 class DurabilityGate:
-    """Runs an action after a sync if it concerns a durable class, else immediately."""
+    """Runs actions: those for a durable class after a sync, all others immediately."""
 
     def __init__(self, durable_classes: DurableClasses, sync: GroupSync) -> None:
         self._durable_classes = durable_classes
--- a/emberlatch/engine/engine.py
+++ b/emberlatch/engine/engine.py
@@ -37,7 +37,7 @@
 log = logging.getLogger(__name__)
 
 MAX_FINAL_DECISIONS = 5
-"""Maximum number of decisions that complete pending events before a hand-over.
+"""Before a hand-over, at most this many decisions are made to handle pending events.
 
 Events that the last of these decisions causes are handled by the next process.
 """
@@ -89,7 +89,10 @@
         machine: Machine = REAL_MACHINE,
         durable_classes: DurableClasses = NO_DURABLE_CLASSES,
     ) -> None:
-        """`seed` initializes the random choices of decisions. `journal` must be durable if any class is."""
+        """`seed` initializes the random choices of decisions.
+
+        `journal` must be durable if `durable_classes` contains any class.
+        """
         self._settings = ActiveSettings(settings)
         self._forwarder = Forwarder(self._settings.current, seed)
         self._tasks, self._journal = tasks, journal
@@ -139,7 +142,7 @@
     # Start and stop.
 
     async def start(self, received: ReceivedHandover | None = None) -> None:
-        """Restore the messages in the journal and the predecessor's state, then accept new messages."""
+        """Restore messages from the journal and state from the predecessor, then accept new messages."""
         connected = self._connected
         connected.ports.membership.start()
         entries = self._journal.load()
@@ -227,7 +230,7 @@
     # Reports from adapters.
 
     def submit(self, message: Submission, responder: SubmissionResponder) -> None:
-        """Queue a submission for the next decision, which answers it; answer at once if its id is known.
+        """Queue a submission for the next decision, or answer it at once if its id is known.
 
         Raises BadMessageError if the submission is invalid.
         """
@@ -322,7 +325,7 @@
 
         The actions decided before that event are included, since the decision module's state assumes that
         they are executed. The events after it are posted again; submissions among them are removed from
-        `pending`. A new message that the module did not register fails.
+        `pending`. A new message that the decision module did not register gets a Fail action.
         """
         undecided = {event.ref for event in unread if isinstance(event, api.Arrival)}
         self._submissions.requeue({ref: pending.pop(ref) for ref in undecided})
--- a/emberlatch/engine/machine.py
+++ b/emberlatch/engine/machine.py
@@ -22,7 +22,7 @@
 
 
 class Listener(Protocol):
-    """The methods of a listening socket that are used; `fileno` is readable while a connection is waiting."""
+    """The required methods of a listening socket. `fileno` is readable while a connection is waiting."""
 
     def accept(self) -> tuple[Any, Any]:
         """Return the next connection and its peer's address; raises BlockingIOError if none is waiting."""
@@ -42,7 +42,7 @@
 
 
 def boot() -> str:
-    """Return Linux's boot id, which changes with each boot; an empty text on systems without one."""
+    """Return Linux's boot id, which changes with each boot. Without such an id, return an empty text."""
     try:
         return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
     except OSError:
@@ -53,9 +53,12 @@
 class Machine:
     """The facilities of a machine.
 
-    Attributes: `wall_clock` returns the wall clock (Unix time in seconds), `boot_id` the boot id (while it
-    stays the same, the event loop's clock never jumps), `listen` opens a listening socket, `files` opens a
-    folder whose files survive the process, and `offload` runs a blocking function outside of the event loop.
+    Attributes:
+        wall_clock: returns the wall clock's Unix time in seconds.
+        boot_id: returns the boot id. While the id stays the same, the event loop's clock never jumps.
+        listen: opens a listening socket.
+        files: opens a folder whose files survive the process.
+        offload: runs a blocking function outside of the event loop.
     """
 
     wall_clock: Callable[[], float] = time.time
--- a/emberlatch/engine/message_table.py
+++ b/emberlatch/engine/message_table.py
@@ -1,4 +1,4 @@
-"""The messages that this process owns, in memory and in the journal, and access to the journal."""
+"""The table of the messages that this process owns, and the access of the engine's parts to the journal."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 class MessageTable:
     """The open messages, and the completed ones whose notices are not confirmed.
 
-    A failed write to the journal is logged and reported by the return value, so that callers neither send nor
-    accept a message whose record is missing.
+    A failed write to the journal is logged. `accept` and `record` then return False, so that their callers
+    neither accept nor send a message whose record is missing.
 
     Attributes: `open_messages` and `completed` may be read by other classes, and are changed by this
     class only.
@@ -71,7 +71,10 @@
         self.completed[entry.ref] = entry
 
     def forget(self, entry: Entry) -> None:
-        """Record that no work or notice is pending for a message that was removed from memory."""
+        """Remove a message from the journal after it was removed from memory.
+
+        Call this only if no work and no notice is pending for the message.
+        """
         self._write(self._journal.remove, entry)
 
     def confirm(self, ref: int) -> None:
@@ -95,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageJournal:
-    """The access of an engine's parts to its journal; only the engine itself loads, closes and reopens it."""
+    """The access of an engine's parts to the journal. Only the engine itself loads, closes and reopens it."""
 
     messages: MessageTable
     """The messages in the journal; all writes to the journal go through this table."""
--- a/emberlatch/engine/ports.py
+++ b/emberlatch/engine/ports.py
@@ -36,7 +36,7 @@
 
 
 class BadMessageError(ValueError):
-    """A submission is invalid; the text tells its sender the reason."""
+    """A submission is invalid; the text states the reason for the sender."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,7 +135,7 @@
     def update(self, entries: Sequence[Entry], addresses: Addresses, is_complete: bool, /) -> None:
         """Apply a membership update; `is_complete` states that `entries` is the complete list.
 
-        After the grace period nothing is sent to an endpoint that is draining or removed.
+        Nothing is sent to a draining or removed endpoint after its grace period (`drain_grace` in the rules).
         """
 
     def entry(self, target: Target) -> Entry | None:
--- a/emberlatch/engine/submissions.py
+++ b/emberlatch/engine/submissions.py
@@ -120,14 +120,15 @@
         return pending, events
 
     def requeue(self, pending: PendingByRef) -> None:
-        """Queue submissions again on which no decision was made."""
+        """Queue undecided submissions again."""
         self._pending |= pending
         self._pending_ids |= {entry.id for entry, _ in self._pending.values()}
 
     def answer(self, pending: PendingByRef, actions: list[api.Action]) -> None:
         """Answer submissions according to a decision.
 
-        A submission that the decision neither rejects nor fails is written to the journal before its answer.
+        An accepted submission is written to the journal before it is answered. If the write fails, the
+        submission is answered as unavailable.
         """
         negative = {action.ref: action for action in actions if isinstance(action, api.Reject | api.Fail)}
         for ref, (entry, responder) in pending.items():
--- a/emberlatch/gateway_core.py
+++ b/emberlatch/gateway_core.py
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """The maximum numbers of HTTP connections of one gateway, which `net.descriptor_limits` derives."""
+    """The maximum numbers of HTTP connections of one gateway; `net.descriptor_limits` computes them."""
 
     clients: int
     """Connections from clients."""
@@ -56,13 +56,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientInterface:
-    """The HTTP interface of one gateway to clients: its address, and look-ups by name and by id."""
+    """The HTTP interface of one gateway to clients: its address and its look-up functions."""
 
     listen: Address
     find_destination: Callable[[str], int | None] = _find_no_destination
-    """Returns the number of the destination with a name; None if there is none."""
+    """Returns the number of a destination by name, or None for an unknown name."""
     find_message: Callable[[str], bytes | None] | None = None
-    """Returns the JSON status of the message with an id, None if unknown. If not set, no status is served."""
+    """Returns the JSON status of a message by id; None for an unknown id. If unset, no status is served."""
 
 
 class GatewayCore:
@@ -98,7 +98,7 @@
         """Connect the engine's ports; see `Engine.connect`.
 
         `ingresses` are used in addition to the HTTP server. `carrier` replaces the HTTP carrier, and may pass
-        calls on to it.
+        calls on to `self.carrier`.
         """
         self.engine.connect(
             EnginePorts([self.server, *ingresses], carrier or self.carrier, membership, notifier)
--- a/emberlatch/process.py
+++ b/emberlatch/process.py
@@ -76,7 +76,11 @@
 async def _acquire_folder(
     config: PlatformConfig, lock: FolderLock, succeeds: bool, stop: asyncio.Event
 ) -> ReceivedHandover | None:
-    """Wait until this process owns the folder; returns the state that a predecessor handed over, if any."""
+    """Wait until this process owns the folder, or until `stop` is set.
+
+    If `succeeds` is set, the process that owns the folder is asked to hand over. Returns the state that
+    the previous owner handed over, if any.
+    """
     if succeeds:
         connect = partial(open_connection, handover_socket_path(config.name))
         return await _unless_stopped(stop, acquire_ownership(lock, connect))
@@ -141,7 +145,11 @@
 
 
 def _on_hang_up(forwarder: PlatformForwarder, handover: HandoverServer, reload: asyncio.Event) -> None:
-    """Handle SIGHUP: reload at once, or when it is decided which process owns the folder."""
+    """Handle SIGHUP.
+
+    If this process owns the folder, reload at once. Otherwise `_serve` waits until it is known which process
+    owns the folder, and reloads if this process is the owner.
+    """
     if handover.state_machine.owns:
         _reload(forwarder)
     else:
@@ -151,7 +159,7 @@
 async def _serve(
     stop: asyncio.Event, handover: HandoverServer, forwarder: PlatformForwarder, reload: asyncio.Event
 ) -> None:
-    """Serve until SIGTERM, or until a successor owns the folder and no call is in flight here."""
+    """Serve until SIGTERM or SIGINT, or until a successor owns the folder and no call is in flight here."""
     reload.clear()
     ended = asyncio.ensure_future(handover.ended.wait())
     stopped = asyncio.ensure_future(stop.wait())
@@ -176,7 +184,7 @@
 
 
 def main() -> int:
-    """Run until a signal; returns the exit code, 0, or 2 if a setting is invalid."""
+    """Run until a signal or a takeover; returns the exit code: 0, or 2 if a setting is invalid."""
     # The configuration has not been read yet, so there is nothing to reload.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format=LOG_FORMAT)
--- a/emberlatch/store/files.py
+++ b/emberlatch/store/files.py
@@ -29,7 +29,7 @@
         """Remove a file; do nothing if it does not exist."""
 
     def sync(self, handle: int) -> None:
-        """Block until the content of a file is durable; its directory entry may still not be."""
+        """Block until the content of a file is durable. Its directory entry may still be lost."""
 
     def sync_folder(self) -> None:
         """Block until the creation and removal of files in the folder is durable."""
--- a/emberlatch/store/group_sync.py
+++ b/emberlatch/store/group_sync.py
@@ -1,8 +1,8 @@
 """Group commit: one sync covers all writes made while the previous sync ran.
 
-A failed sync is not retried, since after a failed fsync the page cache may report success although the data
-is lost (Rebello 2020). The waiting callbacks are dropped, later ones are ignored, and `on_failure` is called
-so that the process can exit.
+A failed sync is not retried: after a failed fsync, the page cache may report success for the next one
+although the data is lost (Rebello 2020). The waiting callbacks are dropped and later ones are ignored.
+`on_failure` is called so that the process can exit.
 """
 
 from __future__ import annotations
--- a/emberlatch/store/journal.py
+++ b/emberlatch/store/journal.py
@@ -1,8 +1,9 @@
 """The journal: the log on disk of the messages that this forwarder has accepted and not yet finished.
 
-The journal consists of numbered segment files with framed records. Each record holds the full current state
-of a message, so that a later record supersedes an earlier one; only the first record also holds the body. To
-free space, the live entries of the oldest segment are copied to the newest and the oldest file is removed.
+The journal consists of numbered segment files with framed records. The first record of a
+message holds its full state and its body. Each later record holds the current values of the fields that can
+change, and supersedes the earlier values. To free space, the live entries of the oldest segment are copied to
+the newest segment, and the oldest file is removed.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 
 SEGMENTS = 16  # a segment's size is the limit divided by this number
 MAX_RECORD_BYTES = MAX_BODY_BYTES + 4096
-DISK_BLOCK_BYTES = 512  # unit of disk allocation; matters for the many small files of frequent restarts
+DISK_BLOCK_BYTES = 512  # unit of disk allocation; frequent restarts leave many small files
 
 
 class Journal:
@@ -44,7 +45,8 @@
 
     Attributes:
         clock: the boot id of the machine, and the seconds by which the journal's clock is ahead of the
-            event loop's clock in that boot; None if no journal was found. It is written into each segment.
+            event loop's clock in that boot; None if no journal was found. The value is written
+            into each segment.
     """
 
     def __init__(self, files: Files, limit: int, durable: bool = False) -> None:
--- a/emberlatch/store/segments.py
+++ b/emberlatch/store/segments.py
@@ -18,7 +18,7 @@
     Attributes:
         sizes: size in bytes by segment number, the oldest first. Changed by this class only.
         current: number of the segment that is written to.
-        handle: handle of that segment, or NO_HANDLE if none is open.
+        handle: file handle of the current segment, or NO_HANDLE if no segment is open.
         durable: whether writes are synced, by `prepare_sync` or in `close`.
     """
 
@@ -36,7 +36,7 @@
     def read(self, remove_empty: bool = False) -> Iterator[tuple[int, str, bytes]]:
         """Yield number, file name and content of each segment, the oldest first.
 
-        `remove_empty` removes and omits empty ones.
+        If `remove_empty` is set, empty segments are removed and not yielded.
         """
         for name in sorted(self._files.names()):
             stem, _, suffix = name.rpartition(".")
@@ -50,7 +50,7 @@
             yield number, name, data
 
     def open(self) -> None:
-        """Open a new segment with the number after those that were read."""
+        """Open a new segment. Its number follows the highest number that was read."""
         self.current = max(self.sizes, default=0)
         self.roll()
 
@@ -72,7 +72,7 @@
     def append(self, record: bytes) -> None:
         """Write a record to the current segment.
 
-        An interrupted write leaves a torn record, which is skipped when the segment is read.
+        An interrupted write leaves a truncated record, which is skipped when the segment is read.
         """
         rest = memoryview(record)
         while rest:
@@ -87,7 +87,7 @@
         number = self.current + 1
         handle = self._files.append_to(self._name(number))
         if self.handle != NO_HANDLE:
-            if self.durable:  # a sync of the handle may be running
+            if self.durable:  # a sync of this handle may be running, so it is closed later
                 self._retired.append(self.handle)
             else:
                 self._files.close(self.handle)
--- a/emberlatch/store/state_log.py
+++ b/emberlatch/store/state_log.py
@@ -26,7 +26,7 @@
 SEGMENTS = 16  # a segment's size is the limit divided by this number
 MIN_LIMIT_BYTES = 256 * 1024
 LIVE_DIVISOR = 3
-"""Live records take at most 1/3 of the limit; with more, compaction would copy records endlessly."""
+"""Live records take at most 1/3 of the limit. With more, compaction would copy records endlessly."""
 
 
 class StateLog:
@@ -43,7 +43,7 @@
         self._max_bytes, self._segment_bytes = limit, limit // SEGMENTS
         self._segments = SegmentFiles(files, "book", self._segment_bytes)
         self.states: dict[str, State] = {}
-        self._segment_by_key: dict[str, int] = {}  # number of the segment with the newest record
+        self._segment_by_key: dict[str, int] = {}  # number of the segment with the newest record, by key
         self._record_bytes: dict[str, int] = {}  # size of the newest record, by key
         self._live_bytes = 0
 
--- a/emberlatch/store/terms_table.py
+++ b/emberlatch/store/terms_table.py
@@ -23,7 +23,7 @@
         return next((text for text, known in self._numbers.items() if known == number), "")
 
     def number(self, text: str) -> int | None:
-        """Return the number of a text, which is assigned at the first use; None for an empty text."""
+        """Return the number of a text, or None for an empty text. A new text is assigned a number."""
         if not text:
             return None
         if text not in self._numbers:
@@ -40,6 +40,6 @@
         self._in_segment.add(number)
 
     def start_segment(self, used: Collection[str]) -> None:
-        """Start a segment, which contains no text yet; drop the numbers of terms not in `used`."""
+        """Start a new segment without texts. Drop the numbers of all terms that are not in `used`."""
         self._in_segment.clear()
         self._numbers = {text: number for text, number in self._numbers.items() if text in used}
--- a/emberlatch/takeover/frames.py
+++ b/emberlatch/takeover/frames.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One message between the processes: its kind, and the JSON object with its fields, including `kind`.
+    """One message between the processes. `body` is the complete JSON object, which also contains `kind`.
 
     The receiver of the frame owns the descriptors and must close them.
     """
--- a/emberlatch/takeover/messages.py
+++ b/emberlatch/takeover/messages.py
@@ -58,7 +58,7 @@
 class RequestDeclined:
     """The owner declines the request.
 
-    Kind BUSY means that the successor should ask again, CANNOT that it should wait for the lock.
+    After BUSY the successor should ask again. After CANNOT it should wait for the lock.
     """
 
     kind: MessageKind
@@ -74,7 +74,7 @@
 
     Attributes:
         module: the state of the decision module (`Forwarder.handover_state`).
-        blocked_until: the endpoints and destinations with a running Retry-After, each with its end.
+        blocked_until: the endpoints and destinations with a running Retry-After, each with its end time.
         endpoint_list: the endpoint list, in the form in which the directory sends it.
     """
 
--- a/emberlatch/takeover/ports.py
+++ b/emberlatch/takeover/ports.py
@@ -59,7 +59,10 @@
 
     @property
     def in_flight(self) -> int:
-        """The number of calls in flight, plus the attempts whose outcomes are relayed to this process."""
+        """The number of calls in flight, plus the number of relayed attempts without an outcome.
+
+        An attempt is relayed if this process's own predecessor has sent it and passes on its outcome.
+        """
 
     @property
     def has_clients(self) -> bool:
@@ -70,7 +73,7 @@
     """The process that takes over."""
 
     def adopt_client(self, connection: socket.socket, data: bytes, proven: bool) -> None:
-        """Take over a client connection; see `ClientConnection`."""
+        """Take over a client connection. `proven` is `ClientConnection.has_answered_request`."""
 
     async def adopt_target_connection(self, target: bytes, connection: socket.socket) -> None:
         """Take over an idle connection to a target."""
--- a/emberlatch/takeover/predecessor.py
+++ b/emberlatch/takeover/predecessor.py
@@ -32,7 +32,7 @@
 OWNERSHIP_TIMEOUT_S = 2.0  # maximum time from sending the state to the successor's confirmation
 LOCK_RETRY_S = 0.02  # interval between attempts to acquire the lock again
 LOCK_LOST_AFTER_S = 1.0
-"""Time after a broken connection at which a lock that cannot be acquired counts as lost to the successor."""
+"""A lock that cannot be acquired this long after the connection broke counts as lost to the successor."""
 PEER_CREDENTIALS = struct.Struct("3i")  # ids of process, user and group; see SO_PEERCRED in unix(7)
 DECLINED = {
     HandoverReply.BUSY: RequestDeclined(MessageKind.BUSY),
--- a/emberlatch/takeover/relay.py
+++ b/emberlatch/takeover/relay.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-IN_FLIGHT_POLL_S = 0.1  # poll interval: the end of a call that has no outcome sets no event
+IN_FLIGHT_POLL_S = 0.1  # a call that ends without an outcome sets no event, so in-flight calls are polled
 CLIENT_LINGER_S = 2.5  # time limit for serving clients whose connections could not be handed over
 CLIENT_POLL_S = 0.02  # interval between checks for connected clients
 
@@ -62,8 +62,10 @@
     async def run(self) -> None:
         """Hand over connections, relay outcomes until nothing is in flight, and wait for remaining clients.
 
-        Attempts whose outcomes this process's own predecessor relays count as in flight, and their outcomes
-        are passed on. Raises HandoverConnectionError if the connection ends before all outcomes are relayed.
+        This process's own predecessor may still relay outcomes to it. The attempts concerned count as in
+        flight, and their outcomes are relayed to the successor.
+
+        Raises HandoverConnectionError if the connection ends before all outcomes are relayed.
         """
         connection_end = asyncio.ensure_future(self._connection.receive())
         try:
--- a/emberlatch/takeover/state_machine.py
+++ b/emberlatch/takeover/state_machine.py
@@ -88,12 +88,12 @@
             self.state = HandoverState.ENDED
 
     def on_lock_reacquired(self) -> None:
-        """Handle the renewed acquisition of the lock by this process."""
+        """Handle that this process has acquired the lock again."""
         if self.state is HandoverState.RECLAIMING:
             self.state = HandoverState.SERVING
 
     def on_lock_lost(self) -> None:
-        """Handle the loss of the lock to a process that cannot confirm it over the broken connection."""
+        """Handle the loss of the lock: another process holds it, but the connection to that process broke."""
         if self.state is HandoverState.RECLAIMING:
             self.state = HandoverState.ENDED
 
--- a/emberlatch/takeover/successor.py
+++ b/emberlatch/takeover/successor.py
@@ -26,7 +26,7 @@
 log = logging.getLogger(__name__)
 
 LOCK_RETRY_S = 0.05  # interval between attempts to acquire the lock
-RELEASED_LOCK_RETRY_S = 0.002  # interval once the owner has sent its state and is about to release the lock
+RELEASED_LOCK_RETRY_S = 0.002  # the same, once the owner has sent its state and is about to release the lock
 HANDOVER_TIMEOUT_S = 3.0  # maximum time for the owner to send its state and release the lock
 
 
@@ -125,7 +125,7 @@
 
 
 async def _request(lock: OwnershipLock, connect: Callable[[], HandoverConnection]) -> ReceivedHandover | None:
-    """Ask the owner to hand over; return None if it should be asked again."""
+    """Ask the owner to hand over; return None if the owner should be asked again."""
     try:
         connection = connect()
     except OSError:  # no process is listening, or its backlog is full
--- a/emberlatch/takeover/unix_socket.py
+++ b/emberlatch/takeover/unix_socket.py
@@ -1,6 +1,6 @@
 """The Unix socket on which the owner of a state folder listens for its successor.
 
-Only the user of the owner may connect to it.
+Only processes of the same user may connect to it.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 def connect(path: Path) -> socket.socket:
     """Connect to the process that listens at `path`. Raises OSError if there is none."""
     connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
-    connection.setblocking(False)  # connecting succeeds or fails at once; with a full backlog it fails
+    connection.setblocking(False)  # connecting does not wait: if the backlog is full, it fails
     try:
         _with_address(path, connection.connect)
     except OSError:
@@ -61,7 +61,7 @@
 
 
 def _with_address(path: Path, use: Callable[[str], None]) -> None:
-    """Call `use` with a path as socket address; shorten a path that is too long through /proc/self/fd."""
+    """Call `use` with a path as socket address; replace a path that is too long by one in /proc/self/fd."""
     if len(os.fsencode(path)) <= MAX_ADDRESS_BYTES:
         use(str(path))
         return
