--- a/emberlatch/admission/__init__.py
+++ b/emberlatch/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission of client connections: which to keep and which to close, without sockets or clocks."""
+"""Decides which client connections to keep and which to close, without sockets or clocks."""
 
 from emberlatch.admission.connection_limiter import ClientConnection, ConnectionLimiter
 
--- a/emberlatch/admission/connection_limiter.py
+++ b/emberlatch/admission/connection_limiter.py
@@ -1,10 +1,12 @@
 """Decides which client connections are kept, and which are closed to free capacity for others.
 
-A connection is unproven until it has sent a valid request. A proven one is kept according to how likely its
-client is to use it again: one that is used regularly is kept; one on which a single request was sent, or that
-has been idle for much longer than usual, only occupies a connection slot. Clients limit how many connections
-they open; if all of those are idle here, they can open none for a new request. So idle connections are closed
-even before all slots are in use.
+A connection is unproven until the client has sent a valid request on it; after that it is proven. A proven
+connection that is used regularly is kept. Two kinds of proven connections are unlikely to be used again:
+those with a single request, and those that have been idle for much longer than usual. They only occupy a
+slot.
+
+Clients limit the number of connections that they open. If all of these are idle here, a client can open none
+for a new request. So idle connections are closed even before all slots are in use.
 
 Nothing here reads a clock or touches a socket; times are seconds of a monotonic clock.
 """
@@ -18,20 +20,24 @@
 
 UNPROVEN_SHARE = 0.25
 """If unproven connections occupy at least this share of the slots, they are closed before proven ones."""
-# Clients open connections for at most a third of the descriptors, which is 0.69 of the slots with 1,024
-# descriptors and 0.76 with 256. If all of these were kept idle, clients could open none for a new request.
+# Clients open connections for at most a third of this process's descriptors. This is 0.69 of the slots if
+# there are 1,024 descriptors, and 0.76 if there are 256. If all these connections were kept idle, clients
+# could not open another one for a new request.
 PROVEN_SHARE = 0.5
 """If proven connections occupy more than this share of the slots, idle ones are closed."""
 IDLE_GAP_FACTOR = 4.0
-"""Multiple of its average request gap after which an idle client is not expected to return."""
+"""Idle time, as a multiple of the average request gap, after which a client is not expected to return."""
 MIN_REQUEST_GAP_S = 0.25
-"""Lower bound of a request gap: pipelined or immediate requests do not predict the next gap."""
+"""Minimum value of a request gap: requests in quick succession do not predict the next gap."""
 ADOPTED_REQUEST_GAP_S = 1.0
 """Assumed average request gap of a connection that another process handed over without its history."""
 GAP_SMOOTHING = 0.3
 """Weight of the latest gap in the moving average."""
 MAX_EVICTION_CANDIDATES = 8
-"""Maximum number of connections checked to find one to close: the first ones are nearly always idle."""
+"""Maximum number of connections that are checked in each group of proven connections to find one to close.
+
+The first connections of a group are nearly always idle.
+"""
 
 
 class ClientConnection(Protocol):
@@ -51,7 +57,10 @@
 
 @dataclass(slots=True)
 class _RequestGaps:
-    """When a client got its last reply, and the average time between its requests (0 after a single one)."""
+    """When a client got its last reply, and the average time between its requests.
+
+    The average is 0 after a single request.
+    """
 
     last_reply_at: float
     average_s: float = 0.0
@@ -60,9 +69,9 @@
 class ConnectionLimiter(Generic[ConnectionT]):
     """Tracks the open client connections and selects those to be closed.
 
-    `slots` is the number of connections that may be open; `proven_share` is the share of them that proven
-    connections may use while idle. A connection that a method returns is no longer tracked and must be closed
-    by the caller.
+    `slots` is the number of connections that may be open. If proven connections use more than `proven_share`
+    of the slots, idle ones are closed. A connection that a method returns is no longer tracked, and the
+    caller must close it.
     """
 
     def __init__(self, slots: int, proven_share: float = PROVEN_SHARE) -> None:
@@ -93,10 +102,11 @@
         return connection in self._single_request or connection in self._repeated_requests
 
     def add(self, connection: ConnectionT) -> ConnectionT | None:
-        """Track a new connection; return the one to be closed for it, if any, which may be the new one.
+        """Track a new connection; return the connection to be closed in its place, if any.
 
-        Unproven connections have a share of the slots: with a larger one they would displace proven ones,
-        with none each new one would displace the previous one.
+        That may be the new connection itself. UNPROVEN_SHARE of the slots is for unproven connections. With a
+        larger share they would displace proven connections. Without a share, each new connection would
+        displace the previous one.
         """
         evicted: ConnectionT | None = None
         if len(self) >= self._slots:
@@ -107,7 +117,7 @@
         return evicted
 
     def on_valid_request(self, connection: ConnectionT, now: float) -> ConnectionT | None:
-        """Record that a valid request gets its reply; return an idle connection to be closed, if any."""
+        """Record that a reply to a valid request is sent; return an idle connection to be closed, if any."""
         gaps = self._single_request.pop(connection, None) or self._repeated_requests.pop(connection, None)
         self._unproven.pop(connection, None)
         if gaps is None:
@@ -136,7 +146,7 @@
         self._repeated_requests.pop(connection, None)
 
     def _eviction_candidate(self) -> ConnectionT | None:
-        """The connection to be closed when all slots are in use; None if all are proven and busy."""
+        """Return the connection to be closed when all slots are in use; None if all are proven and busy."""
         unproven = next((other for other in self._unproven if other.idle), None)
         proven = next(
             (other for other in chain(self._single_request, self._repeated_requests) if other.idle), None
@@ -146,7 +156,7 @@
         return first or second or next(iter(self._unproven), None)
 
     def _expendable(self, used: ConnectionT, now: float) -> Iterator[ConnectionT]:
-        """Yield idle connections that will hardly be used again, those with a single request first."""
+        """Yield idle connections that are unlikely to be used again, those with a single request first."""
         for connection in islice(self._single_request, MAX_EVICTION_CANDIDATES):
             if connection is not used and connection.idle and not connection.has_unread_data:
                 yield connection
--- a/emberlatch/directory/assumed_delivery.py
+++ b/emberlatch/directory/assumed_delivery.py
@@ -1,8 +1,8 @@
-"""The deadline by which the service assumes that answers were delivered, whether or not they arrived.
+"""The deadline after which the service assumes that its answers were delivered, even if they were lost.
 
 A discovery service that keeps track of what it has sent (docs/design/directory.md, "What counts as
 delivered") expects its clients to act on each answer within a certain time of the request. So a request that
-was written and got no answer sets a deadline, before which a later request must be answered.
+was written and got no answer sets a deadline. The answer to a later request must arrive before that deadline.
 """
 
 from __future__ import annotations
@@ -16,8 +16,9 @@
     """The delays after which the service assumes that an answer was delivered.
 
     Attributes:
-        after_lookup_s: seconds after the request of a look-up.
-        after_watch_s: seconds after the end of a watch's wait.
+        after_lookup_s: seconds after a look-up, which is a request for the complete list, was sent.
+        after_watch_s: seconds after the wait of a watch has ended. A watch is a request for changes, and the
+            service may wait for them.
         after_move_s: seconds after a change of the service's address.
     """
 
@@ -35,7 +36,7 @@
     def __init__(self, terms: DeliveryTerms = DEFAULT_TERMS) -> None:
         self.terms = terms
         self.deadline = math.inf
-        """When the first of the lost answers counts as delivered; infinite if none was lost."""
+        """The time at which the first lost answer counts as delivered; infinite if no answer was lost."""
 
     def answer_lost(self, sent_at: float, wait_s: float | None) -> None:
         """Record that the request sent at `sent_at` got no answer.
@@ -46,7 +47,7 @@
         self.deadline = min(self.deadline, sent_at + delay)
 
     def service_moved(self, now: float) -> None:
-        """Replace all deadlines by that of the service's new address."""
+        """Replace the deadline by one for the service's new address."""
         self.deadline = now + self.terms.after_move_s
 
     def answer_accepted(self) -> None:
--- a/emberlatch/directory/backoff.py
+++ b/emberlatch/directory/backoff.py
@@ -7,7 +7,7 @@
 INITIAL_DELAY_S, MAX_DELAY_S = 0.15, 2.0  # first and longest delay without a Retry-After
 RETRIES_BEFORE_DEADLINE = 8.0  # caps a delay at an eighth of the time until the deadline
 MIN_DELAY_S = 0.1
-OVERDUE_DELAY_S = 0.5  # upper limit of a delay after the deadline; a lower limit would not help
+OVERDUE_DELAY_S = 0.5  # upper limit of a delay after the deadline; a smaller value would not help
 SERVICE_TIME_PER_CALL_S = 0.2
 UNSTAGGERED_CALLERS = 3  # number of callers that may send requests at the same moment
 MAX_ROUND_S = 8.0
@@ -18,13 +18,14 @@
 class Backoff:
     """Computes delays that double with each failure.
 
-    Jitter over the upper half of a delay prevents clients from retrying in step. A cap leaves time for enough
-    retries before the deadline, so that a failed request does not delay a list too long.
+    Each delay is a random value between half and all of the computed delay, so that clients do not retry at
+    the same moments. A cap on the delay leaves time for enough retries before the deadline, so that a failed
+    request does not delay a list too long.
 
     All delays scale with the *round*, the time in which the service can answer each of its callers once. If
-    forty callers send a request at the same moment, the last ones wait in the service's queue for longer than
-    the service allows. If the callers that failed retry within a second, the queue never empties, and no
-    request is ever answered. With few callers the round is zero.
+    forty callers send a request at the same moment, the last requests wait in the service's queue for
+    longer than the service allows, and fail. If callers that failed retry within a second, the queue never
+    empties, and no request is ever answered. With few callers the round is zero.
     """
 
     def __init__(self, seed: int, callers: int = 1) -> None:
@@ -40,7 +41,7 @@
     def first_delay_s(self) -> float:
         """Return a random delay before the first request after a start or a change of the address.
 
-        All callers begin at the same time then.
+        The delay is needed because all callers begin at the same time.
         """
         return self._random.uniform(0.0, self.round_s)
 
--- a/emberlatch/directory/client.py
+++ b/emberlatch/directory/client.py
@@ -4,7 +4,7 @@
 | --- | --- | --- | --- |
 | idle | `watch(True)` | requesting | send a watch |
 | requesting | answer accepted | delayed by `WATCH_GAP_S` | |
-| requesting | older revision, asked after last answer | delayed by the backoff | fetch the complete list |
+| requesting | older changes, asked after last answer | delayed by the backoff | fetch the complete list |
 | requesting | older revision, asked before last answer | delayed by `WATCH_GAP_S` | |
 | requesting | failure | delayed by the backoff | |
 | requesting | time-out | requesting | send a new watch, which supersedes the old one |
@@ -12,6 +12,9 @@
 | requesting, delayed | `change_address()` | requesting | drop all requests, fetch the complete list |
 | requesting, delayed | `watch(False)` | idle after the current request | |
 
+*Older* refers to the revision. *Asked after last answer* means: sent after the last accepted answer arrived.
+A complete list that was asked for in this way is accepted even if its revision is older.
+
 A superseded watch is dropped when its successor is answered or times out. A look-up runs independently of the
 watch. The caller calls `take_actions` after each event, and no later than at `due`.
 """
@@ -33,15 +36,18 @@
 WATCH_TIMEOUT_S = 5.0
 """Time-out of a watch at the start and after a new revision or a failure; then the watch is sent again.
 
-The time-out doubles each time it passes, up to the end of the watch's wait and the grace time after that, by
-which the service has sent an answer, at least an empty one.
+The time-out doubles each time it passes. Its maximum is WATCH_WAIT_S and EMPTY_ANSWER_GRACE_S together: by
+then the service has sent an answer, at least an empty one.
 """
 EMPTY_ANSWER_GRACE_S = 0.6
-"""How long after the end of a watch's wait its empty answer may arrive."""
+"""How long after WATCH_WAIT_S the empty answer to a watch may arrive."""
 LOOKUP_TIMEOUT_S = 2.0
 URGENT_LOOKUP_TIMEOUT_S = 1.0
 WATCH_GAP_S = 0.05
-"""Delay before the next request of a watch; the service continues the watch if it arrives within 0.2 s."""
+"""Delay between an answer and the next watch.
+
+If the next watch arrives within 0.2 s of the answer, the service treats it as a continuation.
+"""
 
 
 class Failure(Enum):
@@ -69,7 +75,7 @@
 class SendRequest:
     """The action to send a request.
 
-    `on_new_connection`: on a new connection, as the existing one may be dead.
+    `on_new_connection`: use a new connection, because the existing one may be dead.
     """
 
     call: int
@@ -183,7 +189,7 @@
     def on_failure(self, now: float, call: int, failure: Failure, retry_after: float = 0.0) -> bool:
         """Handle a failed request; `retry_after` is the delay in seconds that the service asked for.
 
-        Returns whether the failure must be reported; that of a dropped or superseded request has been
+        Returns whether the failure must be reported. The failure of a dropped or superseded request has been
         reported before.
         """
         failed_call = self._calls.pop(call, None)
@@ -231,10 +237,11 @@
     def _reject_older(self, now: float, call: int, answered_call: _Call) -> None:
         """Handle an answer with an older revision than the list that was accepted last."""
         if answered_call.sent_at >= self._accepted_at:
-            # Asked after the last answer, and yet an older revision: the service has lost its state.
+            # The request was sent after the last answer arrived, so an older revision means that the service
+            # has lost its state.
             self.revision = None
             self._retry_later(now, call, 0.0)
-        elif call == self._watch_call:  # a late answer: another one was accepted after its request
+        elif call == self._watch_call:  # another answer was accepted after this request was sent
             self._finish(call, now + WATCH_GAP_S)
 
     def _watch_content(self) -> RequestContent:
@@ -258,7 +265,7 @@
         return self._last_call
 
     def _time_out(self, now: float, number: int, call: _Call) -> None:
-        """Drop a look-up that timed out; keep a watch that timed out, and have a new one supersede it."""
+        """Drop a look-up that timed out; keep a watch that timed out, and supersede it by a new watch."""
         if number == self._lookup_call:
             self._drop(number)
         else:
--- a/emberlatch/net/__init__.py
+++ b/emberlatch/net/__init__.py
@@ -1,5 +1,5 @@
-"""HTTP/1.1 on sockets: the server for clients, the carrier of calls to targets, discovery and notifications.
+"""HTTP/1.1 on sockets: the server for clients, calls to targets, discovery, and notifications.
 
-It encodes, decodes and transmits; the decisions are made in `emberlatch.core`, `emberlatch.admission` and
-`emberlatch.directory`.
+This package encodes, decodes and transmits. The decisions are made in `emberlatch.core`,
+`emberlatch.admission` and `emberlatch.directory`.
 """
--- a/emberlatch/net/acceptor.py
+++ b/emberlatch/net/acceptor.py
@@ -22,8 +22,8 @@
 class Acceptor:
     """Accepts connections and attaches a protocol to each, until it is closed.
 
-    `asyncio.Server` is not used: it accepts the complete backlog in one turn, and nothing for a second after
-    EMFILE.
+    `asyncio.Server` is not used, because it accepts the complete backlog in one turn of the event loop. After
+    the error EMFILE it also accepts nothing for a second.
 
     Attributes:
         connecting: number of accepted connections to which no protocol is attached yet.
--- a/emberlatch/net/call.py
+++ b/emberlatch/net/call.py
@@ -18,14 +18,15 @@
 
     Attributes:
         target: the name of the target.
-        items: the messages of the request; before it is sent, all messages.
+        items: the messages in the request; until the request is sent, the same as `all_items`.
         all_items: the messages with which the call was started.
-        connection: the connection, from sending the request to receiving its response.
+        connection: the connection on which the request was sent; None before that and once the response has
+            arrived.
         response_received: whether the response has arrived. The call may continue after it, for example until
             a receipt arrives on another connection.
-        pending: the messages without an outcome, and when each one times out in the loop's time.
-        completed_early: the messages that got an outcome while the call continued for others; the response
-            may still confirm them.
+        pending: the messages without an outcome, each with the event loop's time at which it times out.
+        completed_early: the messages that timed out or were cancelled during the call. The response may still
+            confirm that they were delivered.
     """
 
     def __init__(self, target: bytes, items: list[CallItem], report: Callable[[Outcome], None]) -> None:
@@ -89,7 +90,7 @@
         retry_after_s: float = 0.0,
         report: tuple[float, ...] = (),
     ) -> None:
-        """Give a pending message its outcome; `is_final`: the message needs no other attempt."""
+        """Give a pending message its outcome; `is_final` says that the message needs no other attempt."""
         del self.pending[item]
         self.report_outcome(item, result, is_final, retry_after_s, report)
 
--- a/emberlatch/net/connection_pool.py
+++ b/emberlatch/net/connection_pool.py
@@ -9,11 +9,11 @@
 from emberlatch.net.http_connection import Connection
 
 IDLE_TIMEOUT_MARGIN_S = 2.0
-"""Seconds before the end of the target's idle time-out from which an idle connection is not reused."""
+"""Length of the period before the end of the target's idle time-out in which a connection is not reused."""
 
 
 class ConnectionPool:
-    """Keeps idle connections for reuse, at most `max_connections` together with those in use.
+    """Keeps idle connections for reuse; idle and used connections together are limited to `max_connections`.
 
     `idle_timeout_s` is the time after which targets close an idle connection. The pool does not track the
     connections in use: the caller passes their number as `in_use`.
@@ -32,7 +32,9 @@
         return list(self._idle)
 
     def acquire(self, endpoint: Endpoint, is_reusable: Callable[[Connection], bool]) -> Connection | None:
-        """Take the most recently used connection to a target for which `is_reusable` is true, if any.
+        """Take the most recently used of the idle connections to a target for which `is_reusable` is true.
+
+        Returns None if there is none.
 
         Connections that the target may be about to close are closed instead.
         """
@@ -71,7 +73,7 @@
         return len(self._idle) + in_use < self._max_connections
 
     def evict(self, in_use: int) -> None:
-        """Close the least recently used idle connections until the limit allows `in_use` others."""
+        """Close the least recently used idle connections until the idle ones and `in_use` fit the limit."""
         while self._idle and in_use + len(self._idle) > self._max_connections:
             connection, endpoint = next(iter(self._idle.items()))
             self._remove(endpoint, connection)
--- a/emberlatch/net/descriptor_limits.py
+++ b/emberlatch/net/descriptor_limits.py
@@ -3,16 +3,21 @@
 from __future__ import annotations
 
 RESERVED_DESCRIPTORS = 32
-"""Descriptors for everything else: standard streams, the event loop's own, the listener, the journal's files
-(two while it switches to a new one), discovery and notifications (two each while their address changes),
-files being read, and sockets that were accepted or closed in this turn of the event loop and are not counted
-yet."""
+"""Number of descriptors for everything except client connections and calls.
+
+These are the standard streams, the descriptors of the event loop, the listener, and files being read. The
+journal has two files while it switches to a new one. Discovery and notifications have two connections each
+while their address changes. Sockets that were accepted or closed in the current turn of the event loop also
+need descriptors, because they are not counted yet.
+"""
 CLIENTS_SHARE = 0.5
-"""Share of the other descriptors that client connections get; the rest is for calls."""
+"""Share of the descriptors that are not reserved which client connections get; calls get the rest."""
 
 
 def split_descriptors(descriptors: int, reserved: int = 0) -> tuple[int, int]:
-    """Return the maximum numbers of client connections and of calls, without `reserved` descriptors.
+    """Return the maximum numbers of client connections and of calls.
+
+    `reserved` is the number of descriptors to keep free in addition to RESERVED_DESCRIPTORS.
 
     Raises:
         ValueError: no descriptor would remain for clients.
--- a/emberlatch/net/directory_list.py
+++ b/emberlatch/net/directory_list.py
@@ -45,7 +45,7 @@
     """A decoded list.
 
     Attributes:
-        is_complete: whether all targets are listed; otherwise only those that changed are.
+        is_complete: whether the list contains all targets; otherwise it contains only those that changed.
         addresses: the address of each entry, by target.
     """
 
@@ -75,7 +75,7 @@
             try:
                 entry = self._decode_entry(member)
                 addresses[entry.target] = parse_address(member["host_port"])
-            except LIST_DECODE_ERRORS as error:  # affects only this member
+            except LIST_DECODE_ERRORS as error:  # the error affects only this member
                 log.warning("directory list: invalid member %r omitted: %r", member, error)
                 continue
             entries.append(entry)
--- a/emberlatch/net/directory_membership.py
+++ b/emberlatch/net/directory_membership.py
@@ -1,4 +1,7 @@
-"""Membership by a directory service over HTTP: sends the requests that `emberlatch.directory` decides on."""
+"""Gets the list of targets from a directory service over HTTP.
+
+`emberlatch.directory` decides when to send which request; this module sends the requests.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 
 class _DiscoveryError(Exception):
-    """A request for a list failed; `retry_after` is the requested delay in seconds, 0 if there is none."""
+    """A request for a list failed; `retry_after` is the delay in seconds that the service asked for, or 0."""
 
     def __init__(self, failure: Failure, cause: str, retry_after: float = 0.0) -> None:
         super().__init__(cause)
@@ -32,7 +35,8 @@
 class DirectoryMembership:
     """Watches the directory service; `on_update` gets each update with the addresses of its targets.
 
-    `initial_list` is the list in the configuration, `callers` the number of forwarders that use the service.
+    `initial_list` is the list of targets in the configuration. `callers` is the number of forwarders that use
+    the service.
     """
 
     def __init__(
@@ -67,8 +71,8 @@
     def start(self) -> None:
         """Start from the list in the configuration; raises one of LIST_DECODE_ERRORS.
 
-        With push the decision module does not request lists: this object watches an agent on the same
-        machine, and everything that the agent has received counts as delivered to this process.
+        With push, `emberlatch.core` does not request lists. This object watches an agent on the same machine
+        instead. Every list that the agent has received counts as delivered to this process.
         """
         initial = self.codec.decode(self._initial_list)
         self._client.start_from(asyncio.get_running_loop().time(), initial.revision)
@@ -92,7 +96,7 @@
         self._keep_connection(None)
 
     def encode_list(self, listed: Sequence[tuple[Entry, Address]]) -> ListDocument:
-        """Encode a list as the service does, for another process to start from."""
+        """Encode a list in the format of the service, so that another process can start from this list."""
         return self.codec.encode(self._client.revision or 0, listed)
 
     def set_watching(self, active: bool) -> None:
@@ -166,7 +170,7 @@
         )
 
     async def _exchange(self, ask: SendRequest) -> Response:
-        """Send one request; keep its connection if it succeeds, otherwise close the connection."""
+        """Send one request; keep its connection if the request succeeds, otherwise close the connection."""
         connection, succeeded = None if ask.on_new_connection else self._idle_connection, False
         if connection is not None:
             self._idle_connection = None
@@ -198,7 +202,7 @@
             raise _DiscoveryError(Failure.UNSENT, repr(error)) from error
 
     def _keep_connection(self, connection: Connection | None) -> None:
-        """Keep a connection for the next request, or none if it is None; close the one kept before."""
+        """Keep `connection`, which may be None, for the next request; close the connection kept before."""
         if self._idle_connection is not None:
             self._idle_connection.close()
         self._idle_connection = connection
@@ -212,7 +216,7 @@
 
 
 def _parse_retry_after(text: str | None) -> float:
-    """The delay that the service requests, in seconds; 0 if it is absent or invalid."""
+    """Return the delay that the service asks for, in seconds; 0 if the header is absent or invalid."""
     try:
         value = float(text or 0)
     except ValueError:
--- a/emberlatch/net/endpoint.py
+++ b/emberlatch/net/endpoint.py
@@ -15,8 +15,8 @@
     """A target that is listed or has a call in flight.
 
     Attributes:
-        usable_until: until when calls may be sent to the target, in the loop's time: for a part of the grace
-            period if the target is draining or removed, without a limit while it is ready.
+        usable_until: the event loop's time until which calls may be sent to the target. It is infinite while
+            the target is ready. If the target drains or is removed, it lies within the grace period.
         deregistered: whether the target is no longer listed.
         idle: the idle connections, the most recently used one last; only the connection pool changes them.
         in_flight: number of calls in flight.
--- a/emberlatch/net/http_carrier.py
+++ b/emberlatch/net/http_carrier.py
@@ -23,8 +23,10 @@
     "gone": (Result.NOT_EXECUTED, True),
     "exhausted": (Result.NOT_EXECUTED, False),
 }
-"""For each result name in the response to a batch: the result of the message, and whether the message is
-completed."""
+"""For each result name in the response to a batch: the result of the message, and whether it is final.
+
+A message with a final result needs no other attempt.
+"""
 
 STATUS_RESULTS = {
     200: (Result.OK, True),
@@ -35,7 +37,7 @@
     503: (Result.FULL, False),
     504: (Result.NOT_EXECUTED, False),
 }
-"""For each status of a response: the result of all messages of its call, and whether they are completed.
+"""For each status of a response: the result of all messages of its call, and whether it is final.
 
 After any other status the messages may have been executed.
 """
@@ -111,7 +113,7 @@
 
 
 def _load_report(text: str, fields: Sequence[str]) -> Iterator[float]:
-    """Yield the values of a load report in the order of `fields`; nothing if it is absent or invalid."""
+    """Yield the values of a load report in the order of `fields`; nothing if `text` is empty or invalid."""
     if text:
         values_by_name = dict(pair.strip().partition("=")[::2] for pair in text.split(","))
         try:
--- a/emberlatch/net/http_connection.py
+++ b/emberlatch/net/http_connection.py
@@ -19,7 +19,7 @@
 MAX_HEAD_BYTES = 16 * 1024
 """Maximum size of the head of a request or a response."""
 RESPONSE_COMPLETION_TIMEOUT_S = 0.3
-"""Maximum time from the first byte of a response to its last one; after that it counts as incomplete."""
+"""Maximum time from the first to the last byte of a response; after that the response has failed."""
 
 
 class NoResponseError(Exception):
@@ -115,8 +115,8 @@
     def usable(self) -> bool:
         """Whether a request may be sent: the connection is open, and no unrequested data has arrived."""
         if not self.closed and has_unread_data(self._transport):
-            # The unread data belongs to no response, or is the end of the stream. If a request were sent, the
-            # rest of a duplicate response would be mistaken for the response to that request.
+            # No request is in flight, so the unread data is the end of the stream, or belongs to no response.
+            # The rest of a duplicate response would be mistaken for the response to a new request.
             self.close()
         return not self.closed
 
@@ -136,8 +136,9 @@
         self._transport = cast(asyncio.Transport, transport)  # the simulated loop has a class of its own
         # With a limit of 0, `pause_writing` and `resume_writing` report whether bytes are buffered in user
         # space. Under TLS they report the buffer of the TLS layer alone, and a limit of 0 would pause writing
-        # even while that buffer is empty. So under TLS `written` may become true too early: a call that was
-        # not sent completely may then be treated as possibly executed, but never the other way round.
+        # even while that buffer is empty. So under TLS `written` may become true too early. A call that was
+        # not sent completely may then be treated as possibly executed. A call that was sent completely is
+        # never treated as unsent.
         plain = transport.get_extra_info("sslcontext") is None
         self._transport.set_write_buffer_limits(high=0 if plain else 1)
 
@@ -161,7 +162,7 @@
             if not self._head_complete and self._head_bytes > MAX_HEAD_BYTES:
                 raise InvalidResponseError
         except (InvalidResponseError, httptools.HttpParserError, httptools.HttpParserUpgrade):
-            # This does not affect a response that is complete; an incomplete one is lost.
+            # A response that is complete has been passed on already; one that is incomplete is lost.
             self._fail(written=True)
             self.close()
             return
@@ -190,7 +191,7 @@
 
     def _fail(self, written: bool) -> None:
         if self._pending_response is not None and not self._pending_response.done():
-            # The status line may have been received without the rest of the head.
+            # Get the status from the parser: the status line may have arrived without the rest of the head.
             self._pending_response.set_exception(NoResponseError(written, self._parser.get_status_code()))
         self._finish_exchange()
 
@@ -211,7 +212,7 @@
         self._response_started, self._head_complete, self._response = True, False, Response()
 
     def on_status(self, status: bytes) -> None:
-        """Store the status, also that of an incomplete response."""
+        """Store the status, which is known before the response is complete."""
         self._response.status = self._parser.get_status_code()
 
     def on_header(self, name: bytes, value: bytes) -> None:
--- a/emberlatch/net/message_api.py
+++ b/emberlatch/net/message_api.py
@@ -1,4 +1,4 @@
-"""The clients' message API: turns a `POST` request into a submission, and the decision into its response."""
+"""The clients' message API: turns requests into submissions, and the engine's decisions into responses."""
 
 from __future__ import annotations
 
@@ -79,10 +79,10 @@
 
 
 def parse_destination(envelope: str, find_destination: DestinationLookup) -> int:
-    """The number of the destination that `dest` names in an `Envelope` header.
+    """Return the number of the destination that the field `dest` of an `Envelope` header names.
 
     Raises:
-        BadMessageError: a part of the header can't be parsed, or there is no `dest`.
+        BadMessageError: a field of the header can't be parsed, or the field `dest` is missing.
     """
     parts = [part.strip().partition("=") for part in envelope.split(";")]
     fields = {name: value for name, _, value in parts}
@@ -95,10 +95,12 @@
 
 
 def parse_number(text: str) -> int:
-    """Parse plain ASCII digits; int() would also accept signs, blanks, underscores and other scripts.
+    """Parse a number of ASCII digits only.
+
+    int() would also accept signs, blanks, underscores and the digits of other scripts.
 
     Raises:
-        BadMessageError: the text is anything else, or too long.
+        BadMessageError: the text contains anything else, or is too long.
     """
     if not (text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS):
         raise BadMessageError(f"not a number: {text[:20]!r}")
--- a/emberlatch/net/notification_sender.py
+++ b/emberlatch/net/notification_sender.py
@@ -1,4 +1,4 @@
-"""Sends completion notices to the platform and repeats them until it confirms."""
+"""Sends completion notices to the platform, and repeats each one until the platform confirms it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 log = logging.getLogger(__name__)
 
 INITIAL_TIMEOUT_S = 0.1
-"""Time-out of the first attempt: the platform responds at once, and no dead connection may delay notices."""
+"""Time-out of the first attempt.
+
+The platform responds at once, so a short time-out is enough. A longer one would let a dead connection delay
+notices.
+"""
 MAX_TIMEOUT_S = 1.0
 """Upper limit of the time-out, which doubles after each attempt without a response."""
 RETRY_INTERVAL_S = 0.05
@@ -22,7 +26,10 @@
 
 
 class NotificationSender:
-    """Sends each notice until a 204 confirms it; `confirmed` gets the references of confirmed notices."""
+    """Sends each notice until the status 204 confirms it; `confirmed` gets the references of these notices.
+
+    A notice that is rejected alone with status 400 is dropped; `confirmed` gets its reference, too.
+    """
 
     def __init__(
         self,
--- a/emberlatch/net/pooled_carrier.py
+++ b/emberlatch/net/pooled_carrier.py
@@ -1,6 +1,7 @@
-"""The base class of carriers: targets and their draining, Retry-After, pooled connections, and running calls.
+"""The base class of carriers, which send calls to targets.
 
-A subclass adds how a call is encoded and how its response is classified, see `PooledCarrier`.
+`PooledCarrier` keeps track of the targets and their draining, obeys Retry-After, reuses idle connections, and
+runs the calls. A subclass encodes a call and classifies its response.
 """
 
 from __future__ import annotations
@@ -33,8 +34,8 @@
 class PooledCarrier(ABC):
     """Carries out calls; `report` gets one outcome for each message of a call.
 
-    Idle connections are closed when there would be more than `max_connections` together with those in use.
-    The decision module limits the number of calls in flight.
+    `max_connections` limits the idle connections and those in use together: before a new connection is
+    opened, idle ones are closed as needed. `emberlatch.core` limits the number of calls in flight.
 
     A call is passed to `_prepare`, then to `_request` once it has a connection. Its response is passed to
     `_on_response`; without a valid response, `_on_no_response` is called. A message that has no outcome after
@@ -52,7 +53,7 @@
         self._settings, self._report, self._tasks = settings, report, tasks
         self._counters = counters or Counters()
         self._targets: dict[bytes, Endpoint] = {}
-        self._deregistered: set[bytes] = set()  # still in `_targets`, because calls are in flight
+        self._deregistered: set[bytes] = set()  # names kept in `_targets` while calls are in flight
         self._retry_after = RetryAfterTable()
         self._pool = ConnectionPool(max_connections, settings.connection_idle)
         self._calls_in_flight = 0
@@ -88,7 +89,7 @@
         self._retry_after.expire(now)
 
     def _remove_if_unused(self, name: bytes) -> None:
-        """Remove a deregistered target without calls in flight, or replaced targets would accumulate."""
+        """Remove a deregistered target without calls in flight, so that replaced targets don't accumulate."""
         target = self._targets[name]
         if target.deregistered and not target.in_flight:
             self.close_idle(name)
@@ -114,7 +115,7 @@
     # Handover to another process.
 
     def export_retry_after(self) -> list[tuple[ExportedScope, float]]:
-        """The scope of each Retry-After, a target or a destination, and its end in the loop's time."""
+        """Return the scope of each Retry-After and the event loop's time at which it ends."""
         return self._retry_after.export()
 
     def import_retry_after(self, exported: Iterable[tuple[ExportedScope, float]]) -> None:
@@ -139,7 +140,10 @@
         ]
 
     def export_connections(self) -> Iterator[tuple[bytes, int]]:
-        """Yield target and descriptor of each idle connection; close it when the next one is requested."""
+        """Yield the target and the descriptor of each idle connection.
+
+        A connection is closed here when the next item is requested.
+        """
         for name, endpoint in self._targets.items():
             while endpoint.idle:
                 connection = self._pool.take(endpoint)
@@ -160,7 +164,7 @@
             connection.close()
 
     def cancel(self, ref: int, attempt: int) -> None:
-        """Cancel one message of a call that was sent; after the last one, close the call's connection."""
+        """Cancel one message of a call that was sent; close the connection if no other message is pending."""
         if (call := self._calls.get((ref, attempt))) is not None:
             call.cancel(ref, attempt)
 
@@ -171,16 +175,16 @@
 
     @abstractmethod
     def _request(self, target: Endpoint, call: Call) -> bytes:
-        """Encode a call; `call.items` are its messages that have no outcome yet."""
+        """Encode a call; `call.items` contains those of its messages that have no outcome yet."""
 
     @abstractmethod
     async def _on_response(self, target: Endpoint, call: Call, response: Response) -> None:
-        """Give each message its outcome; the caller gives ERROR to those that are left without one."""
+        """Give each message its outcome; the caller gives ERROR to each message that has none afterwards."""
 
     def _response_filter(self, call: Call) -> Callable[[Response], bool] | None:
-        """A function that returns whether a response belongs to this call and not to an earlier one.
+        """Return a function that tells whether a response belongs to this call, not to an earlier one.
 
-        None if responses do not identify their call.
+        Return None if responses do not identify their call.
         """
         return None
 
@@ -188,7 +192,7 @@
         """Prepare a call before it gets a connection; raises OSError if it can't be sent."""
 
     def _is_wanted(self, call: Call) -> bool:
-        """Whether a call that has got a connection is still to be sent."""
+        """Whether a call must still be sent, now that a connection is available."""
         return True
 
     def _is_reusable(self, connection: Connection, call: Call) -> bool:
@@ -235,7 +239,7 @@
         if connection is None and (connection := await self._open_connection(target, call)) is None:
             return None
         if not (call.pending and self._accepts_requests(target) and self._is_wanted(call)):
-            # Meanwhile a Retry-After or a drain has begun, or all messages have got an outcome.
+            # Since the call was started, a Retry-After or a drain began, or all messages got an outcome.
             self._release(target, connection)
             call.complete_all(Result.NOT_EXECUTED)
             return None
@@ -282,8 +286,10 @@
         self._retry_after.block(self._retry_after_scope(target), until)
 
     def _retry_after_scope(self, target: Endpoint) -> Scope:
-        """The scope of a Retry-After from a target: the target if its kind has separate routes, else its
-        destination."""
+        """Return the scope of a Retry-After from a target.
+
+        This is the target if its kind has separate routes, otherwise its destination.
+        """
         kind = target.entry.kind
         is_separate = any(self._settings.separate_routes[kind : kind + 1])
         return target.entry.target if is_separate else target.entry.destination
--- a/emberlatch/net/request_parser.py
+++ b/emberlatch/net/request_parser.py
@@ -1,8 +1,13 @@
 """Parses the requests of one connection and enforces limits on them.
 
-A request is invalid if httptools rejects it, its head or body exceeds the limit, a header that must be unique
-is repeated, it has both a length and a transfer encoding, it asks for an upgrade, or too many requests are
-pipelined.
+A request is rejected in each of these cases:
+
+- httptools can't parse it, or a header contains a control character;
+- its head or its body exceeds the limit;
+- a header that may occur only once is repeated;
+- it has both a Content-Length and a Transfer-Encoding;
+- it asks for an upgrade of the protocol;
+- too many earlier requests of the connection have no reply yet.
 """
 
 from __future__ import annotations
@@ -33,7 +38,7 @@
 
 
 class RequestLimits(Protocol):
-    """What a request may contain; the values may change while a connection is open."""
+    """The limits that a request must observe; they may change while a connection is open."""
 
     @property
     def max_head_bytes(self) -> int:
@@ -56,7 +61,7 @@
     """Receives the events of a parser."""
 
     def accepts_request(self) -> bool:
-        """Whether another request may be pipelined."""
+        """Whether the client may send another request before it gets the pending replies."""
 
     def on_request_started(self) -> None:
         """Called when the first byte of a request has arrived."""
@@ -65,7 +70,7 @@
         """Called when the client waits for an interim response before it sends the body."""
 
     def on_request(self, request: Request, keep_alive: bool) -> None:
-        """Called with each complete request; `keep_alive`: the client wants to keep the connection open."""
+        """Handle a complete request; `keep_alive`: whether the client wants to keep the connection open."""
 
 
 class RequestParser:
@@ -83,7 +88,7 @@
         self.request: Request | None = None
         self._partial_head: bytes | None = b""  # the received bytes of an incomplete head; None if unknown
         self._completed_request = False  # whether the current piece of data completed a request
-        self._head_bytes = 0  # size of all fed data that contains a part of the incomplete head
+        self._head_bytes = 0  # size of the pieces of data that contain a part of the incomplete head
         self._header_bytes = 0  # size of the current request's headers
         self._error_status = 400
 
@@ -101,7 +106,7 @@
         if request is None or request.headers_complete:
             self._partial_head = b""
             return None
-        # httptools does not expose the bytes of an incomplete head. A handover needs them, so keep them here.
+        # httptools does not expose the bytes of an incomplete head, which a handover needs. Keep them here.
         if self._completed_request:  # the incomplete head began somewhere in this piece of data
             self._partial_head = None
         elif self._partial_head is not None:
@@ -110,7 +115,10 @@
         return 431 if self._head_bytes > self._limits.max_head_bytes else None
 
     def unfinished_data(self) -> bytes | None:
-        """The received bytes of the incomplete request, empty between requests; None if they are unknown."""
+        """Return the received bytes of the incomplete request.
+
+        The result is empty between requests, and None if the bytes are unknown.
+        """
         if self.request is None or not self.request.headers_complete:
             return self._partial_head
         return self._serialize(self.request)
@@ -145,7 +153,7 @@
         self.request.path += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Store a header; check the size of the head, and headers that may occur only once."""
+        """Store a header; check the size of the head, and that a unique header is not repeated."""
         request, limits = self.request, self._limits
         assert request is not None
         self._header_bytes += len(name) + len(value) + HEADER_OVERHEAD_BYTES
--- a/emberlatch/net/retry_after.py
+++ b/emberlatch/net/retry_after.py
@@ -6,16 +6,16 @@
 from collections.abc import Iterable
 
 MAX_RETRY_AFTER_S = 3600.0
-"""Upper limit of a Retry-After, which also replaces an infinite one."""
+"""Maximum value of a Retry-After; larger and infinite values are replaced by this one."""
 
 Scope = bytes | int
-"""What a Retry-After applies to: a target, or all targets of a destination."""
+"""What a Retry-After applies to: a target (its name), or all targets of a destination (its number)."""
 ExportedScope = str | int
-"""A scope as it is handed over to another process: a target's name is text."""
+"""A scope in the form in which another process gets it: the name of a target is a `str`."""
 
 
 def parse_retry_after(text: str | None) -> float:
-    """The value of a Retry-After header in seconds, at most MAX_RETRY_AFTER_S; 0 if absent or invalid."""
+    """Return a Retry-After header in seconds, at most MAX_RETRY_AFTER_S; 0 if it is absent or invalid."""
     try:
         value = float(text or 0)
     except ValueError:
@@ -24,7 +24,7 @@
 
 
 class RetryAfterTable:
-    """Stores until when each scope is blocked, in the loop's time; a later end replaces an earlier one."""
+    """Stores the event loop's time until which each scope is blocked; only a later time replaces it."""
 
     def __init__(self) -> None:
         self._blocked_until: dict[Scope, float] = {}
@@ -49,7 +49,7 @@
         self._blocked_until.clear()
 
     def export(self) -> list[tuple[ExportedScope, float]]:
-        """All scopes for another process, with the end of their blocking."""
+        """Return each scope and the end of its blocking, for another process."""
         return [
             (scope.decode() if isinstance(scope, bytes) else scope, until)
             for scope, until in self._blocked_until.items()
--- a/emberlatch/net/server.py
+++ b/emberlatch/net/server.py
@@ -20,7 +20,7 @@
 
 HEALTH_PATH = b"/healthz"
 MESSAGES_PATH = b"/messages/"
-"""Prefix of the path of a message's state, followed by its id; served if the installation keeps states."""
+"""Prefix of the path of a message's state; the message's id follows. Served only with `message_status`."""
 UNIQUE_HEADERS = {
     "content-length",
     "envelope",
@@ -32,16 +32,20 @@
     "x-tenant-id",
     "x-timeout-ms",
 }
-"""Headers that may occur only once in a request: other software might use another one of several values."""
+"""Headers that may occur only once in a request.
+
+If a header had several values, other software might use another value than this server.
+"""
 REQUEST_TIMEOUT_S = 2.0
-"""Time limit for the first request of a new connection, for the arrival of a complete request, and for a
-client to read its replies."""
+"""Time limit for three things: the first request of a new connection, the arrival of a complete request, and
+a client that reads its replies.
+"""
 IDLE_TIMEOUT_S = 5.0
 """Maximum time between two requests of a connection."""
 DRAINING_IDLE_TIMEOUT_S = 0.5
 """Replaces IDLE_TIMEOUT_S while the server stops or drains.
 
-Idle connections with unread data are not closed at once then.
+It applies to idle connections with unread data, which are not closed at once.
 """
 TIMEOUT_CHECK_INTERVAL_S = 0.25
 
@@ -49,12 +53,12 @@
 class Server:
     """Listens for clients; `submit` gets each complete message with its reply.
 
-    `message_status`, if given, returns the state of the message with an id as JSON, None for an
-    unknown message.
+    `message_status`, if given, takes the id of a message and returns the message's state as JSON, or None if
+    the message is unknown.
 
     Attributes:
         stopping: whether each connection is closed after its current request; never reset.
-        draining: whether connections are closed in the same way until `drain(False)`.
+        draining: like `stopping`, but `drain(False)` resets it.
         paused: whether accepting and reading are paused for a handover.
     """
 
@@ -92,7 +96,7 @@
         asyncio.get_running_loop().call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
 
     def stop(self) -> None:
-        """Close idle connections now, and each other one after its reply; new ones are still accepted."""
+        """Close idle connections now, and other connections after their reply; still accept new ones."""
         self.stopping = True
         self._close_idle_connections()
 
@@ -139,7 +143,10 @@
             connection.pause(False)
 
     def export_connections(self) -> Iterator[ExportedConnection]:
-        """Yield the connections that another process can continue; close each when the next is requested."""
+        """Yield the connections that another process can continue.
+
+        A connection is closed here when the next item is requested.
+        """
         for connection in self._connections():
             if (exported := connection.export()) is not None:
                 yield exported
@@ -169,7 +176,7 @@
         return bool(len(self.limiter))
 
     def add(self, connection: ServerConnection) -> None:
-        """Track a new connection; at the limit, abort the one that the limiter selects, or this one."""
+        """Track a new connection; abort the one (perhaps this one) that the limiter selects, if any."""
         if (evicted := self.limiter.add(connection)) is not None:
             evicted.transport.abort()
 
--- a/emberlatch/net/server_connection.py
+++ b/emberlatch/net/server_connection.py
@@ -16,7 +16,10 @@
 log = logging.getLogger(__name__)
 
 LINGER_S = 0.25
-"""Time for a client that is still sending to read the reply to its invalid request, before the abort."""
+"""Time between the reply to an invalid request and the abort of the connection.
+
+In this time a client that is still sending can read the reply.
+"""
 MAX_PIPELINED_REQUESTS = 8
 """Maximum number of requests of one connection that have no reply yet."""
 
@@ -67,11 +70,15 @@
     transport: asyncio.Transport
 
     def __init__(self, server: ConnectionOwner, data: bytes = b"", proven: bool = False) -> None:
-        """`data`: bytes that another process read; `proven`: that process received a valid request before."""
+        """`data` and `proven` describe a connection that another process handed over.
+
+        `data`: the bytes of an incomplete request that the other process has read; `proven`: whether that
+        process has received a valid request on the connection.
+        """
         self._server, self._initial_data, self._proven = server, data, proven
         self._parser = RequestParser(server, self)
         self._replies: deque[Reply] = deque()
-        self._state_since = 0.0  # when the current request, idle time or pause of writing began
+        self._state_since = 0.0  # start of the current request, idle time or pause of writing
         self._received_eof = False
         self._has_responded = False
         self._rejected = False  # the client sent an invalid request: nothing more is read
@@ -79,7 +86,7 @@
 
     @property
     def idle(self) -> bool:
-        """Whether the connection is between requests: none is incomplete or has no reply yet."""
+        """Whether no request is incomplete, and each request has its reply."""
         return self._parser.request is None and not self._replies
 
     @property
@@ -106,7 +113,7 @@
         self._server.limiter.remove(self)
 
     def eof_received(self) -> bool:
-        """Note that the client sends no more; return whether to stay open for pending replies."""
+        """Note that the client sends no more; return whether to keep the connection for pending replies."""
         self._received_eof = True
         return bool(self._replies)
 
@@ -121,7 +128,11 @@
         self._resume_reading()
 
     def data_received(self, data: bytes) -> None:
-        """Parse received data in pieces, because the parser buffers an incomplete head without a limit."""
+        """Parse received data.
+
+        The parser buffers an incomplete head without a limit. So it gets the data in pieces, and the size of
+        the head is checked after each piece.
+        """
         transport, parser = self.transport, self._parser
         for start in range(0, len(data), MAX_HEAD_BYTES):
             if not self._rejected and not transport.is_closing():
@@ -132,7 +143,7 @@
     # Called by the parser.
 
     def accepts_request(self) -> bool:
-        """Whether another request may be pipelined."""
+        """Whether the client may send another request before it gets the pending replies."""
         return len(self._replies) < MAX_PIPELINED_REQUESTS
 
     def on_request_started(self) -> None:
@@ -145,7 +156,7 @@
         self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_request(self, request: Request, keep_alive: bool) -> None:
-        """Handle a complete request; `keep_alive`: the client wants to keep the connection open."""
+        """Handle a complete request; `keep_alive`: whether the client wants to keep the connection open."""
         reply = self._add_reply(keep_alive)
         try:
             self._server.route(request, reply)
@@ -221,7 +232,7 @@
             self.transport.close()
 
     def check_timeouts(self, now: float, idle_timeout_s: float) -> None:
-        """Close the connection after a time-out; an incomplete request is replied to with 408."""
+        """Close the connection after a time-out; the reply to an incomplete request is 408."""
         elapsed_s = now - self._state_since
         if self._writing_paused and elapsed_s > self._server.request_timeout_s:
             self.transport.abort()
--- a/emberlatch/operations/__init__.py
+++ b/emberlatch/operations/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' interface: an HTTP address of its own for readiness, metrics and draining."""
+"""The operators' interface: an HTTP server on a separate address for readiness, metrics and draining."""
 
 from emberlatch.operations.handlers import OperatorHandlers
 from emberlatch.operations.http_server import MAX_CONNECTIONS, OperatorEndpoint, OperatorServer
--- a/emberlatch/operations/handlers.py
+++ b/emberlatch/operations/handlers.py
@@ -35,7 +35,7 @@
         self._serving = True
 
     def readiness(self) -> tuple[int, str]:
-        """Return 200 if this process accepts clients, else 503 with the reason."""
+        """Return 200 if this process has started and neither stops nor drains, else 503 with the reason."""
         if not self._serving:
             return HTTPStatus.SERVICE_UNAVAILABLE, "starting\n"
         if self._server.stopping:
@@ -51,7 +51,10 @@
         return render_metrics(engine.counters, engine.categories, open_messages, *engine.count_endpoints())
 
     def drain(self, active: bool) -> tuple[int, str]:
-        """Start or stop draining; stopping it during a shutdown, which can't be cancelled, returns 409."""
+        """Start or stop draining.
+
+        A request to stop draining during a shutdown is answered with 409: a shutdown can't be cancelled.
+        """
         if self._server.stopping and not active:
             return HTTPStatus.CONFLICT, "stopping: that is not taken back\n"
         if self._server.draining != active:
--- a/emberlatch/operations/http_server.py
+++ b/emberlatch/operations/http_server.py
@@ -20,7 +20,10 @@
 REQUEST_TIMEOUT_S = 1.0
 """Time limit for a complete request to arrive."""
 LINGER_S = 0.25
-"""Time for a client that is still sending to read its response, before the abort."""
+"""Time between the response and the abort of the connection.
+
+In this time a client that is still sending can read the response.
+"""
 MAX_REQUEST_BYTES = 8 * 1024
 
 
@@ -59,7 +62,7 @@
             self._acceptor = None
 
     def add(self, connection: _Connection) -> None:
-        """Track a connection; at the limit, abort the oldest one, preferably one that was answered."""
+        """Track a connection; at the limit, abort the oldest answered connection, else the oldest."""
         if len(self._connections) >= MAX_CONNECTIONS:
             answered = (other for other in self._connections if other.answered)
             oldest = next(answered, next(iter(self._connections)))
--- a/emberlatch/operations/metrics.py
+++ b/emberlatch/operations/metrics.py
@@ -11,16 +11,21 @@
     "overload": ("rejected", "journal full", "bounced"),
     "error": ("failed at submission", "dead", "closed by target"),
 }
-"""For each outcome, the keys in `Counters` whose values are added up; a message has exactly one outcome."""
+"""For each outcome of a message, the names in `Counters` whose values are added up.
+
+A message has exactly one outcome.
+"""
 
 
 def render_metrics(
     counters: Counters, categories: Iterable[str], concurrent: int, targets: int, targets_disabled: int
 ) -> str:
-    """Render one `app.NAME=VALUE` per line, for each class in the settings and each class that has counters.
+    """Render one `app.NAME=VALUE` per line.
+
+    The outcomes are rendered for each class of messages in the settings and each class that has counters.
 
-    `concurrent` is the number of messages without an outcome; `targets_disabled` is the number of `targets`
-    that get no messages at the moment.
+    `concurrent` is the number of messages without an outcome. `targets` is the number of targets, and
+    `targets_disabled` the number of those that get no messages at the moment.
     """
     metrics: dict[str, int] = {}
     for category in dict.fromkeys([*categories, *sorted(counters.categories())]):
--- a/emberlatch/operations/reload.py
+++ b/emberlatch/operations/reload.py
@@ -19,18 +19,23 @@
     "retry_after",
     "max_retry_after",
 )
-"""Settings that take effect at once. The others need a restart: lists and calls in flight depend on them."""
+"""Settings that take effect at once.
+
+The others need a restart, because lists of targets and calls in flight depend on them.
+"""
 MEMBER_LIST_KEY = "known"
-"""The key of the list of targets, which is not compared: targets differ and are validated one by one."""
+"""The key of the list of targets. The lists are not compared: targets differ and are validated one by one."""
 
 
 def with_reloadable(current: api.Settings, new: api.Settings) -> api.Settings:
-    """The current settings with the reloadable ones of `new`."""
+    """Return the current settings, with the reloadable settings replaced by those of `new`."""
     return replace(current, **{name: getattr(new, name) for name in RELOADABLE_SETTINGS})
 
 
 def missing_key(current: Mapping[str, object], new: Mapping[str, object], path: str = "") -> str | None:
-    """Return the path of the first key of the current file that the new one lacks or sets to null, or None.
+    """Return the path of the first key of the current file that the new file lacks or sets to null.
+
+    Returns None if there is no such key.
 
     Each object in a list, such as a class, must have the keys that all objects of the current list have.
     """
--- a/emberlatch/platform/config.py
+++ b/emberlatch/platform/config.py
@@ -23,7 +23,7 @@
 
 
 class ConfigError(Exception):
-    """A setting is missing or invalid; the text contains its name."""
+    """A setting is missing or invalid; the text of the exception contains the name of the setting."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
     journal_bytes: int
     """Maximum size of all files of the journal together."""
     initial_list: Mapping[str, object]
-    """The initial list of targets, in the form of the discovery service."""
+    """The initial list of targets, in the format that the discovery service uses."""
     raw_settings: Mapping[str, object]
     settings: api.Settings
     document: Mapping[str, object] = field(default_factory=dict)
@@ -50,7 +50,7 @@
 
 
 def read_config(environment: Mapping[str, str]) -> PlatformConfig:
-    """Read the configuration file and check the state folder, both named by the environment.
+    """Read the configuration file and check the state folder; environment variables name both.
 
     Raises ConfigError.
     """
@@ -126,7 +126,7 @@
 def _operators_address(document: Mapping[str, object], environment: Mapping[str, str]) -> Address | None:
     """Return the operators' address.
 
-    The environment overrides the file, since two processes may share a file.
+    EDGE_OPS overrides the file, because two processes that share a file need different addresses.
     """
     if text := environment.get("EDGE_OPS"):
         try:
--- a/emberlatch/platform/forwarder.py
+++ b/emberlatch/platform/forwarder.py
@@ -21,7 +21,7 @@
 
 
 class PlatformForwarder:
-    """The engine with the platform's ingress, carrier, membership and notifier."""
+    """The engine, with the server, the carrier, the discovery and the notifications of the platform."""
 
     def __init__(self, config: PlatformConfig, machine: Machine = REAL_MACHINE) -> None:
         """Connect the parts; raises ValueError if the journal's limit is too low."""
@@ -58,7 +58,10 @@
             self.operators = OperatorServer(config.operators, self._handlers.endpoints(), tasks, machine)
 
     def start_operator_server(self) -> None:
-        """Listen for operators, who see the forwarder as starting until `start` ends; raises ConfigError."""
+        """Listen for operators; raises ConfigError.
+
+        The readiness is "starting" until the engine has started.
+        """
         if self.operators is not None:
             try:
                 self.operators.start()
@@ -66,7 +69,7 @@
                 raise ConfigError(f"ops: {error}") from error
 
     async def start(self, received: ReceivedHandover | None = None) -> None:
-        """Continue from the journal and the predecessor's state, then listen for clients."""
+        """Continue from the journal and from a predecessor's state, if any; then listen for clients."""
         if received is not None:
             self.handover.receive(received)
         await self.engine.start(received)
@@ -93,7 +96,10 @@
         self.directory.codec.decode(config.initial_list)
 
     def is_outdated(self) -> bool:
-        """Whether the file has changed since it was read; the SIGHUP may have gone to the predecessor."""
+        """Whether the configuration file has changed since it was read.
+
+        The SIGHUP for the change may have been sent to the predecessor instead of this process.
+        """
         try:
             return bool(json.loads(Path(os.environ.get("EDGE_CONFIG", "")).read_bytes()) != self._document)
         except (OSError, ValueError):
@@ -114,7 +120,7 @@
         self.engine.counters.count("reload_success")
 
     def change_address(self, discovery: Address) -> None:
-        """Use discovery, which also receives the notifications, at another address from now on."""
+        """Use another address for the discovery service, which also receives the notifications."""
         if discovery == self._discovery:
             return
         log.info("discovery address changes from %s:%d to %s:%d", *self._discovery, *discovery)
--- a/emberlatch/platform/handover.py
+++ b/emberlatch/platform/handover.py
@@ -15,7 +15,10 @@
 
 
 class PlatformHandover:
-    """Freezes a forwarder's parts and hands over their state; see `takeover.Predecessor` and `Successor`."""
+    """Freezes the parts of a forwarder, and hands over or receives their state.
+
+    The interfaces are `Predecessor` and `Successor` in `emberlatch.takeover`.
+    """
 
     def __init__(
         self,
@@ -38,7 +41,7 @@
         await self._server.pause()
 
     def freeze(self, report: Callable[[api.Outcome], None]) -> StateSnapshot:
-        """Stop decisions and writes to the journal; return the state to hand over.
+        """Stop the engine's decisions and its writes to the journal; return the state to hand over.
 
         `report` gets the outcomes of calls from now on.
         """
@@ -56,12 +59,12 @@
         self._server.resume()
 
     def client_connections(self) -> Iterator[tuple[int, ClientConnection]]:
-        """Yield the client connections that can be handed over: the descriptor, and its data and state."""
+        """Yield each client connection to hand over: its descriptor, unfinished request and proven state."""
         for exported in self._server.export_connections():
             yield exported.descriptor, ClientConnection(exported.data, exported.proven)
 
     def target_connections(self) -> Iterator[tuple[int, bytes]]:
-        """Yield the descriptor and the target of each idle connection."""
+        """Yield the descriptor and the target of each idle connection to a target."""
         for target, descriptor in self._carrier.export_connections():
             yield descriptor, target
 
@@ -74,7 +77,7 @@
 
     @property
     def in_flight(self) -> int:
-        """Number of calls in flight here, and of attempts whose outcomes the predecessor relays."""
+        """Number of calls in flight in this process, plus attempts whose outcomes the predecessor relays."""
         return self._carrier.in_flight + len(self._engine.relayed)
 
     @property
@@ -85,7 +88,7 @@
     # Handover from a predecessor.
 
     def receive(self, received: ReceivedHandover) -> None:
-        """Apply the predecessor's list of targets and their Retry-After times."""
+        """Apply the predecessor's list of targets, and the times until which Retry-After blocks targets."""
         self._directory.set_initial_list(received.endpoint_list)
         self._carrier.import_retry_after(received.blocked_until)
 
@@ -105,6 +108,6 @@
         (self._report or self._engine.on_attempt_outcome)(outcome)
 
     def on_relay_closed(self) -> None:
-        """Give relayed attempts without an outcome the result RESET, as they may have been executed."""
+        """Give RESET to each relayed attempt without an outcome, because it may have been executed."""
         for outcome in self._engine.relayed.as_reset():
             self.on_relayed_outcome(outcome)
