--- a/emberlatch/simulation/clients.py
+++ b/emberlatch/simulation/clients.py
@@ -13,7 +13,7 @@
 MAX_ATTEMPTS = 3
 DEADLINE_S = 0.5
 DEADLINE_MS = "500"
-RETRY_CUTOFF_S = 0.1  # seconds before the deadline from which on there is no retry
+RETRY_CUTOFF_S = 0.1  # no retry if fewer seconds than these remain until the deadline
 MAX_BACKOFF_S = 0.2
 DEFAULT_BACKOFF_S = 0.1  # used if the response has no Retry-After header
 MAX_BODY_BYTES = 3000
--- a/emberlatch/simulation/control_cost.py
+++ b/emberlatch/simulation/control_cost.py
@@ -34,7 +34,8 @@
 class Deployment:
     """The deployment and load to measure.
 
-    The settings have no number of voters: `voters` follows from the tolerated losses, `(voters - 1) // 2`.
+    The settings have no number of voters. It follows from the tolerated losses, so these are set to
+    `(voters - 1) // 2`.
     """
 
     voters: int
@@ -53,11 +54,11 @@
 
 @dataclass
 class MethodCost:
-    """The traffic between processes for one method, per change; responses are included."""
+    """The frames and bytes that processes send each other for one method, per change, with responses."""
 
     frames: float = 0.0
     bytes: float = 0.0
-    bytes_over: float = 0.0  # bytes sent from one zone to another
+    bytes_over: float = 0.0  # the part of `bytes` that was sent from one zone to another
 
 
 @dataclass
@@ -70,7 +71,7 @@
     confirm_p99_s: float = 0.0
     everywhere_median_s: float = 0.0
     everywhere_p99_s: float = 0.0
-    asked_again: int = 0  # requests of all changes that were not confirmed, and so were repeated
+    asked_again: int = 0  # number of requests, for all changes, that were not confirmed and were repeated
     files: float = 0.0  # files written on all machines
     files_busiest: float = 0.0  # files written on the machine that writes most
     file_bytes_busiest: float = 0.0
--- a/emberlatch/simulation/control_day.py
+++ b/emberlatch/simulation/control_day.py
@@ -22,12 +22,12 @@
 from emberlatch.simulation.control_plan import MAX_MACHINES, DayPlan
 
 OPERATOR_PAUSE_S = 0.4  # mean seconds between two calls of an operator
-BUSY_PAUSE_S = 0.04  # the same on a day with a required number of changes
-MAX_DAY_S = 240.0  # seconds after which a day ends even without its required number of changes
+BUSY_PAUSE_S = 0.04  # mean seconds between two calls on a day with a required number of changes
+MAX_DAY_S = 240.0  # seconds after which a day stops waiting for its required number of changes
 POLL_S = 0.2  # seconds between two checks of a condition
 LAST_CHANGE_TIMEOUT_S = 30.0
 AGREEMENT_TIMEOUT_S = 30.0
-RESTART_PERIOD_S = 2.0  # seconds after the last fault in which machines without a process are restarted
+RESTART_PERIOD_S = 2.0  # seconds after all faults are healed, in which machines that are down restart
 
 
 @dataclass(frozen=True)
--- a/emberlatch/simulation/control_disk.py
+++ b/emberlatch/simulation/control_disk.py
@@ -1,7 +1,7 @@
 """A simulated disk for the control state, with the files and the order of writes of `RecordStorage`.
 
-A write that a kill or a loss of power interrupts may have put in place none, some or all of its files. A
-write that has returned is durable unless the disk itself is lost.
+A kill or a loss of power can interrupt a write. Then none, some or all files of the write are on the disk.
+A write that has returned is durable unless the disk itself is lost.
 """
 
 from __future__ import annotations
@@ -83,7 +83,7 @@
     def __init__(self, disk: SimulatedDisk, node: str) -> None:
         self._disk, self._node = disk, node
         self._state_on_disk: ControlState | None = None
-        # Files that are still written before the write is interrupted; None if it is not interrupted:
+        # Number of files that an interrupted write still writes; None if the write is not interrupted:
         self.files_until_interruption: int | None = None
 
     def load(self) -> AcceptorRecord | None:
@@ -113,7 +113,7 @@
         return AcceptorRecord(me, None if founding_address is None else Voter(founding_address, ""), state)
 
     def write(self, record: AcceptorRecord) -> None:
-        """Write and sync a record; OSError if that fails, although the record may have been written."""
+        """Write and sync a record; raises OSError on failure, but may have written the record."""
         if not self._disk.failing:
             return self._write_files(record)
         if self._disk.rng.random() < WRITTEN_DESPITE_FAILURE_SHARE:
--- a/emberlatch/simulation/control_faults.py
+++ b/emberlatch/simulation/control_faults.py
@@ -36,7 +36,7 @@
     max_machines: int
     rng: random.Random = field(init=False)
     trace: list[str] = field(default_factory=list)
-    withheld_disk_losses: int = 0  # losses withheld only because the group had not recovered in time
+    withheld_disk_losses: int = 0  # disk losses not injected because the voters had not recovered in time
     _decommissioning: set[str] = field(default_factory=set)
 
     def __post_init__(self) -> None:
@@ -124,9 +124,9 @@
     def _may_lose_disk(self, machine: ControlMachine, permanently: bool) -> bool:
         """Whether the tolerated losses cover the loss of this disk too.
 
-        A machine that has not started yet counts as lost. Besides the time since earlier losses, the group of
-        voters that each other machine has on its disk must allow the loss: while links were cut, the group
-        may not have recovered in that time.
+        A machine that has not started yet counts as lost. A machine that lost its disk counts as lost until
+        `lost_until`. The voters may not have recovered by then, because links were cut. Therefore the group
+        of voters that each other machine has on its disk must allow the loss too.
         """
         now = self.environment.loop.time()
         others = [other for other in self.machines.values() if other is not machine]
--- a/emberlatch/simulation/control_machine.py
+++ b/emberlatch/simulation/control_machine.py
@@ -171,7 +171,7 @@
 
     @property
     def address(self) -> str:
-        """The address; it stands for a seed's identity until the group is founded."""
+        """The address, which identifies a seed until the voter group is founded."""
         return f"{self.name}.address"
 
     @property
@@ -222,7 +222,7 @@
         self.start()
 
     def freeze(self, seconds: float) -> None:
-        """Suspend the process for `seconds`; what becomes due meanwhile runs all at once when it resumes."""
+        """Suspend the process for `seconds`; callbacks that become due meanwhile all run when it resumes."""
         if self.incarnation is not None:
             self.incarnation.process.suspend()
             self.call_later(seconds, functools.partial(self._thaw, self.incarnation))
@@ -242,7 +242,7 @@
         loop.call_at(loop.time() + seconds, callback, context=ENVIRONMENT_CONTEXT)
 
     def enter(self, callback: Callable[[ProcessIncarnation], None]) -> None:
-        """Run a callback in the process: on resuming if it is frozen, not at all if there is no process."""
+        """Run a callback in the process, if there is one; in a frozen process it runs after the resume."""
         incarnation = self.incarnation
         if incarnation is None:
             return
--- a/emberlatch/simulation/control_network.py
+++ b/emberlatch/simulation/control_network.py
@@ -14,7 +14,7 @@
 
 _ResultT = TypeVar("_ResultT")
 
-MIN_TASKS_TO_PRUNE = 1000  # number of tasks from which on ended tasks are removed from the list
+MIN_TASKS_TO_PRUNE = 1000  # ended tasks are removed only from a list of at least this length
 HEARTBEAT_FAULT_FACTOR = 0.5  # heartbeats are lost, duplicated and late half as often as other frames
 
 
@@ -79,7 +79,7 @@
         coro: Coroutine[object, object, _ResultT] | Generator[object, None, _ResultT],
         **options: object,
     ) -> asyncio.Task[_ResultT]:
-        """Create a task, and at intervals remove ended tasks from `tasks`: a long day has very many."""
+        """Create a task; remove ended tasks from `tasks` at intervals, because a long day has very many."""
         if len(self.tasks) >= self._prune_at:
             self.tasks = [task for task in self.tasks if not task.done()]
             self._prune_at = max(MIN_TASKS_TO_PRUNE, 2 * len(self.tasks))
--- a/emberlatch/simulation/control_peers.py
+++ b/emberlatch/simulation/control_peers.py
@@ -141,7 +141,10 @@
             reply.set_exception(UnreachableError(f"no reply to request {number} in time"))
 
     def receive_reply(self, frame: ReplyFrame) -> None:
-        """Complete the call of a reply; drop a late or duplicate one, and one to an earlier incarnation."""
+        """Complete the call that a reply answers; drop late and duplicate replies.
+
+        A reply to another incarnation is dropped too.
+        """
         if frame.incarnation != self._facts.incarnation:
             return
         reply = self._pending.get(frame.number)
@@ -205,7 +208,7 @@
         return reports
 
     def _seconds_unreachable_by_majority(self, heartbeats: Iterable[Heartbeat]) -> dict[str, float]:
-        """Seconds for which a majority of voters has not reached a machine, by each reported machine."""
+        """For each machine reported as unreachable, the seconds for which most voters did not reach it."""
         now = self.now()
         voters = [voter.node for voter in self._service.state.voters]
         nodes = {node for heartbeat in heartbeats for node in heartbeat.unreachable_s}
--- a/emberlatch/simulation/control_plan.py
+++ b/emberlatch/simulation/control_plan.py
@@ -63,7 +63,7 @@
 MAX_CUT_S = 30.0
 MAX_OPERATORS = 4
 FAULT_PAUSES_S = (0.5, 1.5, 3.0)  # choices for the mean number of seconds between two faults
-MANY_CHANGES_FAULT_PAUSES_S = (2.0, 4.0, 8.0)  # the same on a day with a required number of changes
+MANY_CHANGES_FAULT_PAUSES_S = (2.0, 4.0, 8.0)  # choices on a day with a required number of changes
 
 
 @dataclass(frozen=True)
@@ -109,7 +109,7 @@
     machines = rng.choice(MACHINE_COUNTS)
     seeds = min(machines, rng.choice((3, 3, 3, 5)))
     link_conditions = draw_link_conditions(rng)
-    if changes:  # that many are confirmed within a day only if most frames arrive
+    if changes:  # so many changes are confirmed within a day only if most frames arrive
         link_conditions = replace(
             link_conditions,
             loss_share=min(link_conditions.loss_share, 0.01),
--- a/emberlatch/simulation/disk.py
+++ b/emberlatch/simulation/disk.py
@@ -33,7 +33,7 @@
 
 
 class SimulatedDisk:
-    """A disk with faults. `sync_s` is the duration of a sync in seconds; the other fields count writes."""
+    """A disk with faults. `sync_s` is the duration of a sync in seconds; the other fields are counters."""
 
     def __init__(self, sync_s: float) -> None:
         self.sync_s = sync_s
--- a/emberlatch/simulation/fault_injection.py
+++ b/emberlatch/simulation/fault_injection.py
@@ -20,7 +20,7 @@
 ADDED_STORE_ZONE = "z0"
 MIN_RESTART_DELAY_S = 0.3  # shortest time until a killed process is started again
 MIN_REPLACEMENT_DELAY_S = 0.6  # shortest time until a lost machine is replaced
-LOST_ANSWERS_SHARE = 0.2  # share of targets' answers that are lost during such a fault
+LOST_ANSWERS_SHARE = 0.2  # share of targets' answers that are lost during LOSE_ANSWERS
 TARGET_RESTART_DELAY_S = 2.1
 CONCURRENT_NOMINAL_STARTS_MS = (700, 900)
 STALE_CONFIGURATION_SHARE = 0.3  # share of changes after which the previous revision is sent, too
@@ -92,7 +92,7 @@
         self._cluster.call_later(duration_s, node.disk.recover)
 
     def _apply_to_all_nodes(self, fault: Fault) -> bool:
-        """Apply a fault of the entire deployment; False if it is another kind of fault."""
+        """Apply a fault of several nodes or an added store; False if the fault is of another kind."""
         nodes = list(self._cluster.nodes.values())
         match fault.kind:
             case FaultKind.KILL_ALL:
@@ -205,7 +205,10 @@
             cluster.loop.create_task(self._restart_target(target, reuse))
 
     async def _restart_target(self, crashed: SimulatedTarget, reuse_address: bool) -> None:
-        """Start two targets after a crash, with `reuse_address` one of another service at the old address."""
+        """Start two targets after a crash.
+
+        With `reuse_address`, the first one is of another service and has the address of the crashed target.
+        """
         cluster, service = self._cluster, crashed.service
         if reuse_address:
             service = next(other for other in cluster.services if other != crashed.service)
--- a/emberlatch/simulation/growth.py
+++ b/emberlatch/simulation/growth.py
@@ -53,10 +53,10 @@
 
 @dataclass
 class GrowthCost:
-    """The cost of a cluster, of all processes together unless a field says otherwise.
+    """The cost of a cluster. A figure is the total of all processes unless its comment says otherwise.
 
     Cross-zone figures count only traffic from one zone to another. `peak_memory_mib` is the peak memory
-    of the interpreter: if it has simulated several clusters, that of the largest.
+    of the interpreter. If the interpreter has simulated several clusters, this is the peak of the largest.
     """
 
     forwarders: int
--- a/emberlatch/simulation/history.py
+++ b/emberlatch/simulation/history.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-REJECTION_STATUSES = frozenset({408, 421, 429, 503})  # statuses that promise that the message does not run
+REJECTION_STATUSES = frozenset({408, 421, 429, 503})  # answers that promise that the message does not run
 ENDED_STATES = frozenset({"completed", "dead_letter"})
 TOLERATED_RATE_BURST = 5  # requests above the rate limit that are tolerated in each window
 
@@ -56,7 +56,7 @@
     sent: dict[str, SentMessage] = field(default_factory=dict)
     runs: dict[str, list[Run]] = field(default_factory=dict)
     fault_times: list[float] = field(default_factory=list)  # times at which faults began or ended
-    drain_acknowledged_at: dict[str, float] = field(default_factory=dict)  # time by target
+    drain_acknowledged_at: dict[str, float] = field(default_factory=dict)  # loop time, by target id
     arrivals: dict[str, list[float]] = field(default_factory=dict)  # times of requests, by service
     acknowledged: list[int] = field(default_factory=list)  # revisions of configurations
     states: dict[str, tuple[str, str]] = field(default_factory=dict)  # final state and seal, by message id
@@ -144,7 +144,7 @@
     def judge_rate(self, service: str, rate_per_s: float, window_s: float, excess: float) -> None:
         """Check the number of requests in each sliding window of `window_s` seconds.
 
-        It may be `excess` times that of the rate limit, plus `TOLERATED_RATE_BURST`.
+        At most `excess` times the number that the rate limit allows, plus `TOLERATED_RATE_BURST`, may occur.
         """
         times = self.arrivals.get(service, [])
         limit = rate_per_s * window_s * excess + TOLERATED_RATE_BURST
--- a/emberlatch/simulation/node.py
+++ b/emberlatch/simulation/node.py
@@ -107,7 +107,7 @@
         return part
 
     def settings(self) -> NodeSettings:
-        """The settings of its process."""
+        """The settings of the machine's process."""
         environment = self.environment
         return NodeSettings(
             node=self.name,
@@ -138,11 +138,11 @@
 
     @property
     def up(self) -> bool:
-        """Whether its process runs."""
+        """Whether the machine's process runs."""
         return self.process is not None and self.process.alive
 
     def start(self) -> None:
-        """Start its process, if the machine has power and none runs."""
+        """Start a process, if the machine has power and no process runs."""
         if self.up or self.powered_off:
             return
         self.process, self._terminating = Process(self.host), False
--- a/emberlatch/simulation/operator_history.py
+++ b/emberlatch/simulation/operator_history.py
@@ -13,7 +13,7 @@
 
 NO_REVISION = -1  # the revision read before any change has taken effect, with an empty digest
 OK = 200
-UNCLEAR_STATUSES = frozenset({408, 410, 429})  # 4xx: the change may be in force, or may be resent
+UNCLEAR_STATUSES = frozenset({408, 410, 429})  # 4xx after which the change may be in force, or may be resent
 
 
 class CallKind(Enum):
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class _HighestEnded:
-    """For any moment, the call with the highest revision among those that had ended."""
+    """For any moment, the call with the highest revision of all calls that had ended by then."""
 
     ends: list[float] = field(default_factory=list)
     highest: list[OperatorCall] = field(default_factory=list)
@@ -111,9 +111,9 @@
     def violations(self) -> tuple[Violation, ...]:
         """All violations; none if the confirmed calls are linearizable.
 
-        For a register whose value only grows, these rules together are equivalent to linearizability: if each
-        revision takes effect as late as the confirmed calls allow, the value of each read is in force at some
-        moment between the start and the end of the read.
+        For a register whose value only grows, these rules together are equivalent to linearizability. To see
+        this, let each revision take effect as late as the confirmed calls allow. Then the value of each read
+        is in force at some moment between the start and the end of the read.
         """
         changes = [call for call in self.calls if call.kind is CallKind.REPLACE]
         confirmed = [call for call in changes if call.confirmed]
--- a/emberlatch/simulation/plan.py
+++ b/emberlatch/simulation/plan.py
@@ -70,7 +70,7 @@
 class Fault:
     """One fault or piece of planned work: `at_s` seconds after the start, for `duration_s` seconds.
 
-    `node` names the affected machine; it is empty for kinds that affect all machines or none.
+    `node` names the affected machine, or the wiped one of POWER_OFF_ALL_AND_WIPE_ONE. Other kinds ignore it.
     """
 
     at_s: float
--- a/emberlatch/simulation/plan_generator.py
+++ b/emberlatch/simulation/plan_generator.py
@@ -34,7 +34,8 @@
     FaultKind.POWER_OFF_STORES,
     FaultKind.POWER_OFF_ALL_AND_WIPE_ONE,
 )
-HARMLESS_STORE_FAULTS = (FaultKind.TERMINATE, FaultKind.ADD_STORE)  # after these, every store has its disk
+# These do not count as the loss of a store: every store still has its disk afterwards.
+HARMLESS_STORE_FAULTS = (FaultKind.TERMINATE, FaultKind.ADD_STORE)
 # Seconds until the next fault after the loss of a store: only one may be lost at a time, and it counts as
 # lost until its repair is complete.
 STORE_LOSS_INTERVAL_S = 9.0
--- a/emberlatch/simulation/processor_samples.py
+++ b/emberlatch/simulation/processor_samples.py
@@ -1,7 +1,7 @@
 """Measures the processor time of each simulated process by sampling which one is running.
 
-The work of the simulated network counts for the process that writes. The work that a kernel does for real
-sockets is not included.
+The work of the simulated network counts for the process that writes to the network. The work that a kernel
+does for real sockets is not included.
 """
 
 from __future__ import annotations
--- a/emberlatch/simulation/repair_cost.py
+++ b/emberlatch/simulation/repair_cost.py
@@ -27,7 +27,7 @@
     """The cost of repairing `missing` of `records` records.
 
     `processor_s` is the processor time of both stores and of the simulation. `peak_memory_mib` is the peak
-    memory of the interpreter: if it has simulated several sizes, that of the largest.
+    memory of the interpreter. If the interpreter has simulated several sizes, this is the largest one's peak.
     """
 
     records: int
@@ -37,7 +37,7 @@
     minimum_bytes: int = 0  # size of the missing records alone
     processor_s: float = 0.0
     longest_block_s: float = 0.0  # longest real time for which the loop was blocked
-    repeat_bytes: int = 0  # sent by a second comparison, when both stores are equal
+    repeat_bytes: int = 0  # bytes sent by a second repair, when both stores are equal
     peak_memory_mib: float = 0.0
 
     def to_json(self) -> dict[str, float]:
@@ -147,7 +147,7 @@
 async def _watch_blocking(cost: RepairCost) -> None:
     """Record the longest real time that 0.2 ms of the simulation take.
 
-    That is about how long a call has to wait that arrives meanwhile.
+    A call that arrives meanwhile has to wait for about this time.
     """
     last = time.perf_counter()
     while True:
--- a/emberlatch/simulation/scenario.py
+++ b/emberlatch/simulation/scenario.py
@@ -117,7 +117,7 @@
 def play(
     plan: Plan, steps: Callable[[Scenario], Awaitable[None]] | None = None
 ) -> tuple[SimulatedCluster, list[Breach]]:
-    """Play a plan to its end, or only `steps` in its deployment.
+    """Play a plan to its end; with `steps`, run only these steps on the plan's cluster.
 
     Returns the cluster in its final state, and the breaches in order of time.
     """
--- a/emberlatch/storm/client_load.py
+++ b/emberlatch/storm/client_load.py
@@ -1,10 +1,10 @@
 """The clients of a storm: they submit messages to the members over real sockets.
 
 A client submits a message to another member if the message was rejected or could not be sent. If a message
-was sent and no answer came, the client does so only if the effect of the message's class is `safe`. A keyed
-message must not be sent to another member then, because that member does not know in which wing (the
-endpoints of a partner that share idempotency keys) and in which idempotency window the first copy was
-executed.
+was sent and no answer came, the client submits it to another member only if the effect of the message's class
+is `safe`. A keyed message without an answer must not be sent to another member. That member does not know in
+which wing and in which idempotency window the first copy was executed. A wing is the group of a partner's
+endpoints that share idempotency keys.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 DEADLINE_S, LATENCY_TARGET_S, IDEMPOTENCY_WINDOW_S = 6.0, 2.0, 8.0
 ANSWER_TIMEOUT_S = 1.0
 MAX_ATTEMPTS = 3
-MIN_TIME_LEFT_S = 0.5  # shortest time to the deadline with which a client still submits a message
+MIN_TIME_LEFT_S = 0.5  # a client submits a message only if this time remains to the deadline
 RETRY_DELAY_S = 0.2  # delay before a retry if the answer has no Retry-After header
 MAX_RETRY_WAIT_S = 1.0
 REJECTION_STATUSES = (429, 503)
--- a/emberlatch/storm/fault_player.py
+++ b/emberlatch/storm/fault_player.py
@@ -49,7 +49,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def prepare(self) -> None:
-        """Begin the faults that affect the first start of the processes."""
+        """Begin the faults at time 0 that affect the first start of a process (`START_CONDITIONS`)."""
         for fault in self._plan.faults:
             if _affects_first_start(fault):
                 for name in fault.subjects:
--- a/emberlatch/storm/history.py
+++ b/emberlatch/storm/history.py
@@ -2,6 +2,7 @@
 
 A saved history is a file of JSON lines: the plan in the first line, then one event per line. `storm replay`
 also reads files of earlier versions, so the names of kinds, sources and payload keys must not change.
+The value of the key `life` is the number of the incarnation.
 
 | source | kind | payload |
 | --- | --- | --- |
@@ -13,7 +14,7 @@
 | an endpoint | EFFECTS | name (a key or an id), times |
 | a member | OUTCOME | id, state, ref |
 | a member | any event that it logs, by its name: `FleetEvent` and others | as logged |
-| the runner | events of a process: PROCESS_STARTED to DUPLICATED | member, life (the incarnation), status |
+| the runner | process events: in `EventKind`, PROCESS_STARTED to DUPLICATED | member, life, status |
 | the runner | FAULT_BEGAN, FAULT_ENDED | text |
 | the runner | ALL_FAULTS_ENDED, RECOVERED, COMPLETED | |
 """
@@ -38,14 +39,14 @@
 """The sources of events besides the names of members and endpoints."""
 
 REQUEST = "wish"
-"""The key of a payload with the number of the client's request."""
+"""The payload key whose value is the number of the client's request."""
 
 DUPLICATE_SUFFIX = "'"
 """Appended to a member's name in events of a second process that runs with that name."""
 
 
 class EventKind(StrEnum):
-    """The kinds of events with their stored names; of the kinds in `FleetEvent`, those that rules check."""
+    """The kinds of events with their stored names. Of `FleetEvent`, only kinds that rules check are here."""
 
     SUBMITTED = "hand"
     SUBMISSION_ANSWERED = "heard"
--- a/emberlatch/storm/member_log.py
+++ b/emberlatch/storm/member_log.py
@@ -66,5 +66,5 @@
                 outcome = json.loads(line)
                 outcomes.append({key: outcome[key] for key in ("id", "state", "ref")})
             except (ValueError, KeyError, TypeError):
-                continue  # a line torn by a kill; the next process writes this outcome again
+                continue  # a kill cut this line off; the next process writes the outcome again
         return outcomes
--- a/emberlatch/storm/member_process.py
+++ b/emberlatch/storm/member_process.py
@@ -105,7 +105,7 @@
     async def _record_log_until_exit(self, process: asyncio.subprocess.Process, incarnation: int) -> None:
         """Save and record the log of a process until the process has exited."""
         assert process.stderr is not None
-        # The last line that is no log event: a process that cannot continue writes the reason in such a line.
+        # The last line that is not a log event. A process that cannot continue writes the reason in it.
         last_text = ""
         with (self.folder / "log").open("ab") as log:
             async for line in process.stderr:
--- a/emberlatch/storm/membership_rules.py
+++ b/emberlatch/storm/membership_rules.py
@@ -7,7 +7,7 @@
 | false death | a running member is believed unreachable without a fault, or with mild link faults only |
 | stalled | a process that was suspended logs any other membership event before it logs the stall |
 | backwards | a member returns to an earlier incarnation of a peer |
-| left | a peer counts as having left without being asked to, or as unreachable although it left |
+| left | a peer counts as left although nobody asked it to leave, or as unreachable although it left |
 | parts | the quota shares of all running members sum to more than 1 |
 | two of a name | of two processes with one name both continue to run, or the later one exits |
 | others' waits | a member calls an endpoint that asked another member to wait |
@@ -47,11 +47,11 @@
 )
 # Limit from RECOVERED, when the last process serves again, until all members see each other alive.
 HEAL_LIMIT_S = 8.0
-# Limit of quiet time in which a member that is down must be detected, also by members that probe more slowly
-# because of a raised local health score (Lifeguard).
+# Quiet time within which all running members must detect a member that is down. The limit also applies to
+# members that probe more slowly because their local health score (Lifeguard) is raised.
 DETECTION_LIMIT_S = 10.0
-QUIET_S = 4.0  # quiet time before an event after which no earlier disturbance counts as its cause
-QUIET_BEFORE_WAIT_S = 3.0  # quiet time before an answer whose Retry-After all members must obey
+QUIET_S = 4.0  # if so much time before an event was quiet, no earlier disturbance counts as its cause
+QUIET_BEFORE_WAIT_S = 3.0  # if so much time before a Retry-After was quiet, all members must obey it
 MIN_REPORTED_SUSPENSION_S = 1.2  # shortest suspension that a process must report as a stall
 WAIT_PROPAGATION_S = 0.2  # time until all members have learned of a Retry-After that one received
 WAIT_TOLERANCE_S = 0.02  # time by which a call may precede the end of a Retry-After
@@ -90,7 +90,10 @@
 
 
 def find_disturbances(history: History, without: str = "", include_mild: bool = True) -> list[Span]:
-    """Return the spans of process faults and of link faults between members, and moments of process events.
+    """Return the spans of process faults and of link faults between members, and of process events.
+
+    The span of a process event begins and ends at the time of the event.
+
 
     `without` excludes the process faults and process events of one member; `include_mild` says whether to
     include faults that are too mild to make any member unreachable.
@@ -123,7 +126,7 @@
     due = history.last_time_of(EventKind.RECOVERED, math.inf) + HEAL_LIMIT_S
     completed_at = history.last_time_of(EventKind.COMPLETED, 0.0)
     if completed_at < due and not MembershipViews(history, completed_at).are_complete(names):
-        return  # the storm was completed before the limit, so the members had less time than they may take
+        return  # the storm was completed before the limit: the members had too little time to be judged
     views = MembershipViews(history, due)
     for name in names:
         unseen = views.unseen_by(name, names)
--- a/emberlatch/storm/message_rules.py
+++ b/emberlatch/storm/message_rules.py
@@ -29,7 +29,7 @@
 # Time after a message's deadline until its outcome is due: 0.3 s that the rule allows and 0.5 s for the
 # runner's polling.
 OUTCOME_GRACE_S = 0.3 + 0.5
-WAIT_PROPAGATION_S = 0.15  # time in which a member must have read an answer that asks it to wait
+WAIT_PROPAGATION_S = 0.15  # time within which a member must have read an answer that asks it to wait
 WAIT_TOLERANCE_S = 0.02  # time by which a call may precede the end of a wait
 IMPAIRMENT_BEFORE_WAIT_S = 2.0  # a link impairment within this time before an answer excuses later calls
 MEMBER_SLOTS = 16
--- a/emberlatch/storm/partners.py
+++ b/emberlatch/storm/partners.py
@@ -55,7 +55,7 @@
         self.endpoint, self.member = endpoint, member
         self._reservation = reserve_port()
         self.server = PartnerServer(endpoint.model, self, self._reservation)
-        self._call_numbers: dict[int, int] = {}  # the endpoint's numbers of calls, by the server's numbers
+        self._call_numbers: dict[int, int] = {}  # the endpoint's number of a call, by the server's
 
     def on_call(self, number: int, process: str, messages: list[Message]) -> None:
         """Record that a call has begun."""
@@ -129,7 +129,7 @@
         await self.endpoints[name].set_condition(condition)
 
     def record_effects(self) -> None:
-        """Record how often each message took effect, per endpoint, over the storm until now."""
+        """Record for each endpoint how often each message has taken effect since the storm began."""
         for endpoint in self.endpoints.values():
             for name, times in endpoint.keys.effects.items():
                 self._record(endpoint.name, EventKind.EFFECTS, {"name": name, "times": times})
--- a/emberlatch/storm/plan.py
+++ b/emberlatch/storm/plan.py
@@ -41,7 +41,7 @@
 
     # Faults of processes.
     KILL = "kill"
-    """SIGKILL; the process is restarted after `amount` seconds, or at the end of the storm if that is 0."""
+    """SIGKILL; the process restarts after `amount` seconds, or if `amount` is 0, at the end of the storm."""
     SUSPEND = "stop"
     """SIGSTOP, and SIGCONT at the end of the fault."""
     TERMINATE = "term"
@@ -61,9 +61,9 @@
     PARTITION = "cut"
     """Nothing is delivered until the fault ends; then all data that was sent arrives in order."""
     DELAY = "delay"
-    """Data is delivered late, by a time drawn for each chunk from `amount` to twice `amount` seconds."""
+    """Each chunk of data is delayed by a drawn time, from `amount` to twice `amount` seconds."""
     LOSS = "stalls"
-    """Each chunk is lost with probability `amount`, also when it is retransmitted, and arrives later."""
+    """Each time a chunk is sent, it is lost with probability `amount`. A lost chunk is sent again later."""
     THROTTLE = "throttle"
     """`amount` bytes per second are forwarded."""
     BLACKHOLE = "mute"
--- a/emberlatch/storm/plan_generator.py
+++ b/emberlatch/storm/plan_generator.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _FaultSlot:
-    """The span of a storm for which one fault or several are generated, in seconds, and the members."""
+    """The members, and the span of a storm in seconds, for which one or more faults are generated."""
 
     rng: random.Random
     members: list[str]
--- a/emberlatch/storm/relay.py
+++ b/emberlatch/storm/relay.py
@@ -1,8 +1,9 @@
 """A TCP relay between two parties that delays, withholds or throttles data, or disconnects the parties.
 
-While a connection is open, no data on it is lost, as with TCP: data that a partition or a loss withholds
-arrives later, in order. Unlike a real network, the relay accepts a connection through a partition, and then
-delivers no data on it.
+As with TCP, no data is lost on an open connection. Data that is withheld because of a partition or a lost
+chunk arrives later, in order.
+
+Unlike a real network, the relay accepts a connection through a partition, and then delivers no data on it.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 MAX_CHUNK_BYTES = 16 * 1024  # largest chunk that is read at once
 MAX_QUEUED_CHUNKS = 64  # chunks of one direction that are queued before the relay stops reading
 FIRST_RETRANSMIT_S = 0.2  # time until a lost chunk is sent again; doubled for each additional loss
-MAX_RETRANSMIT_S = 1.6  # longest time between two retransmissions; after it the chunk is no longer lost
+MAX_RETRANSMIT_S = 1.6  # longest wait before a retransmission; a chunk sent after this wait is not lost
 
 
 def draw_retransmit_delay(rng: random.Random, loss: float) -> float:
--- a/emberlatch/storm/report.py
+++ b/emberlatch/storm/report.py
@@ -93,7 +93,7 @@
 
 
 def save_chart(history: History, path: Path) -> None:
-    """Draw the messages of each second by outcome, and the faults below them, to a PNG, SVG or PDF file."""
+    """Save a chart of the messages per second by outcome, with the faults below, as PNG, SVG or PDF."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/emberlatch/storm/virtual_fleet.py
+++ b/emberlatch/storm/virtual_fleet.py
@@ -4,6 +4,7 @@
 no messages and no partners. Effects that only a kernel has (half-open connections, buffers, SIGSTOP between
 two system calls) occur only on real processes (`runner`). A blackholed link behaves like a partitioned one
 here. Faults of the wall clock have no effect, because the code of the fleet never reads the wall clock.
+Faults of the clock rate apply from the first start, whatever their `at`. Garbage is not simulated.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 START_RANGE_S = (0.4, 0.7)  # range from which the duration of a process's start is drawn
 LEAVE_S = 0.3  # time from the command to leave until the process exits
 FORMATION_S = 1.5  # time before the storm in which the members find each other
-RECOVERY_MARGIN_S = 0.1  # time added to the longest start before RECOVERED is recorded
+RECOVERY_MARGIN_S = 0.1  # time added to the longest start and the pending start delay before RECOVERED
 COMPLETION_S = 12.0  # time from RECOVERED to COMPLETED, in which the members must see each other again
 
 
--- a/emberlatch/storm/virtual_network.py
+++ b/emberlatch/storm/virtual_network.py
@@ -12,7 +12,7 @@
 from emberlatch.storm.plan import Fault, FaultKind, Plan
 from emberlatch.storm.relay import draw_retransmit_delay
 
-PACKET_BYTES = 100  # size of a packet that is assumed in a throttled direction
+PACKET_BYTES = 100  # assumed size of each packet in a throttled direction
 DELAYING_FAULTS = (
     FaultKind.PARTITION,
     FaultKind.BLACKHOLE,
