--- a/emberlatch/demo/processes.py
+++ b/emberlatch/demo/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a demonstration: the stand-in partners and the gateway, with their configuration."""
+"""Starts the processes of a demonstration: the stand-in partners, and the gateway with its configuration."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     kind: str
     work_s: float
     limit: float
-    """Messages a second; 0 for no limit."""
+    """The most messages a second that an endpoint accepts; 0 for no limit."""
 
 
 PARTNERS: Mapping[str, PartnerProfile] = {
@@ -74,7 +74,10 @@
     stdout: int | None = None,
     stderr: IO[bytes] | None = None,
 ) -> AsyncIterator[Process]:
-    """Run a Python module; at the end, terminate its process, and kill it if it does not exit in time."""
+    """Run a Python module in a process, which is terminated when the context ends.
+
+    The process is killed if it does not exit within `EXIT_TIMEOUT_S`.
+    """
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", *arguments, stdin=stdin, stdout=stdout, stderr=stderr, env=os.environ
     )
@@ -91,7 +94,7 @@
 
 
 class Partners:
-    """Controls the running stand-in partners, with one line of JSON per command."""
+    """Controls the running stand-in partners. Each command is one line of JSON on their standard input."""
 
     def __init__(self, process: Process) -> None:
         assert process.stdin is not None and process.stdout is not None
@@ -109,7 +112,7 @@
         self.addresses = json.loads(await self._exchange(endpoints))
 
     async def set_condition(self, endpoint: str, condition: str) -> None:
-        """Change the condition of an endpoint, until the next change."""
+        """Set the condition of an endpoint, such as "hang" or "well". It lasts until the next call."""
         await self._exchange({"id": endpoint, "condition": condition})
 
     async def _exchange(self, command: object) -> bytes:
@@ -119,7 +122,7 @@
 
 @contextlib.asynccontextmanager
 async def start_partners() -> AsyncIterator[Partners]:
-    """Run the stand-in partners; they are terminated at the end."""
+    """Run the stand-in partners until the context ends."""
     pipe = asyncio.subprocess.PIPE
     async with _process("emberlatch.standins", stdin=pipe, stdout=pipe) as process:
         partners = Partners(process)
@@ -149,7 +152,13 @@
 
 @contextlib.asynccontextmanager
 async def start_gateway(folder: Path, port: int) -> AsyncIterator[None]:
-    """Run the gateway and wait until it accepts connections; if it exits, raise RuntimeError with its log."""
+    """Run the gateway until the context ends; wait first until it accepts connections.
+
+    The wait ends without an error after `CONNECT_ATTEMPTS` attempts.
+
+    Raises:
+        RuntimeError: the gateway exited during the wait; the text is its log.
+    """
     with (folder / "log").open("wb") as log:
         async with _process("emberlatch", "serve", str(folder / "gateway.toml"), stderr=log) as process:
             for _ in range(CONNECT_ATTEMPTS):
--- a/emberlatch/demo/run.py
+++ b/emberlatch/demo/run.py
@@ -32,20 +32,21 @@
 LATENCY_TARGET_S = 4.0
 """The latency target of the messages' priority class."""
 FINAL_OUTCOMES_TIMEOUT_S = 25.0
-"""How long to wait for the last outcomes: just over the messages' deadline of 24 s."""
+"""How long to wait for the last outcomes. It is just over the messages' deadline, which is 24 s."""
 POLL_INTERVAL_S = 0.25
 """The interval between reads of the outcome log and of the gateway's status."""
 ACCEPTED_STATUS = 202
 REJECTION_REASONS = {429: "rejected at once: not expected in time", 503: "rejected at once: no capacity"}
-"""Why a message was not accepted, by the status of the response."""
+"""The reason for which a message was not accepted, by the HTTP status of the response."""
 LATER_REJECTION_REASON = "accepted, then not expected in time"
 
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """The state of a running demonstration; times in seconds.
+    """The state of a running demonstration. `elapsed` and `total` are in seconds.
 
-    `status` is the gateway's answer to `status` on its control socket, empty before the first one.
+    `status` is the gateway's last answer to the command `status` on its control socket.
+    It is empty before the first answer.
     """
 
     elapsed: float
@@ -59,7 +60,7 @@
 
 
 async def run(seconds: float, seed: int, show: ShowProgress) -> Summary:
-    """Run one demonstration; a third of the time each is before, during and after the fault."""
+    """Run one demonstration. The times before, during and after the fault are a third of `seconds` each."""
     with tempfile.TemporaryDirectory(prefix="emberlatch-") as name:
         folder = Path(name)
         async with start_partners() as partners:
@@ -161,12 +162,12 @@
             "Content-Length: 5\r\n\r\nhello"
         )
         status = await self._exchange(head.encode())
-        if status != ACCEPTED_STATUS:  # the response is the outcome
+        if status != ACCEPTED_STATUS:  # no outcome will follow in the outcome log
             state = REFUSED if status in REJECTION_REASONS else "failed"
             self._record_outcome(message, state, time.time(), REJECTION_REASONS.get(status, ""))
 
     async def _exchange(self, request: bytes) -> int:
-        """Send a request on an idle or a new connection; returns the status, 0 if the connection failed."""
+        """Send a request on an idle or a new connection; returns the status, or 0 if it failed."""
         try:
             if self._idle_connections:
                 reader, writer = self._idle_connections.pop()
--- a/emberlatch/demo/statistics.py
+++ b/emberlatch/demo/statistics.py
@@ -9,12 +9,12 @@
 from typing import TypedDict
 
 TOLERANCE = 0.02
-"""The largest drop in the other partners' share in time at which the fault counts as contained."""
+"""The fault is contained if the in-time share of the other partners drops by at most this much."""
 DELIVERED, REFUSED = "delivered", "refused"
 
 
 class DemoPhase(StrEnum):
-    """The thirds of a demonstration, relative to the fault of one partner."""
+    """The phases of a demonstration: before, during and after the fault of one partner."""
 
     BEFORE = "before"
     DURING = "during"
@@ -51,7 +51,7 @@
 
     @property
     def in_time_share(self) -> float:
-        """The share that was delivered within the latency target; 1 if nothing was sent."""
+        """The share of messages that were delivered within the latency target; 1 if nothing was sent."""
         return self.in_time / self.sent if self.sent else 1.0
 
     @property
@@ -88,7 +88,10 @@
 
     @property
     def contained(self) -> bool:
-        """Whether the other partners were served as before and each message had exactly one outcome."""
+        """Whether the fault left the other partners' service intact and each message had exactly one outcome.
+
+        The in-time share of the other partners may drop by up to `TOLERANCE`.
+        """
         unaffected = self.others_during >= self.others_before - TOLERANCE
         return unaffected and not self.unanswered and not self.answered_twice
 
@@ -125,7 +128,10 @@
         return len(self._open)
 
     def record_submission(self, message: str, partner: str, phase: DemoPhase, at: float) -> None:
-        """Record that a message is submitted; `at` is in seconds of any one clock."""
+        """Record that a message is submitted at the time `at`, in seconds.
+
+        All calls for submissions and outcomes must use the same clock.
+        """
         self._open[message] = _OpenMessage(partner, phase, at)
         self.partners[partner].setdefault(phase, PhaseStatistics()).sent += 1
 
@@ -150,7 +156,10 @@
             statistics.failed += 1
 
     def in_time_share(self, phase: DemoPhase, others: bool) -> float:
-        """Return the share delivered in time to the broken partner, or to all others together."""
+        """Return the share of messages delivered in time, to the broken partner or to all others together.
+
+        The share is 1 if nothing was sent.
+        """
         chosen = [
             phases[phase]
             for name, phases in self.partners.items()
--- a/emberlatch/simlink/__init__.py
+++ b/emberlatch/simlink/__init__.py
@@ -1,4 +1,5 @@
-"""The decision module behind the simulator's binary protocol: decoder, encoder, and the hosting process.
+"""Connects the decision module to the simulator: decoder, encoder, and the process that hosts the instances.
 
-A frame has a header, records of a fixed size, and a tail with data that records refer to by offset and size.
+The protocol is binary. A frame has a header, records of a fixed size, and a tail with data of variable size.
+Records refer to data in the tail by offset and size.
 """
--- a/emberlatch/simlink/adapter.py
+++ b/emberlatch/simlink/adapter.py
@@ -1,4 +1,7 @@
-"""Hosts many forwarders for the simulator: frames on standard input, replies on standard output."""
+"""Hosts many forwarders for the simulator.
+
+Reads frames from standard input and writes replies to standard output.
+"""
 
 from __future__ import annotations
 
@@ -55,7 +58,7 @@
         replies: dict[int, list[WireAction]] = {}
         for instance, event in events:
             if isinstance(event, Start | Stop):
-                # Earlier events of this frame belong to the previous incarnation: they must have no effect.
+                # Earlier events in this frame were for the instance before this start or stop: drop them.
                 pending.pop(instance, None)
                 self._instances.pop(instance, None)
                 if isinstance(event, Start):
--- a/emberlatch/simlink/decoder.py
+++ b/emberlatch/simlink/decoder.py
@@ -1,4 +1,4 @@
-"""Decodes frames of the simulator: the clock, and events of the instances in this process."""
+"""Decodes the simulator's frames. A frame has the time and events for the instances in this process."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from emberlatch.simlink.settings import decode_settings
 
 HEADER = struct.Struct("<IId")
-"""Size of the frame in bytes, number of records, clock."""
+"""Size of the frame in bytes, number of records, time of the simulator's clock."""
 RECORD_SIZE = 56
 
 
 class EventCode(IntEnum):
-    """The codes of records."""
+    """The codes of the records in a frame."""
 
     STOP = 1000
     PROBE_RESULT = 1010
@@ -50,13 +50,13 @@
 
 
 class Decoder:
-    """Decodes frames, and stores the registered lists of targets, which all instances share."""
+    """Decodes frames and stores the registered lists of targets. All instances share these lists."""
 
     def __init__(self) -> None:
         self._lists: dict[int, tuple[api.Entry, ...]] = {}
 
     def decode(self, data: bytes) -> tuple[float, list[tuple[int, WireEvent]]]:
-        """Decode one complete frame; returns the clock, and each event with its instance, in order.
+        """Decode one complete frame; returns the time, and pairs of instance and event in the frame's order.
 
         Raises:
             WireError: the frame does not follow the protocol.
@@ -193,4 +193,4 @@
     EventCode.ARRIVAL: _decode_arrival,
     EventCode.RESPONSE_STARTED: _decode_response_started,
 }
-"""Event code -> decoder of a frequent event, which gets the frame and the offset of the record."""
+"""Maps the code of a frequent event to its decoder. A decoder gets the frame and the record's offset."""
--- a/emberlatch/simlink/encoder.py
+++ b/emberlatch/simlink/encoder.py
@@ -11,13 +11,13 @@
 from emberlatch.simlink.messages import Fault, WireAction
 
 HEADER = struct.Struct("<II")
-"""Number of records, size of the reply in bytes."""
+"""Number of records in the reply, size of the reply in bytes."""
 RECORD_SIZE = 24
 ALL_PEERS = 0xFFFFFFFF
 
 
 class ActionCode(IntEnum):
-    """The codes of records."""
+    """The codes of the records in a reply."""
 
     SEND = 1000
     REJECT = 1010
@@ -35,7 +35,10 @@
 
 
 def _packer(code: ActionCode, layout: str) -> Callable[..., bytes]:
-    """Return a function that packs a record with this code; `layout` is the format of its other values."""
+    """Return a function that packs a record with this code.
+
+    `layout` is the `struct` format of the values after the code.
+    """
     record = struct.Struct(f"<H{layout}")
     assert record.size == RECORD_SIZE
     return partial(record.pack, int(code))
@@ -57,7 +60,10 @@
 
 
 def encode_reply(groups: Iterable[tuple[int, Iterable[WireAction]]]) -> bytes:
-    """Encode one reply: for each instance with actions, a record with its number and then the actions."""
+    """Encode one reply.
+
+    For each instance that has actions, the reply has a record with the instance's number, then its actions.
+    """
     records: list[bytes] = []
     tail = bytearray()
     for instance, actions in groups:
@@ -72,7 +78,7 @@
 
 
 def _append(data: bytes, tail: bytearray) -> tuple[int, int]:
-    """Append data to the tail; returns its offset and size."""
+    """Append data to the tail; returns the offset and size of the data."""
     offset = len(tail)
     tail += data
     return offset, len(data)
--- a/emberlatch/simlink/messages.py
+++ b/emberlatch/simlink/messages.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """An instance starts with these settings and no state."""
+    """An instance starts with the random seed `seed`, the settings `settings`, and no state."""
 
     seed: int
     settings: api.Settings
--- a/emberlatch/simlink/settings.py
+++ b/emberlatch/simlink/settings.py
@@ -68,8 +68,9 @@
         },
     ),
 )
-"""Section of the document (empty for the document itself), conversion, and key -> field of `Settings`.
+"""Optional settings: the section, the conversion of the values, and a map from key to field of `Settings`.
 
+The section is empty for keys at the top level of the document.
 A key that is missing or null leaves the field at its default.
 """
 
@@ -78,7 +79,7 @@
     """Decode the settings of an instance.
 
     Raises:
-        SettingsError: they are not valid JSON, or a key is missing or invalid.
+        SettingsError: the settings are not valid JSON, or a key is missing or invalid.
     """
     try:
         document = json.loads(text)
@@ -153,7 +154,7 @@
 
 
 def _positive_number(section: JsonObject, key: str, path: str) -> float:
-    """Return a finite number over 0; texts and booleans, which Python could convert, are rejected."""
+    """Return a finite number over 0. Strings and booleans are rejected, although Python can convert them."""
     value = _required(section, key, path)
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < math.inf:
         raise SettingsError(f"{path}{key}: must be a number over 0, not {value!r}")
@@ -166,5 +167,8 @@
 
 
 def _items(value: object) -> Iterable[object]:
-    """Return an array, or an empty one if it is missing; iterating over another value raises TypeError."""
+    """Return the value of an optional array, or an empty tuple if the value is null, empty, 0 or false.
+
+    The type is not checked: iterating over a number or `true` raises TypeError.
+    """
     return cast(Iterable[object], value or ())
