--- a/emberlatch/demo/processes.py
+++ b/emberlatch/demo/processes.py
@@ -43,7 +43,7 @@
     kind: str
     work_s: float
     limit: float
-    """The most messages a second that an endpoint accepts; 0 for no limit."""
+    """The most calls a second that an endpoint accepts; 0 for no limit."""
 
 
 PARTNERS: Mapping[str, PartnerProfile] = {
--- a/emberlatch/faults/as2/__init__.py
+++ b/emberlatch/faults/as2/__init__.py
@@ -1,4 +1,4 @@
-"""Simulated runs with AS2 partners: the gateway's real engine, carrier and front end, each run from one seed.
+"""Simulated runs with AS2 partners and the gateway's real engine, carrier and front end.
 
 Partners lose, delay, duplicate and corrupt receipts; endpoints have outages, and the gateway's process is
 killed. The checks compare what the partners executed with the gateway's notices, not with its own state.
--- a/emberlatch/faults/as2/environment.py
+++ b/emberlatch/faults/as2/environment.py
@@ -26,11 +26,11 @@
 START_POLL_S, RESTART_POLL_S = 0.05, 0.1
 MAX_OUTAGES, OUTAGE_PAUSE_S = 3, (0.5, 4.0)
 KILL_COUNTS, KILL_PAUSE_S = (0, 0, 1, 2, 3), (0.3, 6.0)
-KILL_CALLS = (1, 8)  # range of the number of disk calls until the one at which the process is killed
+KILL_CALLS = (1, 8)  # the process is killed at a disk call whose number, counted from now, is in this range
 
 
 class As2Environment:
-    """One run. `identities` maps party names to keys; it is passed in because keys are slow to generate."""
+    """One run. `identities` maps party names to keys. Callers pass them, as keys are slow to generate."""
 
     def __init__(self, seed: int, loop: VirtualLoop, identities: Mapping[str, OwnParty]) -> None:
         self.seed, self.loop, self.identities = seed, loop, identities
@@ -38,7 +38,7 @@
         self.breaches: list[str] = []
         self.messages: dict[str, SubmittedMessage] = {}
         certificate = identities[GATEWAY].identity.key_pairs[0][0]
-        # The loop's clock starts when the certificates become valid:
+        # The certificates become valid at 0 on the loop's clock, before the run starts at `START_TIME_S`:
         self._unix_time_at_zero = certificate.not_valid_before_utc.timestamp()
         self.behaviour = PartnerBehaviour(self.random, loop.time)
         self.parties = configure(identities, self.behaviour.signed_receipts)
@@ -60,7 +60,7 @@
 
     @property
     def side(self) -> As2Side | None:
-        """The AS2 part of the running gateway process, None while no process serves."""
+        """The AS2 part of the gateway's process, None while no process runs."""
         return self.gateway.side
 
     def unix_time(self) -> float:
@@ -99,7 +99,7 @@
             await asyncio.sleep(poll_interval_s)
 
     async def run(self) -> None:
-        """Run traffic and faults for `DURATION_S`, then check the results."""
+        """Run traffic and faults until `DURATION_S` is over and all have ended, then check the results."""
         await self.start()
         activities = (
             self.clients.submit_messages(),
--- a/emberlatch/faults/as2/gateway.py
+++ b/emberlatch/faults/as2/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway of a run: the real code in simulated processes, on a machine that survives their deaths."""
+"""The gateway of a run: its real code in simulated processes. Its machine survives their deaths."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class GatewayObserver(Protocol):
-    """Receives what the gateway of a run reports, across restarts of its process."""
+    """Receives the notices and breaches of a run's gateway, also after restarts of its process."""
 
     def on_completed(self, name: str, completion: Completion) -> None:
         """Handle a notice that a message was completed."""
@@ -78,9 +78,10 @@
 class SimulatedGateway:
     """One gateway, restarted after each death of its process.
 
-    `core` is that of the current process once it serves, else None; `side` is its AS2 part, None while no
-    process runs. `ready_at` is when the current process began to serve, in seconds of the loop's clock: minus
-    infinity before the first start, infinity while no process serves after a death.
+    `core` is the core of the current process, None until that process serves. `side` is the AS2 part of the
+    current process, None while no process runs. `ready_at` is the time when the current process began to
+    serve, in seconds of the loop's clock. It is minus infinity until the first process serves, and infinity
+    from the death of a process until the next one serves.
     """
 
     def __init__(
@@ -136,7 +137,7 @@
         self.core, self.ready_at = core, self._network.loop.time()
 
     def _observe_leases(self, core: GatewayCore, side: As2Side) -> None:
-        """Check at each call that no destination has over `MAX_LEASE_SHARE` of the slots (`dest_cap`)."""
+        """Check at each call that no destination uses over `MAX_LEASE_SHARE` of the slots, rounded up."""
         call, outcome, leased = (
             side.carrier.call,
             core.engine.on_attempt_outcome,
--- a/emberlatch/faults/as2/messages.py
+++ b/emberlatch/faults/as2/messages.py
@@ -1,4 +1,4 @@
-"""Submitted messages, with what their clients or partners have observed of each."""
+"""Submitted messages, each with the responses and notices that its client or partner has received."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class ClientResponder:
-    """Receives the response to a submission, also after the death of the process that it was submitted to."""
+    """Receives the response to a submission, even if the process that received the submission has died."""
 
     client_disconnected = False
 
--- a/emberlatch/faults/as2/partners.py
+++ b/emberlatch/faults/as2/partners.py
@@ -22,7 +22,7 @@
 from emberlatch.standins.as2_partner import As2Partner
 from emberlatch.standins.as2_script import DuplicateFilter, ReceiptBehaviour, Script
 
-FAULTS_UNTIL_S = 30.0  # time from the start of the run after which partners have no more anomalies
+FAULTS_UNTIL_S = 30.0  # partners have anomalies until this time after the start of the run
 ANOMALY_SHARES = (0.15, 0.35, 0.6)  # shares of messages with an anomaly; each run draws one
 ANOMALIES = [behaviour for behaviour in ReceiptBehaviour if behaviour is not ReceiptBehaviour.RECEIPT]
 MIN_ANOMALIES = 3
@@ -68,7 +68,7 @@
     ) -> None:
         """Start an endpoint of each partner in each zone.
 
-        `script_source` returns, for a destination, the function that draws how each message is handled.
+        `script_source` takes a destination; it returns a function that draws how each message is handled.
         """
         gateway = identities[GATEWAY]
         for name in PARTNERS:
--- a/emberlatch/faults/as2/result_checks.py
+++ b/emberlatch/faults/as2/result_checks.py
@@ -13,8 +13,8 @@
 from emberlatch.faults.as2.settings import DEADLINE_S, DEDUP_WINDOW_S
 from emberlatch.standins.as2_script import CONFIRMING, NOT_EXECUTED, ReceiptBehaviour
 
-COMPLETION_GRACE_S = 0.4  # time after a message's deadline until its notice counts as late
-RESTART_GRACE_S = 1.5  # time after a restart of the gateway until overdue notices count as late
+COMPLETION_GRACE_S = 0.4  # time after a message's deadline in which its notice is not late yet
+RESTART_GRACE_S = 1.5  # time after a restart of the gateway in which no notice counts as late
 
 
 class Delivery(NamedTuple):
@@ -50,7 +50,7 @@
         self._breach = breach
 
     def on_completed(self, name: str, completion: Completion) -> None:
-        """Check that a message's first notice is in time, and that repeated ones have the same result."""
+        """Check that a message's first notice is in time, and that later notices have the same result."""
         message = self._messages.get(name)
         if message is None:
             self._breach(f"notice for {name}, which was never submitted")
@@ -106,7 +106,7 @@
         return {name: sorted(each, key=lambda delivery: delivery.at) for name, each in deliveries.items()}
 
     def _submission_of(self, message_id: str) -> str | None:
-        """The id of the message that was sent under this Message-ID, None if there is none."""
+        """The id of the submitted message that was sent under a Message-ID; None if no message was."""
         side = self._gateway.side
         if side is not None and (record := side.evidence.find(message_id)) is not None:
             return record.message
@@ -146,7 +146,11 @@
             self._breach(f"{message.id} was reported delivered but was never executed")
 
     def _check_disputes(self, deliveries: Deliveries, side: As2Side) -> None:
-        """Check that the ledger lists each message not reported delivered although a receipt confirms it."""
+        """Check the ledger's disputes.
+
+        The ledger must list each message for which a receipt confirms the processing, but which was reported
+        with another result than `delivered`.
+        """
         listed = {str(dispute.get("message")) for dispute in side.evidence.disputes()}
         proven = {
             receipt.original
--- a/emberlatch/faults/as2/traffic.py
+++ b/emberlatch/faults/as2/traffic.py
@@ -71,7 +71,7 @@
             self.submit(f"m{number}", self._random.choice(CATEGORIES), self._draw_destination())
 
     async def submit_burst(self) -> None:
-        """In some runs, submit more messages than there are slots to a partner that answers none of them."""
+        """In some runs, submit more messages than slots to a partner that then sends no receipts."""
         if self._random.random() >= BURST_SHARE:
             return
         await asyncio.sleep(self._random.uniform(*BURST_AT_S))
@@ -98,7 +98,7 @@
 
 
 class PartnerOrders:
-    """Sends orders as partners do; each may be repeated unchanged, whether it was answered or not."""
+    """Sends orders as partners do. Each order may be repeated unchanged, whether or not it was answered."""
 
     def __init__(self, environment: TrafficEnvironment) -> None:
         self._environment, self._random = environment, environment.random
@@ -119,7 +119,7 @@
         receipts = set()
         for _ in range(self._random.randint(*REPETITIONS)):
             if order.accepted_at == math.inf:
-                order.submitted_at = loop.time()  # the deadline counts from acceptance, which may be now
+                order.submitted_at = loop.time()  # the deadline counts from acceptance, perhaps of this copy
             try:
                 response = await post(*FRONT_ADDRESS, headers, sealed.body)
                 if response.status == 200:
@@ -130,7 +130,7 @@
                     environment.breach(f"{message_id}: got status {response.status}, expected 200 or 503")
             except As2Error as error:
                 environment.breach(f"{message_id}: {error}")
-            except OSError:  # no answer: the repetitions exist for this case
+            except OSError:  # no answer; the repetitions cover this case
                 pass
             await asyncio.sleep(self._random.uniform(*REPETITION_DELAY_S))
         if len(receipts) > 1:
--- a/emberlatch/faults/capacity_bound.py
+++ b/emberlatch/faults/capacity_bound.py
@@ -1,13 +1,13 @@
 """An upper bound on the number of messages that any forwarders could complete in time.
 
-No forwarder could reach it in practice: the computation knows when each endpoint fails and recovers, and
-serves messages in order of their due times. The share of this bound that the forwarders complete shows how
-fast they recover from faults.
-
-An endpoint serves nothing while it fails, is unreachable, is listed as draining or removed, or has sent a
-Retry-After that still applies to every sender. After an outage its capacity grows during a warm-up; the
-forwarders' slow start permits a higher rate than that. It never serves more than its rate limit, with every
-call a full batch.
+No forwarder could reach the bound in practice: the computation knows when each endpoint fails and recovers,
+and serves messages in order of their due times. The share of this bound that the forwarders complete shows
+how fast they recover from faults.
+
+An endpoint serves nothing while it fails, while it is unreachable, while it is listed as draining or removed,
+or while a Retry-After from it applies to every sender. After an outage the endpoint's capacity grows during a
+warm-up; the forwarders' slow start permits a higher rate than that. An endpoint serves at most as many calls
+a second as its rate limit allows. Each call counts as a full batch.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
     Condition,
 )
 
-STEP_S = 0.1  # time step of the computation; outages and warm-ups take several steps
+STEP_S = 0.1  # time step of the computation, which is short compared with outages and warm-ups
 FAILING_CONDITIONS = {*OUTAGES, Condition.GARBLED}  # conditions in which no message is delivered
 
 
 @dataclass(frozen=True, slots=True)
 class DemandedMessage:
-    """A message for a partner, requested at `at` and on time if completed by `due_at`, in seconds."""
+    """A message for a partner, requested at `at`. It is on time if it is completed by `due_at` (seconds)."""
 
     partner: str
     at: float
@@ -52,7 +52,7 @@
 
 
 class _EndpointState:
-    """The state of one endpoint, updated by changes in order of time, and the rate that it can serve."""
+    """The state of one endpoint, from which its rate follows. Changes must be applied in order of time."""
 
     def __init__(self, behaviour: Behaviour, max_batch_size: int, sender_count: int) -> None:
         self._behaviour, self._max_batch_size = behaviour, max_batch_size
--- a/emberlatch/faults/checks/__init__.py
+++ b/emberlatch/faults/checks/__init__.py
@@ -1,8 +1,8 @@
 """The rules of a run, checked on the observed traffic and not on the forwarders' own state.
 
-The checks do no I/O: they receive events in order and collect breaches. Their limits come from the settings.
-Where two parties may see an event at different times, the protocol's slack and the latency of a packet are
-allowed.
+The checks do no I/O: they receive events in order of time and collect breaches. Their limits come from the
+settings. Two parties may see an event at different times; the limits allow for this with a tolerance and with
+the latency of a packet.
 """
 
 from emberlatch.faults.checks.breaches import Breach, BreachLog, Rule
--- a/emberlatch/faults/checks/call_checks.py
+++ b/emberlatch/faults/checks/call_checks.py
@@ -12,8 +12,8 @@
 from emberlatch.faults.checks.parameters import RuleParameters
 from emberlatch.faults.plan import partner_of
 
-HANG_TIMEOUT_S = 2.5  # age from which an unanswered call shows the forwarder that the endpoint hangs
-HANG_DETECTION_S = 6.0  # time after its start by which a forwarder should have detected hanging endpoints
+HANG_TIMEOUT_S = 2.5  # a call without an answer for this long shows the forwarder that the endpoint hangs
+HANG_DETECTION_S = 6.0  # time that a forwarder has after its start to detect hanging endpoints
 WAIT_START_GRACE_S = 0.1  # time after an answer with Retry-After in which calls may still arrive
 
 
@@ -46,7 +46,7 @@
             self._check_isolation(call.endpoint, sent)
 
     def _check_isolation(self, endpoint: str, sent: SentCall) -> None:
-        """Check a call to a hanging endpoint: such calls to a partner may use half of the slots at most."""
+        """Check a call to a hanging endpoint; such calls to one partner may use at most half of the slots."""
         slots, partner = self._parameters.slots, partner_of(endpoint)
         hanging_calls = [
             call
@@ -54,7 +54,7 @@
             if call.endpoint in self._hanging_endpoints and partner_called == partner
         ]
         unanswered = sum(sent.at - self._sent[call].at > HANG_TIMEOUT_S for call in hanging_calls)
-        # A single unanswered call may only be slow.
+        # A single call without an answer proves no hang: it may just be slow.
         if len(hanging_calls) > max(1, slots // 2) and unanswered > 1:
             self._log.add(
                 Rule.LEASES,
@@ -75,7 +75,7 @@
         self._in_flight.pop(forwarder, None)
 
     def on_isolated(self, endpoint: str) -> None:
-        """Remove the calls to an endpoint that became unreachable: it can't see when they are abandoned."""
+        """Remove the calls to an unreachable endpoint, which can't see when a forwarder abandons them."""
         for calls in self._in_flight.values():
             for call in [call for call in calls if call.endpoint == endpoint]:
                 del calls[call]
@@ -98,11 +98,11 @@
 
 
 class RetryAfterChecks:
-    """Rule `waits`: a forwarder makes no call to an endpoint before its Retry-After has passed."""
+    """Rule `waits`: a forwarder makes no call to an endpoint until the endpoint's Retry-After has passed."""
 
     def __init__(self, parameters: RuleParameters, log: BreachLog) -> None:
         self._parameters, self._log = parameters, log
-        self._waits: dict[tuple[str, str], Span] = {}  # the wait in force, by forwarder and endpoint
+        self._waits: dict[tuple[str, str], Span] = {}  # the current wait, by forwarder and endpoint
 
     def on_retry_after(self, at: float, forwarder: str, endpoint: str, retry_after_s: float) -> None:
         """Record an answer with a Retry-After, in seconds, to a forwarder."""
@@ -120,7 +120,7 @@
             )
 
     def on_forwarder_down(self, forwarder: str) -> None:
-        """Forget the waits of a process that died: the next process has not received them."""
+        """Forget the waits of a dead process, because the next process has not received them."""
         for key in [key for key in self._waits if key[0] == forwarder]:
             del self._waits[key]
 
@@ -142,7 +142,7 @@
             self._witnesses[endpoint].add(forwarder)
 
     def on_forwarder_down(self, forwarder: str) -> None:
-        """Forget what a process that died has seen: its successor has seen no failures."""
+        """Forget which failures a dead process has seen, because its successor has not seen them."""
         for witnesses in self._witnesses.values():
             witnesses.discard(forwarder)
 
--- a/emberlatch/faults/checks/drain_checks.py
+++ b/emberlatch/faults/checks/drain_checks.py
@@ -10,10 +10,11 @@
 from emberlatch.faults.checks.forwarder_states import ForwarderStates
 from emberlatch.faults.checks.parameters import TIME_LIMIT_SLACK_S, RuleParameters
 
-# A forwarder must ask again after a lost answer of the directory; after these times it counts as informed.
-LOOKUP_ASSUMED_RECEIVED_S = 6.0  # time since the request of a look-up
-WATCH_ASSUMED_RECEIVED_S = 2.0  # time since the end of a watch's longest wait
-MOVE_ASSUMED_RECEIVED_S = 4.0  # time since the signal that the directory has moved
+# A forwarder must repeat a request whose answer was lost. The checks assume that it knows
+# the list after these times.
+LOOKUP_ASSUMED_RECEIVED_S = 6.0  # counts from a look-up's request
+WATCH_ASSUMED_RECEIVED_S = 2.0  # counts from the end of a watch's longest wait
+MOVE_ASSUMED_RECEIVED_S = 4.0  # counts from the SIGHUP after a move of the directory
 
 
 class _LostList(NamedTuple):
@@ -29,7 +30,7 @@
     def __init__(self, parameters: RuleParameters, forwarders: ForwarderStates, log: BreachLog) -> None:
         self._parameters, self._forwarders, self._log = parameters, forwarders, log
         self._known_since: dict[tuple[str, str], float] = {}  # by forwarder and endpoint
-        self._not_serving_since: dict[str, float] = {}  # as the directory lists it, by endpoint
+        self._not_serving_since: dict[str, float] = {}  # when the directory listed this, by endpoint
         self._lost_lists: dict[str, list[_LostList]] = {}  # by forwarder
         self._last_polled_at: dict[str, float] = {}  # by forwarder
 
--- a/emberlatch/faults/checks/forwarder_states.py
+++ b/emberlatch/faults/checks/forwarder_states.py
@@ -9,7 +9,7 @@
 
 
 class ForwarderStates:
-    """Tracks since when each forwarder is ready, when its disk failed, and when its notices may be late."""
+    """For each forwarder: when it became ready, when its disk failed, and when its notices may be late."""
 
     def __init__(self) -> None:
         self._ready_since: dict[str, float] = {}
@@ -37,11 +37,14 @@
         return any(since <= at <= until for since, until in self._disk_fault_spans.get(forwarder, ()))
 
     def excuse(self, forwarder: str, spans: list[Span]) -> None:
-        """Excuse notices that are due in these spans until the span ends: stops, restarts, no receiver."""
+        """Allow notices that are due in a span to come at its end.
+
+        The spans are those of stops, of restarts, and without a receiver of notices.
+        """
         self._excused_spans[forwarder] = spans
 
     def excused_until(self, forwarder: str, due: float) -> float:
         """The end of the excused spans that cover the time `due`; `due` itself if none does."""
-        for since, until in sorted(self._excused_spans.get(forwarder, [])):  # a span may end within the next
+        for since, until in sorted(self._excused_spans.get(forwarder, [])):  # spans may overlap
             due = until if since <= due <= until else due
         return due
--- a/emberlatch/faults/checks/message_checks.py
+++ b/emberlatch/faults/checks/message_checks.py
@@ -27,7 +27,7 @@
         self.messages[message] = CheckedMessage(message, forwarder, effect, deadline)
 
     def on_submission_answered(self, at: float, message: str, status: int) -> None:
-        """Record a client's answer to its submission; a rejection is checked."""
+        """Record the answer to a client's submission; if it is a rejection, check that it is allowed."""
         submitted = self.messages[message]
         if status == 202:
             submitted.accepted_at = at
@@ -72,7 +72,7 @@
             known.given_up_at = at
 
     def on_forwarder_down(self, forwarder: str) -> None:
-        """Forget decisions without a notice: the forwarder's next process decides again on these messages."""
+        """Forget which messages without a notice were given up, as the next process decides again."""
         for message in self.messages.values():
             if message.forwarder == forwarder and not message.notices:
                 message.given_up_at = math.inf
@@ -96,7 +96,7 @@
         message.attempts.append(CallAttempt(at, call))
 
     def _check_repeat(self, at: float, message: CheckedMessage, earlier: CallAttempt, endpoint: str) -> None:
-        """Check a call with a message that an earlier call may have executed."""
+        """Check a call that has a message which an earlier call may have executed."""
         parameters, earlier_endpoint = self._parameters, earlier.call.endpoint
         if message.effect == "unsafe":
             text = f"{message.id} is sent again, earlier outcome at {earlier_endpoint}: {earlier.outcome}"
@@ -123,7 +123,7 @@
                 message.delivered_at = min(message.delivered_at, at)
 
     def on_isolated(self, at: float, endpoint: str) -> None:
-        """Record that an endpoint became unreachable: its answers in transit may not arrive."""
+        """Record that an endpoint became unreachable, so that its answers in transit may be lost."""
         for message in self.messages.values():
             last_attempt = message.attempts[-1] if message.attempts else None
             if (
--- a/emberlatch/faults/checks/message_states.py
+++ b/emberlatch/faults/checks/message_states.py
@@ -9,7 +9,7 @@
 
 
 class AttemptOutcome(StrEnum):
-    """Whether a call that reached a partner was executed, as far as its sender can know."""
+    """What the sender of a call can know about whether the partner executed the call."""
 
     IN_FLIGHT = "in flight"
     EXECUTED = "executed"
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class CheckedMessage:
-    """One submitted message. Times are in seconds, and infinity for events that have not happened.
+    """One submitted message. Times are in seconds; the time of an event that has not happened is infinity.
 
     `effect` is `safe`, `keyed` or `unsafe`; the message must be completed by `deadline`; `notices` maps each
     reported result to the time of its first notice.
--- a/emberlatch/faults/checks/parameters.py
+++ b/emberlatch/faults/checks/parameters.py
@@ -7,17 +7,18 @@
 from dataclasses import dataclass
 
 TIME_LIMIT_SLACK_S = 0.05  # tolerance on each time limit of the protocol, because sockets take time
-NOTICE_CROSSING_S = 0.1  # time in which an answer and a notice may cross on the network
+NOTICE_CROSSING_S = 0.1  # an answer and a notice that are at most this far apart may cross on the network
 
 
 @dataclass(frozen=True, slots=True)
 class RuleParameters:
     """Settings that all forwarders share, and the zone of each endpoint.
 
-    `dedup_windows_s` maps the effect of idempotency-key categories to the window; only endpoints of the same
-    zone recognize a repeated key. A forwarder should poll every `poll_interval_s`; that long after its last
-    poll it counts as informed of later changes even if it did not poll. With `lists_are_pushed` it counts as
-    informed at once, because the list is sent to the agent beside it.
+    `dedup_windows_s` maps the effect of categories with idempotency keys to the time for which a partner
+    remembers a key. Only endpoints of the same zone recognize a repeated key.
+    A forwarder must poll every `poll_interval_s`. That long after its last poll, or after a later change,
+    the checks assume that it knows the change, even if it did not poll. With `lists_are_pushed` the checks
+    assume this at once, because the list is sent to the agent beside the forwarder.
     """
 
     slots: int
--- a/emberlatch/faults/checks/rule_checks.py
+++ b/emberlatch/faults/checks/rule_checks.py
@@ -46,7 +46,7 @@
         self._drains.on_ready(at, forwarder, draining)
 
     def on_down(self, forwarder: str) -> None:
-        """A process died: its calls in flight may have been executed, and its knowledge is lost."""
+        """A process died: calls in flight may have been executed, and what the process knew is lost."""
         self._leases.on_forwarder_down(forwarder)
         self._drains.on_forwarder_down(forwarder)
         self._waits.on_forwarder_down(forwarder)
@@ -58,7 +58,7 @@
         self._forwarders.on_disk_state(at, forwarder, works)
 
     def excuse(self, forwarder: str, spans: list[Span]) -> None:
-        """Excuse a forwarder's late notices in these spans: stops, restarts, times without a receiver."""
+        """Excuse a forwarder's late notices in these spans of stops, of restarts and without a receiver."""
         self._forwarders.excuse(forwarder, spans)
 
     # Events of clients, and notices.
@@ -157,7 +157,7 @@
         self._drains.on_poll(at, forwarder)
 
     def on_list_lost(self, forwarder: str, polled_at: float, watch_wait_s: float | None) -> None:
-        """A directory answer was lost; `watch_wait_s` is a watch's longest wait, None for a look-up."""
+        """The directory's answer was lost; `watch_wait_s` is a watch's longest wait, None for a look-up."""
         self._drains.on_list_lost(forwarder, polled_at, watch_wait_s)
 
     def on_directory_moved(self, at: float, forwarder: str) -> None:
--- a/emberlatch/faults/clients.py
+++ b/emberlatch/faults/clients.py
@@ -17,12 +17,12 @@
 
 ANSWER_TIMEOUT_S = 0.4
 FIRST_SUBMISSION_S = 0.5  # delay from the start of the run to the first submission
-MIN_REMAINING_S = 1.0  # least time until its deadline with which a message is still submitted
+MIN_REMAINING_S = 1.0  # a message is not submitted if less time than this is left until its deadline
 RETRY_DELAY_S = 0.3  # delay before a retry after no answer, or a rejection without Retry-After
 RECONNECT_DELAY_S = 0.25
-MAX_SUBMISSIONS = 3  # limit for each request
+MAX_SUBMISSIONS = 3  # most submissions of one request
 PARTNER_SHARES = (0.5, 0.3, 0.2)  # shares of the requests, in the order of `PARTNERS`
-DRAWN_CATEGORIES = ("note", "payout", "payout", "order")  # repeated entries are more likely
+DRAWN_CATEGORIES = ("note", "payout", "payout", "order")  # drawn uniformly; payouts are more likely
 BURST_SIZES = (1, 1, 1, 1, 1, 1, 1, 6)
 NO_ANSWER = 0  # pseudo-status of a submission without an answer
 GAVE_UP = 500  # status reported for a request too close to its deadline to be submitted
--- a/emberlatch/faults/disk.py
+++ b/emberlatch/faults/disk.py
@@ -4,8 +4,8 @@
 sectors, or a prefix followed by zeros. Unsynced creations and removals of files may or may not survive
 (ALICE, Pillai 2014).
 
-The disk counts system calls. At a chosen one it can kill the calling process: before the call, after it, or
-in the middle of a write. Writes can also fail or be short.
+The disk counts the calls that read, open, write or remove a file. At a chosen call it can kill the calling
+process: before the call, after it, or in the middle of a write. Writes can also fail or be short.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     """The point in a system call at which the process is killed; the values are those of plan files."""
 
     BEFORE = "before"
-    WITHIN = "within"  # after half of a write's data is written
+    WITHIN = "within"  # after half of a write's data is written; in other calls, the same as `AFTER`
     AFTER = "after"
 
 
@@ -42,10 +42,10 @@
 class Disk:
     """One folder on the disk of a machine; implements `store.Files`.
 
-    `faults` may be changed at any time. `kill_at` selects the call at which the process is killed: its
-    number, counted like `calls`, and the point in the call. The next `failing_syncs` syncs fail. `on_call` is
-    called at each call with its number and name. `sizes_at_sync_start` is set while a slow sync runs: that
-    sync covers only the data that was written before it started.
+    `faults` may be changed at any time. `kill_at` selects the call at which the process is killed, by the
+    value that `calls` has in it, and the point in the call. The next `failing_syncs` syncs of files fail.
+    `on_call` is called at each counted call, with the call's number and name. `sizes_at_sync_start` is set
+    while a slow sync runs, because that sync covers only the data that was written before it started.
     """
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         self._last_handle = FIRST_HANDLE - 1
         self._synced_bytes: dict[int, int] = {}  # length of the synced prefix, by the content's id()
         self._synced_names: dict[str, bytearray] = {}  # the files in the folder at its last sync
-        self._removed: list[bytearray] = []  # referenced, so that Python reuses none of their id()s
+        self._removed: list[bytearray] = []  # keeps removed files, so that their id()s are not reused
 
     @property
     def used_bytes(self) -> int:
@@ -74,7 +74,7 @@
         self.kill_at = None
 
     def _count_call(self, name: str) -> KillMoment | None:
-        """Count a call; returns the point in it at which the caller must kill the process, or None."""
+        """Count a call; returns the point in the call at which the caller must kill the process, or None."""
         self.calls += 1
         if self.on_call is not None:
             self.on_call(self.calls, name)
@@ -107,7 +107,7 @@
         return self._last_handle
 
     def write(self, handle: int, data: memoryview) -> int:
-        """Append to an open file; returns the number of bytes written, raises OSError as `faults` demand."""
+        """Append to an open file; returns the number of bytes written, or raises OSError as `faults` says."""
         kill = self._count_call("write")
         file = self.files[self._handles[handle]]
         size = len(data)
--- a/emberlatch/faults/endpoint.py
+++ b/emberlatch/faults/endpoint.py
@@ -12,9 +12,10 @@
 from emberlatch.standins import CallOutcome, Condition, EndpointModel, Message, PartnerServer
 from emberlatch.standins.endpoint_model import OUTAGES, IdempotencyKeys
 
-LONG_HANG_S = 6.0  # duration of a hang after which the checks expect forwarders to have detected it
+LONG_HANG_S = 6.0  # after a hang of this duration, the checks expect that forwarders have detected the hang
 ONLY_FORWARDER = "f0"
-"""The caller's name on real sockets, which don't show the calling process; such runs have one forwarder."""
+"""The name that is used for the caller on real sockets. They don't show the calling process, and runs on real
+sockets have only one forwarder."""
 
 
 class SimulatedEndpoint:
--- a/emberlatch/faults/environment.py
+++ b/emberlatch/faults/environment.py
@@ -1,7 +1,7 @@
 """The environment of one run: forwarders with their real code, and simulations of everything they talk to.
 
-All random values derive from the plan's seed. The checks and the trace receive every event between the parts
-in the order in which it happens.
+All random values derive from the plan's seed. The checks and the trace receive every event between the parts,
+in order of time.
 """
 
 from __future__ import annotations
@@ -46,11 +46,11 @@
 from emberlatch.standins.directory import Member, Notice
 from emberlatch.standins.endpoint_model import IdempotencyKeys
 
-FIRST_PORT, PORTS = 21_000, 10_000  # range of the forwarders' ports; the seed selects one
+FIRST_PORT, PORTS = 21_000, 10_000  # range of ports; the seed selects the port of all forwarders
 DIRECTORY_OVERLAP_S = 1.5  # time for which the old directory server keeps its connections after a move
 CHECK_INTERVAL_S = 0.5  # time between periodic checks, such as that of calls in flight
 COMPLETION_TIMEOUT_S = 14.0  # longest wait for the last messages to complete
-REPORTS_DOWN_GRACE_S = 1.2  # time after the receiver of notices recovers until late notices count
+REPORTS_DOWN_GRACE_S = 1.2  # time after the receiver of notices recovers in which late notices are excused
 UNREACHABLE_DIRECTORY = (
     FaultKind.DIRECTORY_DOWN,
     FaultKind.DIRECTORY_SILENT,
--- a/emberlatch/faults/fault_injection.py
+++ b/emberlatch/faults/fault_injection.py
@@ -25,7 +25,7 @@
 from emberlatch.standins import Directory, ServiceCost
 
 DIRECTORY_DELAY_S = 1.5
-ENTRIES_PER_CALL_COST = 20  # number of list entries that cost the directory as much work as one request
+ENTRIES_PER_CALL_COST = 20  # this many list entries together cost the directory as much work as one request
 FULL_DISK_BYTES = 4096  # free space that a disk still has when a disk-full fault begins
 
 
@@ -65,7 +65,7 @@
         self._targets = targets
 
     def schedule(self) -> None:
-        """Schedule all faults of the plan, with their times counted from now."""
+        """Schedule all faults of the plan; their times count from this call."""
         network = self._targets.network
         for fault in self._targets.plan.faults:
             network.call_later(fault.since, self._begin, fault)
--- a/emberlatch/faults/forwarder.py
+++ b/emberlatch/faults/forwarder.py
@@ -1,4 +1,4 @@
-"""A forwarder of the run: the real code in simulated processes, on a machine that survives their deaths."""
+"""A forwarder of the run: its real code in simulated processes. Its machine and disk survive their deaths."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from emberlatch.takeover import HandoverServer, acquire_ownership
 
 RESTART_DELAY_S = 0.6  # time between the death of a process and the next start
-RESTART_GRACE_S = 1.5  # time after a start until late notices count
+RESTART_GRACE_S = 1.5  # time after a start in which late notices are excused
 TERM_TIMEOUT_S = 3.7  # time between SIGTERM and SIGKILL
 DESCRIPTORS = 256
 CONNECTION_LIMITS = ConnectionLimits(clients=100, calls=100)
@@ -94,8 +94,8 @@
         self.shared_listener: SharedListener | None = None
         self._environment = environment
         self._process: Process | None = None  # owns the state folder, or is starting
-        self._successor: Process | None = None  # was started for a takeover, and does not own the folder yet
-        self._known_list: dict[str, object] = {}  # the list at the first start, stale at later ones
+        self._successor: Process | None = None  # started for a takeover, not yet owner of the folder
+        self._known_list: dict[str, object] = {}  # the list at the first start; later starts use it too
         self._stopping_since: float | None = None  # start of the current stop or restart
         self._state_folder = StateFolder()
         self._handover_server: HandoverServer | None = None
@@ -128,7 +128,7 @@
             environment.trace.record(TraceEvent.DOWN, self.name)
             environment.checks.on_down(self.name)
             self._begin_stop()
-            if self._successor is None:  # a successor would acquire the free lock itself
+            if self._successor is None:  # without a restart, a successor acquires the lock that is now free
                 environment.network.call_later(RESTART_DELAY_S, self.start)
 
     def _begin_stop(self) -> None:
@@ -205,7 +205,7 @@
         return self._environment.network.listen(address)
 
     def _observe(self, platform: PlatformForwarder) -> None:
-        """Report to the checks when the decision module gives up a message: traffic does not show that."""
+        """Report to the checks when the decision module gives up a message, which traffic does not show."""
         engine, environment = platform.engine, self._environment
         module = engine._forwarder
         handle = module.handle
@@ -253,7 +253,7 @@
         self._environment.network.call_later(TERM_TIMEOUT_S, process.kill)
 
     def reload(self) -> None:
-        """Send SIGHUP, with a configuration that has the directory's current address."""
+        """Act as on a SIGHUP after the configuration got the directory's current address."""
         environment, platform, process = self._environment, self.platform, self._process
         if process is None or not process.alive or platform is None:
             return
@@ -269,7 +269,8 @@
     def take_over(self, kill: str, kill_delay_s: float) -> None:
         """Start a second process that takes over from the one that serves.
 
-        `kill` is `kill-old` or `kill-new` to kill one of the two after `kill_delay_s`, or empty for none.
+        With `kill` = `kill-old` or `kill-new`, the first or the second process is killed after `kill_delay_s`
+        seconds. With an empty `kill`, neither is killed.
         """
         owner = self._process
         is_stopping = self._stopping_since is not None
@@ -283,7 +284,7 @@
             self._environment.network.call_later(kill_delay_s, victim.kill)
 
     def set_draining(self, is_draining: bool) -> None:
-        """Ask clients to disconnect, or stop asking."""
+        """Begin or stop asking clients to disconnect."""
         if self.platform is not None:
             self.platform.server.drain(is_draining)
 
--- a/emberlatch/faults/listener.py
+++ b/emberlatch/faults/listener.py
@@ -53,7 +53,7 @@
     def _on_readable(self) -> None:
         if self._callback is not None and self.backlog:
             self._callback()
-            self._schedule_accept()  # level-triggered: readable while the backlog is not empty
+            self._schedule_accept()  # level-triggered: called again while the backlog is not empty
 
     def set_reader(self, callback: Callable[..., object] | None, args: tuple[object, ...]) -> None:
         """Call `callback` while the backlog is not empty; None to stop."""
@@ -62,11 +62,14 @@
         self._schedule_accept()
 
     def fileno(self) -> int:
-        """A placeholder: the loop takes the listener itself in place of a descriptor."""
+        """Return a placeholder, because the loop uses the listener itself in place of a descriptor."""
         return 0
 
     def accept(self) -> tuple[VirtualTransport, Address]:
-        """Accept the next connection; raises BlockingIOError if the backlog is empty, OSError (EMFILE)."""
+        """Accept the next connection.
+
+        Raises BlockingIOError if the backlog is empty, and OSError (EMFILE) if no descriptor is free.
+        """
         if not self.backlog:
             raise BlockingIOError
         check_descriptors(self.process)
--- a/emberlatch/faults/loop.py
+++ b/emberlatch/faults/loop.py
@@ -92,8 +92,8 @@
 class VirtualLoop(asyncio.BaseEventLoop):
     """An asyncio event loop on a virtual clock, which starts at `START_TIME_S`.
 
-    `steps` counts the callbacks that have run, `tasks` has every task that was created, and `failures` the
-    unhandled exceptions. A network registers itself as `network`.
+    `steps` counts the callbacks that became due, also those that were dropped or suspended. `tasks` has every
+    task that was created, and `failures` the unhandled exceptions. A network registers itself as `network`.
     """
 
     network: Connector
@@ -127,7 +127,7 @@
 
     def _handle_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
         error = context.get("exception")
-        if error is None:  # asyncio reports a pending task that was destroyed: its process is dead
+        if error is None:  # asyncio reports that a pending task was destroyed, because its process is dead
             return
         if not isinstance(error, ProcessKilled) and current_process.get().alive:
             self.failures.append(f"{context.get('message')}: {error!r}")
@@ -179,7 +179,7 @@
         self, callback: Callable[..., object], *args: object, context: contextvars.Context | None = None
     ) -> asyncio.Handle:
         """Schedule a callback like asyncio's loop; it belongs to the process of its context."""
-        # The callback's own handle, because it may be cancelled while its process is suspended:
+        # Has the callback's own handle, so that the callback can be cancelled while its process is suspended:
         handles: list[asyncio.Handle] = []
         handle = super().call_soon(self._bind_to_process(callback, context, handles), *args, context=context)
         handles.append(handle)
--- a/emberlatch/faults/loopback.py
+++ b/emberlatch/faults/loopback.py
@@ -1,6 +1,6 @@
 """The environment on real loopback sockets and the real clock, to verify that the simulation behaves alike.
 
-It supports only what needs no privileges: one forwarder, without kills and without isolated hosts.
+The environment supports only what needs no privileges: one forwarder, no kills, no isolated hosts.
 """
 
 from __future__ import annotations
--- a/emberlatch/faults/network.py
+++ b/emberlatch/faults/network.py
@@ -1,7 +1,7 @@
 """The simulated network: connections between processes, addressed by (host, port).
 
-An address can be isolated: then its open connections stay open without traffic, and new ones are never
-established. When the isolation ends, the connections that it had are reset.
+An address can be isolated. Its open connections then stay open without traffic, and new connections are never
+established. When the isolation ends, the open connections of the address are reset.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 )
 from emberlatch.faults.transport import VirtualTransport
 
-ACCEPT_BACKLOG = 512  # limit of connections that wait to be accepted; more are refused
+ACCEPT_BACKLOG = 512  # most connections that may wait to be accepted; any more are refused
 FIRST_FREE_PORT = 20_001
 
 
@@ -55,7 +55,7 @@
         return self.latency * self._random.uniform(0.5, 1.5)
 
     def packet_delay(self, sender: Process | None, receiver: Process | Address | None) -> float:
-        """Draw the latency of a packet between two parties (None: unknown); subclasses add link faults."""
+        """Draw the latency of a packet between two parties (None: unknown). Subclasses add link faults."""
         return self.draw_latency()
 
     def listen(self, address: Address) -> Listener:
@@ -89,7 +89,7 @@
     async def connect(
         self, factory: Callable[[], ProtocolT], address: Address
     ) -> tuple[VirtualTransport, ProtocolT]:
-        """Connect from the current process, which takes a round trip; never returns for an isolated address.
+        """Connect from the current process, in one round trip; an attempt at an isolated address never ends.
 
         Raises OSError if no process listens there, or if the current process has no free descriptor.
         """
--- a/emberlatch/faults/plan.py
+++ b/emberlatch/faults/plan.py
@@ -47,8 +47,8 @@
 
     # Faults of an overloaded directory, each with an argument:
     DIRECTORY_BUSY = "directory-busy"  # argument: seconds of work for each request
-    DIRECTORY_LOSING = "directory-losing"  # argument n: every n-th answer is lost, its connection is reset
-    DIRECTORY_MUTE = "directory-mute"  # argument n: every n-th answer is lost, its connection stays open
+    DIRECTORY_LOSING = "directory-losing"  # argument n: every n-th answer is lost and its connection reset
+    DIRECTORY_MUTE = "directory-mute"  # argument n: every n-th answer is lost, but its connection stays open
 
     # Faults of a forwarder (`f0`) and its disk, and operators' actions:
     DISK_FULL = "disk-full"
@@ -149,16 +149,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One run: traffic, latencies and partners' behaviour are drawn from its seed, its faults are explicit.
+    """One run: its seed determines traffic, latencies and the partners' behaviour; its faults are listed.
 
-    With `lists_are_pushed`, a forwarder counts as informed of each change in the directory at once; otherwise
-    it polls the directory.
+    With `lists_are_pushed`, the checks assume that a forwarder knows each change in the directory at once.
+    Otherwise the forwarder polls the directory.
     """
 
     seed: int
     faults: tuple[Fault, ...] = ()
     duration_s: float = DURATION_S
-    rate_per_s: float = 4.0  # arrivals at each forwarder, of one or more messages
+    rate_per_s: float = 4.0  # arrivals at each forwarder; an arrival has one or more messages
     forwarder_count: int = 1
     lists_are_pushed: bool = False
 
--- a/emberlatch/faults/plan_generator.py
+++ b/emberlatch/faults/plan_generator.py
@@ -22,7 +22,7 @@
     Plan,
 )
 
-LAST_FAULT_END_S = 13.0  # latest end of a drawn fault, except of list changes in a release
+LAST_FAULT_END_S = 13.0  # latest end of a drawn fault; list changes in a release may end later
 RELEASE_DURATION_S = 34.0  # long enough for lists that were lost in a release to count as received
 
 MIXED_GROUPS = (ENDPOINT_FAULTS, DIRECTORY_FAULTS, DISK_FAULTS, PROCESS_FAULTS, LIST_FAULTS)
@@ -30,7 +30,10 @@
 
 
 def draw_mixed(seed: int) -> Plan:
-    """Generate a plan with three to six faults, of which the first three overlap at one moment."""
+    """Generate a plan with three to six faults.
+
+    The first three overlap at one moment, except process faults, which have no duration.
+    """
     rng = random.Random(f"plan {seed}")
     forwarder_count = rng.choice((1, 1, 2))
     overlap_at = rng.uniform(4.0, 9.0)
@@ -44,9 +47,10 @@
 
 
 def draw_release(seed: int) -> Plan:
-    """Generate a release of endpoints with an overloaded directory, for 1, 3 or 10 forwarders by the seed.
+    """Generate a release of endpoints with faults of the directory; the seed selects 1, 3 or 10 forwarders.
 
-    Endpoints are drained or replaced within a few seconds, during which the directory has one or two faults.
+    Endpoints are drained or replaced within a few seconds. Around that time the directory has one or two
+    faults, mostly overloads. In a quarter of the plans, a forwarder is also killed or terminated.
     """
     rng = random.Random(f"release {seed}")
     forwarder_count = (1, 3, 10)[seed % 3]
@@ -64,7 +68,7 @@
                 FaultKind.MOVE_DIRECTORY,
             )
         )
-        argument = {  # all are drawn for every kind, so that later draws do not depend on the kind
+        argument = {  # all three are drawn for every kind, so that later draws do not depend on the kind
             FaultKind.DIRECTORY_BUSY: f"{rng.uniform(0.2, 1.0) / (forwarder_count + 1):.3f}",
             FaultKind.DIRECTORY_LOSING: f"{rng.randint(2, 4)}",
             FaultKind.DIRECTORY_MUTE: f"{rng.randint(3, 5)}",
@@ -98,7 +102,8 @@
 def draw_takeovers(seed: int) -> Plan:
     """Generate two to four takeovers, in most of which one of the two processes is killed.
 
-    Meanwhile endpoints and the receiver of notices have faults, and operators ask clients to disconnect.
+    The plan also has one to three other faults: of endpoints, of their list entries, of the receiver of
+    notices or of a forwarder's process, or operators ask clients to disconnect.
     """
     rng = random.Random(f"takeover {seed}")
     forwarder_count = rng.choice((1, 1, 2))
--- a/emberlatch/faults/power_loss/environment.py
+++ b/emberlatch/faults/power_loss/environment.py
@@ -50,9 +50,9 @@
 TRAFFIC_S = 5.0  # duration of the traffic; all power losses and kills occur in it
 FIRST_LOSS_S = 0.2  # earliest time of a power loss or kill
 MAX_POWER_LOSSES, MAX_KILLS = 4, 2
-COMPLETION_S = DEADLINE_S + 3.0  # wait for the last messages to complete
+COMPLETION_S = DEADLINE_S + 3.0  # time for the last messages to complete, after the traffic
 SYNC_DURATION_S = (0.001, 0.03)  # range from which each duration is drawn
-RESUBMIT_DELAY_S = 0.4  # time after which a client without an answer repeats its submission
+RESUBMIT_DELAY_S = 0.4  # time after which a client repeats a note without an answer
 RATE_PER_S = 30.0
 RESTART_DELAY_S = 0.05  # time between a kill of the process and the next start
 POWER_OFF_S = (0.01, 0.3)  # the two possible durations of a power loss
@@ -72,7 +72,7 @@
         self._surroundings = Surroundings(VirtualLoop(), self._rng, DEDUP_WINDOW_S)
         self.power_loss_count = self._rng.randint(1, MAX_POWER_LOSSES)
         self._process: Process | None = None
-        self._engine: Engine | None = None  # None until it has started
+        self._engine: Engine | None = None  # None until the engine of the current process has started
 
     @property
     def loop(self) -> VirtualLoop:
@@ -92,7 +92,7 @@
     # The machine.
 
     async def _run_sync(self, job: Callable[[], object]) -> None:
-        """Run a blocking sync: it takes time, and covers only the data that was written before it started."""
+        """Run a sync. It takes time, and covers only the data that was written before it started."""
         sizes = self.disk.sizes()
         await asyncio.sleep(self._rng.uniform(*SYNC_DURATION_S))
         self.disk.sizes_at_sync_start = sizes
@@ -122,7 +122,7 @@
 
     def _start_process(self) -> None:
         if self._process is not None and self._process.alive:
-            return  # a second power loss during an outage schedules a second start; the first one has run
+            return  # a loss of power soon after another loss or a kill adds a start; the earlier one has run
         self.boot_count += 1
         self.disk.restart()
         process = self._process = Process("machine")
@@ -130,7 +130,7 @@
         self.loop.create_task(self._boot(process), context=context_of(process))
 
     def _on_sync_failure(self, error: OSError) -> None:
-        """Kill the process, so that the next one recovers from the synced records."""
+        """Kill the process after a failed sync; the next process recovers from the records on the disk."""
         self.failed_sync_count += 1
         self._kill_process()
 
--- a/emberlatch/faults/power_loss/surroundings.py
+++ b/emberlatch/faults/power_loss/surroundings.py
@@ -1,6 +1,6 @@
-"""Everything outside of the machine, which a power loss does not affect, and the engine's ports to it.
+"""The parts outside of the machine, which a power loss does not affect, and the engine's ports to them.
 
-This is the client, the partner and the receiver of notices.
+These parts are the client, the partner and the receiver of notices.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 class Surroundings:
-    """The state of everything outside of the machine, and the clock that all parts share.
+    """The state of the parts outside of the machine, and the clock that all parts share.
 
     `keys` has the effects at the partner, `messages` the observed state of each message by its id.
     """
@@ -111,7 +111,7 @@
 
 
 class SimulatedCarrier:
-    """An `engine.Carrier` to the partner, which executes calls even if the caller dies."""
+    """An `engine.Carrier` to the partner. The partner executes calls even if the calling process dies."""
 
     in_flight = 0
     engine: Engine
--- a/emberlatch/faults/process.py
+++ b/emberlatch/faults/process.py
@@ -22,7 +22,7 @@
 
 
 class Connection(Protocol):
-    """A process's end of a connection."""
+    """The end of a connection that belongs to a process."""
 
     def discard(self) -> None:
         """Reset the peer without notifying this side, because its process is dead."""
@@ -89,7 +89,7 @@
 """The owner of all code that runs outside of the simulated processes."""
 
 ENVIRONMENT_CONTEXT = contextvars.Context()
-"""The context of events between processes, such as packets in transit, which no death of a process stops."""
+"""The context of events between processes, such as packets in transit. They happen even if a process dies."""
 
 current_process: contextvars.ContextVar[Process] = contextvars.ContextVar("process", default=ENVIRONMENT)
 """The process to which the running code belongs."""
--- a/emberlatch/faults/run.py
+++ b/emberlatch/faults/run.py
@@ -1,4 +1,4 @@
-"""Runs a single plan and reports the breaches of its rules."""
+"""Runs a single plan and reports the breaches of the rules."""
 
 from __future__ import annotations
 
@@ -98,7 +98,7 @@
 
 
 def shrink(plan: Plan, rule: str) -> Plan:
-    """Remove faults from a plan as long as the rest still breaks the rule."""
+    """Remove faults from a plan as long as a run with the remaining faults still breaks the rule."""
     changed = True
     while changed:
         changed = False
--- a/emberlatch/faults/service_level.py
+++ b/emberlatch/faults/service_level.py
@@ -11,15 +11,15 @@
 from emberlatch.faults.plan import Plan
 from emberlatch.faults.settings import MAX_LATENCY_TARGET_S
 
-RECOVERY_S = 10.0  # time after the last fault for endpoints to warm up; then service must be normal again
+RECOVERY_S = 10.0  # time after the last fault in which endpoints warm up; then service must be normal
 MIN_SERVED_SHARE = 0.7  # required share of the attainable requests after the recovery
 # Required share of each forwarder's requests, so that other forwarders do not hide one that is stuck:
 MIN_SERVED_SHARE_OF_EACH = 0.3
-MIN_REQUESTS = 16  # fewer requests than this are too few to judge; half of it for a single forwarder
+MIN_REQUESTS = 16  # least number of requests for a check; half of it for a single forwarder
 
 
 class ServiceLevel(NamedTuple):
-    """The number of requests completed in time, and the most that could have been."""
+    """The number of requests completed in time, and the upper bound of that number (`capacity_bound`)."""
 
     served: int
     attainable: int
@@ -47,7 +47,7 @@
         return ServiceLevel(served, self._capacity_bound.count_servable(demand, since, self._until))
 
     def after_recovery(self) -> ServiceLevel:
-        """The service level from the time on when service must be normal again after the faults."""
+        """The service level for requests from `RECOVERY_S` after the last fault on."""
         return self.since(self._recovered_at)
 
     @property
--- a/emberlatch/faults/transport.py
+++ b/emberlatch/faults/transport.py
@@ -1,8 +1,9 @@
 """One end of a simulated connection: a socket until a protocol is attached, then an asyncio transport.
 
 Each direction of a connection delivers bytes in order, after the latency and the transmission time of the
-link. The bytes are queued at a receiver that does not read. Bytes that exceed the kernels' buffers stay in
-the sender's user space, and its protocol is paused. There is no order between different connections.
+link. At a receiver that does not read, the bytes are queued. Bytes for which the kernels' buffers have no
+space stay in the sender's user space, and the sender's protocol is paused if they are too many. The order of
+events on different connections is not defined.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 KERNEL_BUFFER_BYTES = 128 * 1024  # capacity of both ends' kernel buffers for one direction
 HIGH_WATER_BYTES = 64 * 1024  # asyncio's default
-MIN_SPACING_S = 1e-7  # time between events of a connection: timers due at the same time have no order
+MIN_SPACING_S = 1e-7  # least time between events of a connection, as simultaneous timers have no order
 
 T = TypeVar("T")
 
@@ -90,7 +91,11 @@
         """Do nothing: a simulated socket never blocks."""
 
     def get_extra_info(self, name: str, default: object = None) -> object:
-        """Return `unread`, a function: whether bytes wait to be read, or `peer_process`, a name."""
+        """Return the information with this name: `unread` or `peer_process`.
+
+        `unread` is a function that returns whether data wait to be read. `peer_process` is the name of the
+        peer's process.
+        """
         if name == "unread":
             return lambda: bool(self._receive_queue)
         if name == "peer_process" and self.peer.process is not None:
@@ -207,7 +212,7 @@
             self.mark_lost(ConnectionResetError(errno.ECONNRESET, "reset"))
 
     def _flush(self) -> None:
-        """Send what the kernel's buffers take; once all is sent, resume the protocol or end the stream."""
+        """Pass bytes to the kernel's buffers; once all are passed, resume the protocol and end the stream."""
         network = self._network
         free_bytes = KERNEL_BUFFER_BYTES - self._bytes_in_flight
         if self._send_buffer and free_bytes > 0:
@@ -231,7 +236,7 @@
 
     def _on_data(self, data: bytes | None) -> None:
         if self.is_lost or self._is_isolated():
-            return  # an isolated host receives nothing, so the bytes stay in flight for the sender
+            return  # an isolated host receives nothing; for the sender, the bytes stay in flight
         self._receive_queue.append(data)
         if self._protocol is not None:
             self._deliver_received()
--- a/emberlatch/faults/virtual_takeover.py
+++ b/emberlatch/faults/virtual_takeover.py
@@ -25,7 +25,7 @@
 
 
 class VirtualLock:
-    """The lock of a state folder, as the current process uses it; the death of its holder releases it."""
+    """The current process's handle of a state folder's lock. The lock is free once its holder is dead."""
 
     def __init__(self, folder: StateFolder) -> None:
         self._folder, self._process = folder, current_process.get()
@@ -51,7 +51,7 @@
 class VirtualHandoverConnection:
     """One end of a `takeover.HandoverConnection`.
 
-    It is closed when its process dies; what was sent before that still arrives.
+    The connection is closed when its process dies. Frames that were sent before still arrive.
     """
 
     peer: VirtualHandoverConnection
@@ -73,7 +73,7 @@
         self._send(lambda: self.peer._on_frame(frame))
 
     async def send(self, kind: str, body: dict[str, object], descriptors: Sequence[int] = ()) -> None:
-        """See `takeover.HandoverConnection`; descriptors are not passed, as there are none."""
+        """See `takeover.HandoverConnection`; descriptors are not passed, as simulated sockets have none."""
         self.post(kind, **body)
         await asyncio.sleep(0)
 
@@ -145,7 +145,7 @@
         self._shared, self._process = shared, current_process.get()
 
     def set_reader(self, callback: Callable[..., object] | None, args: tuple[object, ...]) -> None:
-        """See `Listener.set_reader`; the last process that sets a callback is the one that accepts."""
+        """See `Listener.set_reader`; connections go to the process that set a callback last."""
         shared = self._shared
         if callback is None and shared.active_handle is not self:
             return
--- a/emberlatch/standins/__main__.py
+++ b/emberlatch/standins/__main__.py
@@ -1,8 +1,10 @@
 """A process that hosts endpoints of partners: `python -m emberlatch.standins`.
 
-The process exchanges lines of JSON. The first line on its standard input is a list of endpoints,
-`{"id": ..., "behaviour": {...}}` (`endpoint_model.BEHAVIOUR_KEYS`); the process answers with their
-addresses. Each later line, like `{"id": ..., "condition": "hang"}`, changes the condition of one endpoint.
+The process reads lines of JSON from standard input, and answers each with a line of JSON on standard output.
+The first line is a list of endpoints, each as `{"id": ..., "behaviour": {...}}`. The keys of a behaviour are
+those of `endpoint_model.BEHAVIOUR_KEYS`. The answer maps the ids to addresses.
+Each later line, such as `{"id": ..., "condition": "hang"}`, changes the condition of one endpoint. The answer
+has the endpoint's id and its number of calls.
 The process exits at the end of its input.
 """
 
--- a/emberlatch/standins/as2_partner.py
+++ b/emberlatch/standins/as2_partner.py
@@ -1,8 +1,8 @@
 """A stand-in partner that speaks AS2; a script determines which receipts it sends.
 
-The partner recognises repeated messages by Message-ID, within a window and at endpoints that share a filter,
-and does not process them again. Of the forwarder's code it uses only the parts that read and write the layers
-of a message.
+The partner does not process a repeated message again. It recognises a repetition by its Message-ID, within a
+time window, and at all endpoints that share a `DuplicateFilter`.
+The stand-in uses only those parts of the forwarder's code that read and write the layers of a message.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class As2Partner:
-    """One endpoint; `own` is its identity, `gateway` its profile of the forwarder."""
+    """One endpoint of a partner; `own` is the partner's identity, `gateway` its profile of the forwarder."""
 
     def __init__(
         self,
@@ -116,9 +116,9 @@
                 connection.respond(200, [], b"")
 
     def _process(self, headers: dict[str, str], body: bytes) -> tuple[Script, Opened | None]:
-        """Open and process a message unless its script forbids it; returns the script and the message.
+        """Open and process a message unless its behaviour is in `NOT_EXECUTED`; returns script and content.
 
-        If the message can't be opened, the script's behaviour is `REFUSED`.
+        If the message can't be opened, the behaviour in the returned script is `REFUSED`.
         """
         script, now = self.next_script(), asyncio.get_running_loop().time
         original = names.message_id(headers["message-id"])
@@ -145,7 +145,7 @@
 
 
 async def _post_receipt(url: str, receipt: Receipt) -> bool:
-    """Deliver a receipt, in at most `MAX_RECEIPT_ATTEMPTS`; returns whether it was confirmed."""
+    """Deliver a receipt in at most `MAX_RECEIPT_ATTEMPTS` attempts; returns whether it was confirmed."""
     host, _, port = url.removeprefix("http://").partition("/")[0].partition(":")
     for _ in range(MAX_RECEIPT_ATTEMPTS):
         try:
--- a/emberlatch/standins/as2_receipts.py
+++ b/emberlatch/standins/as2_receipts.py
@@ -1,4 +1,4 @@
-"""Builds the receipts of a stand-in AS2 partner, valid or faulty as its script requires."""
+"""Builds the receipts of a stand-in AS2 partner. They are valid or faulty, as the script requires."""
 
 from __future__ import annotations
 
--- a/emberlatch/standins/as2_script.py
+++ b/emberlatch/standins/as2_script.py
@@ -10,25 +10,28 @@
 
 
 class ReceiptBehaviour(Enum):
-    """How the partner handles a message and its receipt."""
+    """How the partner handles a message and its receipt.
+
+    A synchronous receipt is the HTTP response; others follow on a new connection, after a response with 202.
+    """
 
     RECEIPT = "receipt"  # processed, with a receipt
     LATE = "late"  # processed, with a receipt after a long delay
-    DROPPED = "dropped"  # processed, without any response or receipt
-    EMPTY = "empty"  # processed, with status 200 and no receipt
-    TWICE = "twice"  # processed, with the receipt twice
+    DROPPED = "dropped"  # processed, without a receipt; also without a response if the receipt is synchronous
+    EMPTY = "empty"  # processed, without a receipt; the response has status 200 if the receipt is synchronous
+    TWICE = "twice"  # processed, with the receipt twice; a synchronous receipt is sent once
     CORRUPT = "corrupt"  # processed; one bit of the receipt is flipped
     MISSIGNED = "missigned"  # processed; the receipt is signed with another key
     UNSIGNED = "unsigned"  # processed; the receipt lacks the requested signature
     WRONG_MIC = "wrong-mic"
     OTHER_ENDS = "other-ends"  # processed; the MIC is computed over other line ends
     FOR_ANOTHER = "for-another"  # processed; the receipt is for a message that was never sent
-    CONTRADICTS = "contradicts"  # processed, with a receipt and then a refusal
+    CONTRADICTS = "contradicts"  # processed, with a receipt and then a refusal (none if synchronous)
     UNEXPECTED = "unexpected"  # processed; the receipt reports an unexpected processing error
     STATUS = "status"  # processed; an intermediary answers 503
     RESET = "reset"  # processed; the connection is reset
     REFUSED = "refused"  # not processed; the receipt reports a decryption error
-    BUSY = "busy"  # not processed; status 429
+    BUSY = "busy"  # not processed; the response has status 429
 
 
 NOT_EXECUTED = frozenset({ReceiptBehaviour.REFUSED, ReceiptBehaviour.BUSY})
@@ -54,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Script:
-    """How the next message is handled; the delay of its receipt, and of a late receipt, in seconds."""
+    """How the next message is handled, with the delays of its receipt and of a late receipt."""
 
     behaviour: ReceiptBehaviour = ReceiptBehaviour.RECEIPT
     delay_s: float = 0.02
@@ -68,17 +71,17 @@
 
 @dataclass(slots=True)
 class DuplicateFilter:
-    """The Message-IDs that a partner's endpoints in one wing have processed."""
+    """The Message-IDs that a partner's endpoints in one zone have processed."""
 
     window_s: float = math.inf
     """How long a Message-ID is remembered, in seconds."""
     processed: dict[str, float] = field(default_factory=dict)
-    """Message-ID -> time at which it was last processed."""
+    """The time at which each Message-ID was last processed."""
     effects: list[tuple[float, str]] = field(default_factory=list)
     """The time and the Message-ID of each processed message, in order."""
 
     def process(self, now: float, original: str) -> bool:
-        """Process a message unless it was processed within the window; returns whether it was not."""
+        """Process a message, unless it was processed within the window; returns whether it does so now."""
         if original in self.processed and now - self.processed[original] <= self.window_s:
             return False
         self.processed[original] = now
@@ -88,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedMessage:
-    """A received message and how it was handled; `opened` is None if it was not or could not be opened."""
+    """A received message and how it was handled; `opened` is None if no attempt to open it succeeded."""
 
     at: float
     original: str
@@ -99,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliveredReceipt:
-    """A receipt that was posted, and that the forwarder confirmed."""
+    """A receipt that was sent on a connection of its own, and that the forwarder confirmed."""
 
     at: float
     original: str
--- a/emberlatch/standins/directory.py
+++ b/emberlatch/standins/directory.py
@@ -1,7 +1,7 @@
 """A stand-in for the platform's discovery service and its endpoint for reports.
 
-One service for all forwarders serves calls one after another (`service_queue`). A test can make it slow,
-silent or unavailable, or make it lose answers.
+The service handles the calls of all forwarders one after another (`service_queue`). A test can make the
+service slow or unavailable, or make it leave requests without an answer or lose some answers.
 """
 
 from __future__ import annotations
@@ -71,12 +71,12 @@
     """Whether notices are answered with 503."""
     observer: DirectoryObserver | None = None
     changes: list[tuple[int, str]] = field(default_factory=list)
-    """Each revision, with the member that changed in it."""
+    """The number of each revision, with the member that changed in this revision."""
     watches: dict[Callable[[], None], None] = field(default_factory=dict)
-    """Callbacks that resume the watches that wait for a change, in order of arrival (an ordered set)."""
+    """Callbacks that resume waiting watches, in the watches' order of arrival. The dict is an ordered set."""
 
     def change(self, name: str, **values: object) -> None:
-        """Change a member, add it, or with `phase="DELETED"` remove it."""
+        """Change a member, or add it if it is new; `phase="DELETED"` removes it."""
         self.revision += 1
         self.members.setdefault(name, {"id": name}).update(values)
         self.changes.append((self.revision, name))
@@ -88,7 +88,7 @@
             wake()
 
     def entries(self, since: int | None) -> int:
-        """Return the number of members in an answer."""
+        """Return the number of members that an answer costs; a complete list counts removed ones too."""
         if since is None or since > self.revision:
             return len(self.members)
         return len({name for revision, name in self.changes if revision > since})
@@ -130,7 +130,7 @@
 
 
 class _Connection(HttpConnection):
-    """A forwarder's connection; it has one request at a time, for a list, a watch or a report."""
+    """A forwarder's connection, with one request at a time: for a list, for a watch, or with a report."""
 
     def __init__(self, directory: Directory, connections: OpenConnections) -> None:
         super().__init__(connections)
@@ -177,7 +177,7 @@
         self._timer = loop.call_at(turn.at + directory.answer_delay_s, respond)
 
     def _respond(self) -> None:
-        """Answer the request, or let a watch wait longer if nothing has changed before its time-out."""
+        """Answer the request; a watch without a change waits instead, until a change or its time-out."""
         loop, directory = asyncio.get_running_loop(), self._directory
         if directory.down:
             self._answer(503, b"")
--- a/emberlatch/standins/endpoint_model.py
+++ b/emberlatch/standins/endpoint_model.py
@@ -2,11 +2,11 @@
 
 The model does no I/O and uses the caller's clock, so that a socket server and a simulation can both run it.
 
-An endpoint has workers that each serve one call at a time; if no worker is free, a call waits in a queue. The
+An endpoint has workers that each serve one call at a time. If no worker is free, a call waits in a queue. The
 endpoint may have a rate limit, which its answers report (`x0`, `x1`). After an outage the endpoint warms up:
 its capacity is `warm_up_start_share` of the full capacity at first, and the full capacity after `warm_up_s`.
-While it warms up, a load of more than `overload_factor` times its capacity for `overload_tolerance_s` makes
-it fail permanently.
+During the warm-up the endpoint fails permanently if it receives too many calls within
+`overload_tolerance_s`: more than `overload_factor` times as many as its present capacity can serve.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Condition(Enum):
-    """The fault of an endpoint. The values are those of fault plans and of the protocol in `__main__`."""
+    """An endpoint's fault, or `HEALTHY`. Fault plans and the protocol in `__main__` use the same values."""
 
     HEALTHY = "well"
     SLOW = "slow"  # `SLOW_FACTOR` times the usual service time
@@ -38,11 +38,11 @@
 """Conditions after which an endpoint warms up."""
 SLOW_FACTOR = 10.0
 BATCH_ITEM_SHARE = 0.35
-"""The service time of each message after the first, as a share of that of a call with one message."""
+"""The time that each message after the first adds to a call, as a share of the time for one message."""
 MIN_DRAWN_SHARE = 0.2
 """The shortest service time that is drawn, as a share of the mean."""
 MAX_REFILL_S = 1.0
-"""The longest time, in seconds, for which tokens are added to a rate limit's bucket at once."""
+"""A rate limit's token bucket gains at most the tokens of this time, in seconds, at a call."""
 
 BEHAVIOUR_KEYS = {
     "work": "service_time_s",
@@ -57,7 +57,7 @@
     "fall_multiple": "overload_factor",
     "fall_after": "overload_tolerance_s",
 }
-"""Key of a behaviour in the protocol of `python -m emberlatch.standins` -> field of `Behaviour`."""
+"""The field of `Behaviour` for each key in the protocol of `python -m emberlatch.standins`."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
 
     service_time_s: float = 0.06
     service_time_variation: float = 0.3
-    """Coefficient of variation."""
+    """Coefficient of variation of the service time."""
     workers: int = 8
     queue_capacity: int = 32
     rate_limit_per_s: float = 0.0
@@ -117,12 +117,12 @@
 
 
 class IdempotencyKeys:
-    """The idempotency keys and effects that the endpoints of one partner in one wing share."""
+    """The idempotency keys and effects that all endpoints of one partner in one zone share."""
 
     def __init__(self, window_s: float) -> None:
         self._window_s, self._processed_at = window_s, dict[str, float]()
         self.effects: dict[str, int] = {}
-        """Key of a message, or its id if it has no key -> how often the message took effect."""
+        """How often each message took effect, by its idempotency key, or by its id if it has no key."""
 
     def run(self, now: float, message: Message) -> None:
         """Count an effect of a message, unless its key had an effect within the window."""
@@ -141,7 +141,7 @@
         self._random = random.Random(seed)
         self.condition = Condition.HEALTHY
         self.overloaded = False
-        """Whether the endpoint failed under load during a warm-up, which is permanent."""
+        """Whether the endpoint failed permanently, because of its load during a warm-up."""
         self.calls: list[float] = []
         """The time of each call."""
         self._warms_up_since = -math.inf
@@ -189,7 +189,7 @@
         return CallOutcome(ends_at, 200, report=report, complete=self.condition is not Condition.TRUNCATED)
 
     def _schedule(self, now: float, messages: int) -> float | None:
-        """Assign a call to a worker; returns when the call ends, None if the queue is full."""
+        """Assign a call to a worker; returns the time when the call ends, or None if the queue is full."""
         behaviour, busy = self.behaviour, self._workers_busy_until
         slow_factor = SLOW_FACTOR if self.condition is Condition.SLOW else 1.0
         variation = max(MIN_DRAWN_SHARE, self._random.gauss(1.0, behaviour.service_time_variation))
--- a/emberlatch/standins/http_post.py
+++ b/emberlatch/standins/http_post.py
@@ -1,4 +1,4 @@
-"""Sends HTTP POST requests, each over a new connection, without use of the forwarder's code."""
+"""Sends HTTP POST requests, each over a new connection. Uses none of the forwarder's code."""
 
 from __future__ import annotations
 
--- a/emberlatch/standins/partner_server.py
+++ b/emberlatch/standins/partner_server.py
@@ -21,7 +21,7 @@
         """A complete call was received from a process."""
 
     def on_answer(self, number: int, outcome: CallOutcome) -> None:
-        """The answer to a call is written, perhaps incompletely."""
+        """The answer to a call is written; it may be truncated."""
 
     def on_disconnect(self, number: int) -> None:
         """The connection of a call ended before an answer was written."""
@@ -49,7 +49,7 @@
         return f"127.0.0.1:{self._port}"
 
     async def start(self) -> None:
-        """Listen on a port that the kernel chooses; after a stop, listen on the same port again."""
+        """Listen on the reserved port or on a free one; a later start uses the same port again."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _Connection(self, self._connections),
@@ -81,7 +81,7 @@
     def __init__(self, server: PartnerServer, connections: OpenConnections) -> None:
         super().__init__(connections)
         self._server = server
-        self._open_call = 0  # number of the call without an answer; 0 if there is none
+        self._open_call = 0  # number of the call that waits for its answer; 0 if there is none
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
--- a/emberlatch/standins/reserved_ports.py
+++ b/emberlatch/standins/reserved_ports.py
@@ -8,9 +8,9 @@
 def reserve_port(port: int = 0) -> socket.socket:
     """Return a socket that is bound to a port but does not listen; the kernel chooses the port if it is 0.
 
-    Connections are refused until another socket listens on the port (with `reuse_port`). Without the
-    reservation the kernel may give a temporarily free port to another endpoint, which then receives the calls
-    for this one.
+    Connections are refused until another socket listens on the port (with `reuse_port`). The reservation
+    keeps the kernel from giving the port to another endpoint while nothing listens on it. That endpoint would
+    receive the calls for this one.
     """
     reservation = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
--- a/emberlatch/standins/service_queue.py
+++ b/emberlatch/standins/service_queue.py
@@ -1,8 +1,8 @@
-"""A model of an overloaded directory. It does no I/O; socket servers, the simulation and a benchmark use it.
+"""A model of an overloaded directory. Socket servers, the simulation and a benchmark use it; it does no I/O.
 
-One worker serves the calls of all forwarders one after another. A call takes a fixed time, and more for each
-entry of its answer. A call that would have to queue for longer than a time-out fails at the time-out, without
-taking the worker's time. Every n-th answer may be lost (`drop_every`).
+One worker serves the calls of all forwarders one after another. A call takes a fixed time, plus a time for
+each entry of its answer. A call that would wait longer than the time-out fails at the time-out, and
+takes none of the worker's time. With `drop_every` = n, every n-th answer is lost.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceCost:
-    """Work for a call and for an entry of its answer, and the longest time in the queue; all in seconds."""
+    """Service time of a call, added time for each entry of its answer, longest wait; all in seconds."""
 
     call: float = 0.0
     entry: float = 0.0
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceTurn:
-    """The time at which a call has been served, or has failed because its wait was too long."""
+    """The time at which a call is served, or at which it fails because it would wait too long."""
 
     at: float
     served: bool
@@ -38,7 +38,7 @@
         self._answers = 0
 
     def turn(self, now: float, entries: int) -> ServiceTurn:
-        """Queue a call whose answer has the given number of entries; returns its turn."""
+        """Queue a call whose answer has this number of entries; returns when, and whether, it is served."""
         cost = self.cost
         starts_at = max(now, self._free_at)
         if starts_at - now > cost.queue_timeout:
