--- a/emberlatch/demo/statistics.py
+++ b/emberlatch/demo/statistics.py
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class PhaseStatistics:
-    """The messages to one partner in one phase."""
+    """Counts and latencies of the messages to one partner in one phase."""
 
     sent: int = 0
     in_time: int = 0
--- a/emberlatch/faults/endpoint.py
+++ b/emberlatch/faults/endpoint.py
@@ -36,7 +36,7 @@
         self.server = PartnerServer(self._model, self)
         self._checks, self._capacity_bound, self._trace = checks, capacity_bound, trace
         self._condition_since = 0.0
-        self._recent_calls: deque[tuple[float, str]] = deque()  # time and forwarder
+        self._recent_calls: deque[tuple[float, str]] = deque()  # each call's time and forwarder
         self._callers: dict[int, str] = {}  # the forwarder of each call in flight, by the number of the call
 
     @property
--- a/emberlatch/faults/service_level.py
+++ b/emberlatch/faults/service_level.py
@@ -13,7 +13,8 @@
 
 RECOVERY_S = 10.0  # time after the last fault in which endpoints warm up; then service must be normal
 MIN_SERVED_SHARE = 0.7  # required share of the attainable requests after the recovery
-# Required share of each forwarder's requests, so that other forwarders do not hide one that is stuck:
+# Share of the requests that each single forwarder must complete in time. Without this limit, the other
+# forwarders could hide one that is stuck.
 MIN_SERVED_SHARE_OF_EACH = 0.3
 MIN_REQUESTS = 16  # least number of requests for a check; half of it for a single forwarder
 
--- a/emberlatch/simlink/adapter.py
+++ b/emberlatch/simlink/adapter.py
@@ -58,13 +58,13 @@
         replies: dict[int, list[WireAction]] = {}
         for instance, event in events:
             if isinstance(event, Start | Stop):
-                # Earlier events in this frame were for the instance before this start or stop: drop them.
+                # Drop earlier events in this frame: they were for the instance that ends here.
                 pending.pop(instance, None)
                 self._instances.pop(instance, None)
                 if isinstance(event, Start):
                     try:
                         self._instances[instance] = Forwarder(event.settings, event.seed)
-                    except Exception as error:  # the simulator ends the run at a fault
+                    except Exception as error:  # is sent as a `Fault`, at which the simulator ends the run
                         replies[instance] = [_fault(error)]
                     pending[instance] = []
             elif instance not in self._instances:
@@ -81,7 +81,7 @@
 def _decide(forwarder: Forwarder, now: float, events: list[Event]) -> list[WireAction]:
     try:
         actions: list[Action] = forwarder.handle(now, events)
-    except Exception as error:  # the simulator ends the run at a fault
+    except Exception as error:  # is sent as a `Fault`, at which the simulator ends the run
         return [_fault(error)]
     return [*actions]
 
--- a/emberlatch/standins/as2_script.py
+++ b/emberlatch/standins/as2_script.py
@@ -24,7 +24,7 @@
     MISSIGNED = "missigned"  # processed; the receipt is signed with another key
     UNSIGNED = "unsigned"  # processed; the receipt lacks the requested signature
     WRONG_MIC = "wrong-mic"
-    OTHER_ENDS = "other-ends"  # processed; the MIC is computed over other line ends
+    OTHER_ENDS = "other-ends"  # processed; the MIC is computed after CRLF is replaced by LF
     FOR_ANOTHER = "for-another"  # processed; the receipt is for a message that was never sent
     CONTRADICTS = "contradicts"  # processed, with a receipt and then a refusal (none if synchronous)
     UNEXPECTED = "unexpected"  # processed; the receipt reports an unexpected processing error
