--- a/emberlatch/faults/endpoint.py
+++ b/emberlatch/faults/endpoint.py
@@ -12,9 +12,10 @@
 from emberlatch.standins import CallOutcome, Condition, EndpointModel, Message, PartnerServer
 from emberlatch.standins.endpoint_model import OUTAGES, IdempotencyKeys
 
-LONG_HANG_S = 6.0  # duration of a hang after which the checks expect forwarders to have detected it
+LONG_HANG_S = 6.0  # after a hang of this duration, the checks expect that forwarders have detected the hang
 ONLY_FORWARDER = "f0"
-"""The caller's name on real sockets, which don't show the calling process; such runs have one forwarder."""
+"""The name that is used for the caller on real sockets. They don't show the calling process, and runs on real
+sockets have only one forwarder."""
 
 
 class SimulatedEndpoint:
@@ -35,7 +36,7 @@
         self.server = PartnerServer(self._model, self)
         self._checks, self._capacity_bound, self._trace = checks, capacity_bound, trace
         self._condition_since = 0.0
-        self._recent_calls: deque[tuple[float, str]] = deque()  # time and forwarder
+        self._recent_calls: deque[tuple[float, str]] = deque()  # each call's time and forwarder
         self._callers: dict[int, str] = {}  # the forwarder of each call in flight, by the number of the call
 
     @property
