--- a/emberlatch/cli/as2.py
+++ b/emberlatch/cli/as2.py
@@ -23,7 +23,7 @@
 )
 from emberlatch.config import Gateway
 
-if TYPE_CHECKING:  # the libraries that AS2 needs are an optional extra
+if TYPE_CHECKING:  # AS2 needs libraries of an optional extra
     from emberlatch.as2.evidence import Dispute, Evidence
     from emberlatch.as2.profile import Parties, Partner
     from emberlatch.config.as2 import As2
--- a/emberlatch/cli/as2_exchange.py
+++ b/emberlatch/cli/as2_exchange.py
@@ -26,7 +26,10 @@
 
 
 async def exchange_with_stand_in(parties: Parties, partner: Partner) -> str:
-    """Send a test message to a stand-in with keys of its own, to check our side of the profile."""
+    """Send a test message to a stand-in that has its own keys; this checks our side of the profile.
+
+    The call uses neither TLS nor an asynchronous receipt.
+    """
     certificate, key = new_certificate(partner.as2_name, STAND_IN_CERTIFICATE_DAYS)
     identity = Identity(((certificate, key),))
     own_trust = Trust(tuple(own for own, _ in parties.own.identity.key_pairs))
--- a/emberlatch/cli/common.py
+++ b/emberlatch/cli/common.py
@@ -14,7 +14,7 @@
 from emberlatch.inventory import load as read_inventory
 from emberlatch.standalone.answers import ERROR, Command, JsonObject
 
-if TYPE_CHECKING:  # the libraries that AS2 needs are an optional extra
+if TYPE_CHECKING:  # AS2 needs libraries of an optional extra
     from emberlatch.as2.profile import Parties
     from emberlatch.config.as2 import As2
 
@@ -61,7 +61,7 @@
 
 
 def query_gateway(config_path: Path, command: Command) -> JsonObject:
-    """Query the running gateway of a configuration; exit with 2 without an answer or if the command fails."""
+    """Query the running gateway of a configuration; exit with 2 if it gives no answer or an error."""
     from emberlatch.standalone import send_command
 
     config = load_configuration(config_path)
@@ -91,7 +91,7 @@
 def inventory_at(source: Path, config_path: Path | None) -> Inventory:
     """Load the inventory of a configuration (`*.toml`), or the one in a file or folder.
 
-    The allowed wings and kinds of a file or folder are those of `config_path`, or the defaults.
+    A file or folder may use the wings and kinds of the configuration at `config_path`, or else the defaults.
     """
     if source.suffix == ".toml":
         return inventory_of(load_configuration(source))
--- a/emberlatch/cli/fleet_tables.py
+++ b/emberlatch/cli/fleet_tables.py
@@ -11,7 +11,7 @@
 from emberlatch.standalone.answers import FleetAnswer, MemberAnswer
 
 FULL_SHARE = 0.999
-"""A share of at least this fraction of 1/N is shown as a full share, since figures are rounded."""
+"""A quota share of at least this fraction of 1/N counts as the full share, since figures are rounded."""
 STATE_MARKS = {"alive": "+", "suspect": "?", "unreachable": "x", "left": "-", "joining": "."}
 MARKS_LEGEND = "+ alive  ? suspect  x unreachable  - left  . joining  ~ heard through others only"
 
--- a/emberlatch/cli/storm.py
+++ b/emberlatch/cli/storm.py
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _SweepTask:
-    """Plays one seed of a sweep; the parameters are the same for all seeds."""
+    """Plays one seed of a sweep when it is called; the parameters are the same for all seeds."""
 
     members: int
     seconds: float
--- a/emberlatch/config/decision_settings.py
+++ b/emberlatch/config/decision_settings.py
@@ -9,7 +9,7 @@
 from emberlatch.inventory.model import Vocabulary
 
 DECISION_ROUND_S = 0.005
-OVER_QUOTA_VALUE_FACTOR = 0.1  # factor on the value of messages in excess of their tenant's quota share
+OVER_QUOTA_VALUE_FACTOR = 0.1  # multiplies the value of messages that exceed their tenant's quota share
 REPORT_FIELDS = ("x0", "x1")
 
 _EFFECTS = {"safe": api.Effect.SAFE, "keyed": api.Effect.KEYED, "unsafe": api.Effect.UNSAFE}
@@ -17,7 +17,10 @@
 
 
 def settings(config: Gateway) -> api.Settings:
-    """Return the decision module's settings for one sender, with exact limits and no polled directory."""
+    """Return the decision module's settings for one sender.
+
+    The endpoints' limits count as exact (`Weights.NOMINAL`), and the directory is never polled.
+    """
     rules = config.rules
     return api.Settings(
         categories=tuple(_category(name, item) for name, item in config.classes.items()),
--- a/emberlatch/config/load.py
+++ b/emberlatch/config/load.py
@@ -105,7 +105,7 @@
     for part in path:
         field = _fields_by_key(model).get(part)
         found = list(_models(field.annotation)) if field is not None else []
-        model = found[0] if found else model  # a key that the operator chose has no field
+        model = found[0] if found else model  # keys that the operator chooses have no field
     return list(_fields_by_key(model))
 
 
--- a/emberlatch/config/schema.py
+++ b/emberlatch/config/schema.py
@@ -27,7 +27,7 @@
 
 
 class InventoryFiles(Section):
-    """The inventory's files and folders. Files written in place are read after a quiet period."""
+    """The inventory's files and folders. A file written in place is read after a quiet period."""
 
     paths: Annotated[list[Annotated[str, Field(min_length=1)]], Field(min_length=1)]
     poll: Annotated[Duration, Field(ge=0.05, le=3600)] = 1.0
@@ -47,20 +47,26 @@
 
 
 class Wing(Section):
-    """A zone of the network; `fee` is the cost of an attempt in it, in the unit of a message's `worth`."""
+    """A network zone; `fee` is the cost of an attempt in the zone, in the unit of a message's `worth`."""
 
     fee: Number = 0.0
 
 
 class Kind(Section):
-    """A kind of partner: messages per call, and whether each endpoint has its own limit and fails alone."""
+    """A kind of partner; `batch` is the maximum number of messages per call.
+
+    With separate `routes`, each endpoint has its own limit and fails alone.
+    """
 
     batch: Annotated[StrictInt, Field(ge=1, le=1000)] = 1
     routes: Literal["separate", "shared"] = "separate"
 
 
 class MessageClass(Section):
-    """A class of messages; partners drop duplicates within `window` seconds at the endpoints of `scope`."""
+    """A class of messages.
+
+    Partners drop duplicates of a message within `window` seconds, at the endpoints that `scope` covers.
+    """
 
     effect: Literal["safe", "keyed", "unsafe"]
     aim: Duration = 4.0
@@ -146,14 +152,17 @@
         return parse_address(self.listen)
 
     def at(self, file: Path) -> Gateway:
-        """Set the file that this was read from; relative paths start at its folder. Returns itself."""
+        """Set the file that the configuration was read from, and return the configuration.
+
+        Relative paths start at the file's folder.
+        """
         self._file = file.resolve()
         self._folder = self._file.parent
         return self
 
     @property
     def file(self) -> Path | None:
-        """The file that this was read from; None if it was parsed from bytes."""
+        """The file that the configuration was read from; None if it was parsed from bytes."""
         return self._file
 
     def path(self, text: str) -> Path:
--- a/tests/as2/hostile.py
+++ b/tests/as2/hostile.py
@@ -20,7 +20,7 @@
 
 @cache
 def valid_messages() -> list[bytes]:
-    """Valid messages, each encoded as an entity."""
+    """Return valid messages, each encoded as a MIME entity."""
     made = []
     for content in (CONTENT, RECEIPT):
         for wanted in (
--- a/tests/as2/parties.py
+++ b/tests/as2/parties.py
@@ -33,7 +33,7 @@
 ) -> x509.Certificate:
     """Create a certificate, self-signed unless an issuer is named; `since` and `until` are days from now.
 
-    `owner` names the party that has the key, if that is not `name`.
+    `owner` names the party that has the key, if it is another party than `name`.
     """
     own, by = owner or name, issuer or name
 
--- a/tests/as2/test_crypto_worker.py
+++ b/tests/as2/test_crypto_worker.py
@@ -1,4 +1,4 @@
-"""The crypto worker process: its results, its errors, and its end or the gateway's."""
+"""The crypto worker process: its results, its errors, and the end of the worker or the gateway."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def has_ended(pid: int) -> bool:
-    """Whether a process has ended; a zombie counts as ended."""
+    """Return whether a process has ended; a zombie counts as ended."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] == "Z"
     except (FileNotFoundError, ProcessLookupError):  # The process may be reaped between open and read.
--- a/tests/as2/test_gateway.py
+++ b/tests/as2/test_gateway.py
@@ -99,7 +99,7 @@
 def test_bad_receipt_causes_dispute_and_message_is_sent_again(
     tmp_path: Path, behaviour: ReceiptBehaviour, expected: str, late: bool
 ) -> None:
-    """The payout has an idempotency key: the same message is sent again and gets a valid receipt."""
+    """The payout has an idempotency key, so the same message is sent again. It then gets a valid receipt."""
 
     async def test() -> None:
         behaviours = scripted(behaviour)
@@ -199,13 +199,13 @@
             for number in range(24):
                 await submit(port, f"m{number}", "river", X_Timeout_Ms="1500")
             await until(lambda: bool(bank.received))
-            assert bank.open_connections <= 6  # three quarters of the 8 calls
+            assert bank.open_connections <= 6  # one partner may use three quarters of the 8 calls
 
     run_async_test(test)
 
 
 def tls_context(folder: Path) -> ssl.SSLContext:
-    """Create a server's TLS context with a self-signed certificate, and write that to `tls.crt`."""
+    """Create a server's TLS context; write its self-signed certificate to `tls.crt`."""
     address = x509.SubjectAlternativeName([x509.IPAddress(ipaddress.ip_address("127.0.0.1"))])
     name = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, "server")])
     pattern = certificate("river")
@@ -357,7 +357,10 @@
 
 
 def test_unusual_encodings_of_orders_are_accepted(tmp_path: Path) -> None:
-    """Chunked transfer encoding, folded headers, base64, and a multipart body with preamble and epilogue."""
+    """One order has folded headers and base64.
+
+    The other one has chunked transfer encoding, and a multipart body with a preamble and an epilogue.
+    """
 
     async def test() -> None:
         async with running(tmp_path, **ORDERS) as (gateway, _, _, as2):
--- a/tests/as2/test_hostile.py
+++ b/tests/as2/test_hostile.py
@@ -44,7 +44,7 @@
 
 
 def test_attached_certificate_of_unknown_version_is_ignored() -> None:
-    """The benchmark's inputs found that the library raises an exception class of its own in this case."""
+    """The benchmark's inputs showed that the library raises its own exception class in this case."""
     from asn1crypto import cms as asn1
 
     der = cms.sign(b"x", certificate("ours"), key("ours"), "sha256", NOW)
--- a/tests/as2/test_kills.py
+++ b/tests/as2/test_kills.py
@@ -16,7 +16,10 @@
 
 
 class OneOrder(As2Environment):
-    """One order of `bank`, sent again long after its delivery; the process is killed at one system call."""
+    """`bank` sends one order, and repeats it long after its delivery.
+
+    The process is killed at one system call.
+    """
 
     def kill_at(self, disk: str, call: int, moment: KillMoment) -> OneOrder:
         self.where = disk, call, moment
@@ -42,7 +45,7 @@
 
 
 class OneReceipt(OneOrder):
-    """One message to `fund`, whose asynchronous receipt is sent 4 s later."""
+    """The gateway sends one message to `fund`, which sends the asynchronous receipt 4 s later."""
 
     async def run(self) -> None:
         await self.start()
@@ -58,8 +61,8 @@
         message: SubmittedMessage = self.messages["one"]
         assert self.side is not None
         disputed = {each["message"] for each in self.side.evidence.disputes()}
-        # The message must not be sent twice: if the kill ends its call, it fails at once, and the receipt
-        # causes a dispute.
+        # The message must not be sent twice. If the kill ends its call, the message therefore fails at
+        # once, and the receipt causes a dispute.
         if [result for *_, result in message.completions] != ["delivered"] and "one" not in disputed:
             self.breach(f"{message.completions} without a dispute")
 
--- a/tests/as2/test_layers.py
+++ b/tests/as2/test_layers.py
@@ -105,7 +105,7 @@
     for attribute in one["signed_attrs"]:
         if attribute["type"].native != "signing_time":
             assert attribute["values"].dump() == kinds[attribute["type"].native].dump()
-    # The signature is over the attributes as a sorted SET OF; verified with the public key directly.
+    # The signature covers the attributes as a sorted SET OF. Verify it with the public key directly.
     public = certificate("ours").public_key()
     assert isinstance(public, rsa.RSAPublicKey)
     signed_bytes = b"\x31" + one["signed_attrs"].dump()[1:]
@@ -201,7 +201,7 @@
 
 
 def test_rollover_accepts_both_certificates_and_encrypts_to_the_new_one() -> None:
-    """The old certificate still decrypts and verifies; a new one is encrypted to once it is valid."""
+    """The old certificate still decrypts and verifies; a new one is used to encrypt once it is valid."""
     both = identity("theirs", "theirs-new")
     sealed = seal(CONTENT, Layers("sha256", "aes128_cbc", False), identity("ours"), trust("theirs"), NOW)
     assert unsealed(sealed, both, trust("ours-new", "ours")).layers
--- a/tests/as2/test_seeded_runs.py
+++ b/tests/as2/test_seeded_runs.py
@@ -61,7 +61,7 @@
 
 
 def any_error_is_a_refusal() -> AbstractContextManager[Any]:
-    """An error during processing counts as one before the content was read."""
+    """An error during processing counts as an error before the content was read, which is a rejection."""
     return patch.object(evaluation, "_is_rejection", lambda disposition: disposition.modifier == "error")
 
 
--- a/tests/directory/test_client.py
+++ b/tests/directory/test_client.py
@@ -27,13 +27,13 @@
 
 
 def due_request(client: Client, now: float) -> SendRequest:
-    """The only request that is due now."""
+    """Return the only request that is due now."""
     (ask,) = (action for action in client.take_actions(now) if isinstance(action, SendRequest))
     return ask
 
 
 def watching_client(seed: int = 1) -> tuple[Client, SendRequest]:
-    """A client that knows revision 5, and the watch that it has sent at time 0."""
+    """Return a client that knows revision 5, and the watch that it sent at time 0."""
     client = Client(seed)
     client.start_from(0.0, 5)
     client.watch(True)
@@ -92,7 +92,7 @@
     assert client.on_answer(now, ask.call, 9, complete=False) and not client.overdue(now)
     next_watch = due_request(client, client.due)
     client.on_failure(now + 1, next_watch.call, Failure.NO_VALID_ANSWER)
-    assert client.due - (now + 1) < 0.3  # the first success resets the backoff
+    assert client.due - (now + 1) < 0.3  # the first successful request resets the backoff
 
 
 def test_ten_clients_that_fail_at_the_same_time_retry_at_different_times() -> None:
@@ -128,7 +128,8 @@
         waits.append(client.due - now)
         now = client.due
         *drops, next_watch = client.take_actions(now)
-        assert drops == [CancelRequest(call.call) for call in superseded]  # the watch before the previous one
+        # The watch before the previous one is cancelled.
+        assert drops == [CancelRequest(call.call) for call in superseded]
         assert (
             isinstance(next_watch, SendRequest)
             and next_watch.on_new_connection
@@ -142,12 +143,12 @@
         WATCH_WAIT_S + EMPTY_ANSWER_GRACE_S,
     ]
     assert isinstance(drops[0], CancelRequest)
-    assert not client.on_answer(now, drops[0].call, 9, complete=True)  # dropped: a late answer is ignored
-    client.on_answer(now + WATCH_WAIT_S, ask.call, 5, complete=False)  # an empty answer: no changes
+    assert not client.on_answer(now, drops[0].call, 9, complete=True)  # late answers are ignored
+    client.on_answer(now + WATCH_WAIT_S, ask.call, 5, complete=False)  # an empty answer means no changes
     due_request(client, now + WATCH_WAIT_S + WATCH_GAP_S)
     assert client.due - now > 2 * WATCH_WAIT_S
     ask = SendRequest(client._watch_call or 0, RequestContent(5, WATCH_WAIT_S), False)
-    client.on_answer(now + 2 * WATCH_WAIT_S, ask.call, 6, complete=False)  # a change: more may follow
+    client.on_answer(now + 2 * WATCH_WAIT_S, ask.call, 6, complete=False)  # a change: more changes may follow
     due_request(client, client.due)
     assert client.due - now - 2 * WATCH_WAIT_S < WATCH_TIMEOUT_S + 1
 
@@ -186,7 +187,7 @@
     client, ask = watching_client()
     assert client.on_answer(1.0, ask.call, 2, complete=True) and client.revision == 2
     ask = due_request(client, client.due)
-    # Changes up to an older revision than the known one.
+    # This answer has changes up to an older revision than the known one.
     assert not client.on_answer(2.0, ask.call, 1, complete=False)
     ask = due_request(client, client.due)
     assert ask.content.since is None
@@ -208,7 +209,7 @@
     assert isinstance(new, SendRequest) and new.content.since is None and new.on_new_connection
     assert not client.on_failure(
         2.1, ask.call, Failure.NO_VALID_ANSWER
-    )  # at the old address: no backoff at the new one
+    )  # this failure was at the old address, so the new address has no backoff
     assert not client.on_answer(2.1, ask.call, 99, complete=True)
     assert client.assumed_delivery.deadline == 2.0 + DeliveryTerms().after_move_s
     now, retries = 2.2, 0
--- a/tests/directory/test_many_callers.py
+++ b/tests/directory/test_many_callers.py
@@ -18,8 +18,8 @@
 class Service:
     """Answers requests in order.
 
-    A request that would wait too long is rejected, which takes time too. A request that has waited too long
-    fails when it is served, which takes as long as an answer.
+    A request that would wait longer than `MAX_QUEUE_TIME_S` is rejected, which takes time too. A request
+    whose answer would end later than that fails, but takes as much service time as an answer.
     """
 
     free_at: float = 0.0
@@ -78,7 +78,7 @@
 
 
 def test_forty_clients_that_each_assume_to_be_the_only_one_keep_the_queue_full() -> None:
-    """The failure that the round prevents: on the bench no request of a full day was answered."""
+    """The failure that `Backoff.round_s` prevents: in a benchmark no request of a full day was answered."""
     fleet = Fleet([Client(number) for number in range(40)])
     fleet.run(16.0)
     assert len(fleet.answered_at) < 30
--- a/tests/engine/test_counters.py
+++ b/tests/engine/test_counters.py
@@ -33,7 +33,7 @@
     assert json.loads(counters.interval_line(9.0) or "")["all"] == counters.totals() == {"delivered": 3}
     line = render_metrics(counters, ["payout", "note"], 0, 0, 0)
     assert "app.success.payout=2\n" in line and "app.success.note=0\n" in line
-    assert "app.success.order=1\n" in line  # a class that is not configured any more
+    assert "app.success.order=1\n" in line  # this class is not configured any more
 
 
 def test_a_line_with_many_targets_contains_only_those_with_the_highest_counts() -> None:
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -271,7 +271,7 @@
         disk.may_end.set()
         await run_ready_callbacks()
         assert entry.unknown_outcomes == [] and recorded.calls == [] and "cancel" not in recorded.port_calls
-        # The client may submit a bounced message again.
+        # `bounced` means not executed: the client may submit the message again.
         assert [notice["result"] for notice in recorded.notices] == ["bounced"]
 
     asyncio.run(test())
--- a/tests/engine/test_event_queue.py
+++ b/tests/engine/test_event_queue.py
@@ -40,7 +40,7 @@
     async def test() -> None:
         decisions = Decisions()
         decisions.post(1)
-        decisions.events.suspended = True  # suspended after the decision was scheduled
+        decisions.events.suspended = True  # the queue is suspended after the decision was scheduled
         await asyncio.sleep(0)
         decisions.post(2)
         await asyncio.sleep(0)
--- a/tests/faults/planted_bugs.py
+++ b/tests/faults/planted_bugs.py
@@ -239,7 +239,7 @@
 
 @planted
 def batch_answer_counts_for_all() -> Any:
-    """A batch whose connection is reset counts as delivered."""
+    """A call whose connection is reset counts as delivered, whether or not it is a batch."""
     return patch_outcomes(
         lambda o: replace(o, result=Result.OK, is_final=True) if o.result is Result.RESET else o
     )
@@ -402,7 +402,7 @@
 
 @planted
 def lost_answer_counts_as_received() -> Any:
-    """The revision of a lost answer counts as known."""
+    """After a lost answer, the revision that follows the known one counts as known."""
 
     def change(real: Any) -> Any:
         def failed(self: Client, now: float, call: int, failure: Failure, retry_after: float = 0.0) -> bool:
@@ -502,14 +502,14 @@
 
 @planted
 def only_the_latest_demand_counts() -> Any:
-    """Endpoints that recover receive almost no calls."""
+    """The demand share is a hundredth of the real one: endpoints that recover receive almost no calls."""
     real = Route.demand_share
     return patch.object(Route, "demand_share", lambda self, now: 0.01 * real(self, now))
 
 
 @planted
 def slow_answer_counts_as_hang() -> Any:
-    """Healthy routes are ejected again and again."""
+    """The response time-out is half the baseline latency: healthy routes are ejected again and again."""
     return patch.object(Pool, "response_timeout", lambda self: 0.5 * self.baseline_latency)
 
 
--- a/tests/faults/test_capacity_bound.py
+++ b/tests/faults/test_capacity_bound.py
@@ -29,7 +29,7 @@
 def steady_demand(
     partner: str, rate_per_s: int, duration_s: int, latency_target_s: float = 1.0
 ) -> list[DemandedMessage]:
-    """Messages at a constant rate for `duration_s` seconds, starting at 1 s."""
+    """Return messages at a constant rate for `duration_s` seconds, starting at 1 s."""
     return [
         DemandedMessage(partner, at, at + latency_target_s)
         for at in (1 + n / rate_per_s for n in range(rate_per_s * duration_s))
@@ -40,7 +40,7 @@
     ("partner", "per_call", "rate_per_s", "least", "most"),
     [
         ("a", 1, 5, 50, 50),  # half of the capacity
-        ("a", 1, 20, 100, 115),  # twice the capacity: 10 a second for 10 s, then those still in time
+        ("a", 1, 20, 100, 115),  # twice the capacity: 10 a second for 10 s, then messages still in time
         ("a", 3, 20, 170, 195),  # a call with three messages takes 1.7 times as long
         ("b", 1, 10, 20, 25),  # limit of 2 calls a second
         ("b", 4, 10, 80, 95),  # the same limit, with 4 messages in each call
@@ -93,7 +93,10 @@
 
 
 def test_forwarder_that_serves_nothing_is_reported_though_the_total_suffices() -> None:
-    """The other nine of ten forwarders serve enough for the required total, which must not hide this one."""
+    """Nine of ten forwarders serve enough for the required total.
+
+    This total must not hide the forwarder that serves nothing.
+    """
     real = SimulatedClients.served_in_time
 
     def served_in_time(self: SimulatedClients, *span: Any) -> Iterator[tuple[float, bool]]:
--- a/tests/faults/test_checks.py
+++ b/tests/faults/test_checks.py
@@ -20,7 +20,7 @@
 
 
 def make_checks(kind: str = "safe") -> RuleChecks:
-    """Checks with a ready forwarder that accepted one message."""
+    """Return rule checks that have seen a ready forwarder accept one message."""
     rule_checks = RuleChecks(PARAMETERS)
     rule_checks.on_ready(0.0, "f0", [])
     rule_checks.on_submitted("f0", "m", kind, 12.0)
@@ -214,7 +214,7 @@
 
 
 def test_lost_list_counts_as_received_after_its_grace_time() -> None:
-    for wait, due in ((None, 9.0), (5.0, 10.0)):  # a look-up at 3 s; a watch that could wait until 8 s
+    for wait, due in ((None, 9.0), (5.0, 10.0)):  # first a look-up at 3 s, then a watch until 8 s
         for at, broken in ((due + 0.4, False), (due + 0.7, True)):
             rule_checks = make_checks()
             rule_checks.on_poll(3.0, "f0")
--- a/tests/faults/test_power_loss.py
+++ b/tests/faults/test_power_loss.py
@@ -1,4 +1,4 @@
-"""Power losses: durable categories survive them, and planted bugs that break durability are detected."""
+"""Power losses: messages of durable categories survive, and planted bugs in durability are detected."""
 
 from __future__ import annotations
 
@@ -175,9 +175,10 @@
 
 
 def believes_the_page_cache(patch: Callable[..., None]) -> None:
-    """A failed sync counts as done.
+    """A failed sync counts as successful.
 
-    This is what a retry would do: the kernel has dropped the unwritten pages and reports success.
+    A retry of the sync would have the same effect: the kernel has dropped the unwritten pages, and reports
+    success.
     """
 
     async def run(self: GroupSync) -> None:
@@ -194,7 +195,7 @@
 
 
 def goes_by_what_an_earlier_life_did_not_sync(patch: Callable[..., None]) -> None:
-    """A process uses records that an earlier process wrote but never synced, without syncing them."""
+    """A process uses unsynced records of an earlier process, and does not sync them."""
     patch(SegmentFiles, "sync_existing", lambda self: None)
 
 
--- a/tests/faults/test_seeds.py
+++ b/tests/faults/test_seeds.py
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize("moment", ["before", "within", "after"])
 def test_kills_at_any_disk_call_and_during_the_recovery_break_no_rule(moment: str) -> None:
-    """The kills fall on each of 24 successive disk calls, and on disk calls of the following starts.
+    """The kills fall on each of 24 successive disk calls, and on disk calls of the restarts that follow.
 
     Among them are kills between a call's intent and its sending, between an answer and its journal record,
     and during compaction.
--- a/tests/faults/test_simulated_machine.py
+++ b/tests/faults/test_simulated_machine.py
@@ -210,7 +210,7 @@
         process.kill()
         await asyncio.sleep(20)
         assert late_events == [] and not process.connections and len(network.transports) == 2
-        network.listen(("10.0.0.2", 80))  # its address is free again
+        network.listen(("10.0.0.2", 80))  # the killed process's address is free again
 
     run_on_virtual_loop(test)
 
--- a/tests/fleet/simulated_fleet.py
+++ b/tests/fleet/simulated_fleet.py
@@ -25,9 +25,9 @@
 class SimulatedFleet:
     """A fleet of membership machines.
 
-    `is_lost(sender, recipient)` decides whether a frame is lost, `latency_s(sender, recipient)` how long it
-    takes. `events` has each log event with its time and member; `halted` has the members that requested a
-    halt; `stopped` has the members that a test has stalled.
+    `is_lost(sender, recipient)` decides whether a frame is lost, and `latency_s(sender, recipient)` how long
+    a frame takes. `events` lists each log event with its time and member. `halted` lists the members that
+    requested a halt. `stopped` is the set of members that a test has stalled.
     """
 
     def __init__(self, size: int, seed: int = 1) -> None:
@@ -135,5 +135,5 @@
 
 
 def partition(*sides: set[str]) -> Callable[[str, str], bool]:
-    """Return an `is_lost` function by which frames are lost unless sender and recipient are on one side."""
+    """Return an `is_lost` function by which all frames are lost except between members of the same side."""
     return lambda one, other: not any(one in side and other in side for side in sides)
--- a/tests/fleet/test_endpoint_reports.py
+++ b/tests/fleet/test_endpoint_reports.py
@@ -1,4 +1,4 @@
-"""Endpoint reports: the newest one counts, or the more severe one if their order is unknown."""
+"""Endpoint reports: the newest one counts. If their order is unknown, the more severe one counts."""
 
 from __future__ import annotations
 
--- a/tests/fleet/test_log_events.py
+++ b/tests/fleet/test_log_events.py
@@ -56,7 +56,7 @@
 
 
 def test_histories_use_the_logged_names() -> None:
-    """A kind of history events with the identifier of a member's event must have its stored name too."""
+    """A kind of history event with the same identifier as a member's event has the same stored name."""
     shared = [kind for kind in EventKind if kind.name in FleetEvent.__members__]
     assert len(shared) == 9
     for kind in shared:
--- a/tests/fleet/test_machine.py
+++ b/tests/fleet/test_machine.py
@@ -131,7 +131,7 @@
     fleet.stopped.add("m2")
     fleet.run(2.0)
     fleet.stopped.clear()
-    fleet.is_lost = lambda one, other: one == "m2"  # frames that wait in its receive buffer still arrive
+    fleet.is_lost = lambda one, other: one == "m2"  # frames in m2's receive buffer still arrive
     fleet.run(3.0)
     assert fleet.isolation_reasons()["m2"] is IsolationReason.STALLED
     fleet.is_lost = lambda one, other: False
@@ -178,7 +178,7 @@
         assert min(member.peers.present_count for member in fleet.members.values()) == 3
         fleet.start(name, 2)
         fleet.run(2.0)
-    assert not fleet.logged("cut", "m0")[1:]  # the first is the one of its own start
+    assert not fleet.logged("cut", "m0")[1:]  # the only isolation is that of m0's own start
 
 
 def test_a_process_with_an_empty_state_folder_takes_the_next_generation_and_logs_it() -> None:
--- a/tests/fleet/test_membership_rules.py
+++ b/tests/fleet/test_membership_rules.py
@@ -1,4 +1,4 @@
-"""Unit tests of the membership rules: the order of updates, suspicions, local health, instances."""
+"""Unit tests of the membership rules: the order of updates, suspicions, local health, protocol instances."""
 
 from __future__ import annotations
 
--- a/tests/fleet/test_quota_shares.py
+++ b/tests/fleet/test_quota_shares.py
@@ -1,4 +1,4 @@
-"""Quota shares: their sum never exceeds the limit; a share drops at once and grows by a ramp."""
+"""Quota shares: their sum never exceeds the limit. A share drops at once and grows gradually."""
 
 from __future__ import annotations
 
--- a/tests/fleet/test_service.py
+++ b/tests/fleet/test_service.py
@@ -42,7 +42,7 @@
 
 
 class RecordingObserver:
-    """Records what a service reports and logs; a test can wait for it."""
+    """Records what a service reports and logs. A test can wait for a condition on the records."""
 
     def __init__(self) -> None:
         self.shares: list[QuotaShare] = []
@@ -165,7 +165,7 @@
             (service, a), (_, b) = fleet.start("a"), fleet.start("b")
             await a.wait_until(lambda: a.has_joined("b"))
             service.share_endpoint_hold("p-1", 5.0)
-            service.share_endpoint_hold("p-1", 3.0)  # shorter than the known hold
+            service.share_endpoint_hold("p-1", 3.0)  # this hold is shorter than the known one
             await b.wait_until(lambda: bool(b.holds))
             assert [target for target, _ in b.holds] == ["p-1"] and 4.0 < b.holds[0][1] <= 5.0
             _, c = fleet.start("c")
@@ -182,8 +182,8 @@
             await a.wait_until(lambda: a.has_joined("b"))
             service_a.share_endpoint_phases({"p-1": Phase.DRAINING, "p-2": Phase.REMOVED})
             await b.wait_until(lambda: len(b.reports) == 2)
-            service_a.share_endpoint_phases({"p-1": Phase.DRAINING})  # no change
-            service_b.share_endpoint_phases({"p-1": Phase.REMOVED})  # more severe than draining
+            service_a.share_endpoint_phases({"p-1": Phase.DRAINING})  # the phase does not change
+            service_b.share_endpoint_phases({"p-1": Phase.REMOVED})  # this phase is more severe than draining
             await a.wait_until(lambda: bool(a.reports))
             assert a.reports == [("p-1", Phase.REMOVED)] and b.reports == [
                 ("p-1", Phase.DRAINING),
@@ -214,7 +214,7 @@
 
 
 async def receive_until_closed(port: int, data: bytes) -> bytes:
-    """Send data on a new connection; return what it receives until it is closed."""
+    """Send data on a new connection; return the data received until the connection is closed."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         writer.write(data)
@@ -288,7 +288,7 @@
         async with local_fleet(tmp_path, "a") as fleet:
             _, a = fleet.start("a")
             assert a.has_logged("life", life=6, fresh=False)
-            assert a.has_logged("majority")  # in a fleet of one member
+            assert a.has_logged("majority")  # one member is the majority of a fleet of one
 
     run(test)
 
--- a/tests/inventory/generated.py
+++ b/tests/inventory/generated.py
@@ -22,7 +22,7 @@
 
 @dataclass
 class InventoryText:
-    """Files of lines; half of the files are CSV, half YAML with one host per line."""
+    """Inventory files and their lines. Half of the files are CSV, half are YAML with one host per line."""
 
     files: dict[str, list[Line]] = field(default_factory=dict)
 
--- a/tests/inventory/test_assembly.py
+++ b/tests/inventory/test_assembly.py
@@ -1,4 +1,4 @@
-"""Thousands of valid rows are loaded exactly; of planted defects, exactly the lines are reported."""
+"""Thousands of valid rows are loaded exactly, and exactly the lines of planted defects are reported."""
 
 from __future__ import annotations
 
--- a/tests/inventory/test_formats.py
+++ b/tests/inventory/test_formats.py
@@ -60,7 +60,7 @@
         tags=("north", "small"),
     )
     assert (found["a2"].wing, found["a2"].limit, found["a2"].destination) == ("west-wing", 4.0, number)
-    assert number >= 10**9  # derived from the name, so equal in every process
+    assert number >= 10**9  # the number is derived from the name, so it is equal in every process
     assert found["m1"] == Endpoint(
         "m1", ("fd00::1", 5000), "momo", 7, "wallet-operator", "east-wing", draining=True
     )
--- a/tests/inventory/test_roundtrip.py
+++ b/tests/inventory/test_roundtrip.py
@@ -1,4 +1,4 @@
-"""Conversions between CSV and YAML keep the inventory; a diff has exactly the changed endpoints."""
+"""Conversions between CSV and YAML keep the inventory; a diff lists exactly the changed endpoints."""
 
 from __future__ import annotations
 
--- a/tests/inventory/test_stability.py
+++ b/tests/inventory/test_stability.py
@@ -16,9 +16,9 @@
 
 QUIET_PERIOD_S = 2.0
 A = FileSignature(1, 1, 10, 100, 100)
-B = FileSignature(1, 1, 12, 200, 200)  # written in place
+B = FileSignature(1, 1, 12, 200, 200)  # the file was written in place
 RENAMED = FileSignature(1, 2, 12, 200, 201)
-CREATED = FileSignature(1, 2, 12, 200, 200)  # new, perhaps still being written
+CREATED = FileSignature(1, 2, 12, 200, 200)  # the file is new, and may still be incomplete
 EMPTY = FileSignature(1, 2, 0, 200, 201)
 
 
@@ -92,7 +92,7 @@
         self.inventory = self.files.assemble()
 
     def scan(self, after: float) -> Inventory:
-        """Scan after a time; returns the inventory in use."""
+        """Scan `after` seconds later; return the inventory in use."""
         self.now += after
         if self.files.update(self.now, forced=False):
             with contextlib.suppress(RefusedError):  # the previous inventory stays in use
@@ -101,7 +101,7 @@
 
 
 def texts() -> tuple[str, str]:
-    """Return a file with fifty rows, and its text after some were changed and the last five removed."""
+    """Return the text of fifty rows, and the text after some were changed and the last five removed."""
     old = generated_inventory(50, 1)
     old.files = {"a.csv": old.files.pop("f00.yaml")}
     new = old.copy()
--- a/tests/net/test_http_carrier.py
+++ b/tests/net/test_http_carrier.py
@@ -93,7 +93,7 @@
 
 
 def test_a_reset_on_a_reused_connection_is_not_a_delivery() -> None:
-    """Guards against taking the 200 of the previous call for the response, by which messages were lost."""
+    """Guards against a fault that lost messages: the 200 of the previous call was taken for the response."""
 
     async def handle(exchange: Exchange) -> None:
         await exchange.answer(200) if exchange.headers["x-request-id"] == "m1" else exchange.reset()
@@ -230,7 +230,7 @@
 
 @pytest.mark.parametrize("answer", INVALID_RESPONSES)
 def test_after_an_invalid_response_the_outcome_is_reset_and_the_connection_is_closed(answer: bytes) -> None:
-    """The target keeps the connection open: only closing it here frees the slot before the time-out."""
+    """The target keeps the connection open, so only the carrier can free the slot before the time-out."""
 
     async def handle(exchange: Exchange) -> None:
         if exchange.headers["x-request-id"] != "m1":
@@ -386,7 +386,10 @@
 def test_a_message_that_times_out_while_its_call_connects_gets_its_outcome_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a late outcome: a message in a call with others used to wait for the connection."""
+    """Guards against a late outcome.
+
+    A message in a call with other messages used to wait until the connection was established.
+    """
 
     async def test() -> None:
         async with Peer(accept) as peer:
@@ -416,7 +419,7 @@
             items = [CallItem(n, 0, f"m{n}", "k", b"x", 10.0) for n in range(2)]
             caller.carrier.call(TARGET, items)
             seen = await peer.next()
-            caller.carrier.cancel(0, 1)  # no such attempt
+            caller.carrier.cancel(0, 1)  # attempt 1 does not exist
             caller.carrier.cancel(0, 0)
             first = await caller.outcomes.get()
             assert (first.ref, first.result) == (0, Result.CANCELLED)
--- a/tests/operations/test_http_server.py
+++ b/tests/operations/test_http_server.py
@@ -119,7 +119,7 @@
             status, headers = await request(port, "GET", "/healthz")
             assert status == 200 and "connection" not in headers
             assert (await call(operators, "GET", "/ops/readiness"))[0] == 200
-            # A drain that was not started.
+            # A stop without a started drain succeeds too.
             assert (await call(operators, "POST", "/ops/drain/stop"))[0] == 200
 
     run(test)
@@ -134,7 +134,7 @@
             writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
             await read_message(reader)
             writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
-            under_test.server.drain(True)  # before the loop has read it
+            under_test.server.drain(True)  # before the loop has read the request
             line, headers, _ = await read_message(reader)
             assert line.split()[1] == "503" and headers["connection"] == "close"
             writer.close()
@@ -166,7 +166,7 @@
                 assert (await call(operators, "GET", "/ops/readiness"))[0] == 200
                 assert await submit(port, f"m{number}") == 202
             for reader, _ in idle_connections:
-                assert await reader.read() == b""  # closed, by its time-out or by the limit of connections
+                assert await reader.read() == b""  # closed by its time-out or the connection limit
             responses = [await reader.read() for reader, _ in incomplete]
             assert any(response.startswith(b"HTTP/1.1 408") for response in responses)
             for _, writer in idle_connections + incomplete:
--- a/tests/operations/test_reload.py
+++ b/tests/operations/test_reload.py
@@ -33,7 +33,7 @@
 
 
 def load_config(folder: Path, document: dict[str, Any] | str) -> PlatformConfig:
-    """Read a file as SIGHUP does."""
+    """Write a document to a file, and read the file as SIGHUP does."""
     text = document if isinstance(document, str) else json.dumps(document)
     (folder / "config.json").write_text(text)
     return read_config({"EDGE_CONFIG": str(folder / "config.json"), "EDGE_STATE": str(folder)})
@@ -44,7 +44,7 @@
 
 
 def find_section(document: dict[str, Any], path: str) -> tuple[Any, str]:
-    """The section that contains the last key of a path, and that key."""
+    """Return the section that contains the last key of a path, and that key."""
     *steps, last = path.split(".")
     for step in steps:
         document = document[int(step)] if isinstance(document, list) else document[step]
@@ -146,7 +146,7 @@
             await target.next()  # m1 is in flight, and the target does not respond
             reload(with_classes(initial, STATUS))
             assert await submit("m2", "payout-2", Idempotency_Key="k") == 400
-            # In the same turn of the loop in which the class was removed.
+            # m1 is still in flight after its class was removed.
             metrics = await read_metrics(operators)
             assert metrics["concurrent"] == 1 and metrics["reload_success"] == 2
             metrics = await until(operators, {"concurrent": 0, "error.payout-2": 1})
@@ -184,7 +184,7 @@
 
 
 def test_a_message_keeps_the_effect_under_which_it_was_submitted() -> None:
-    """The class is keyed within a zone, then becomes safe: retries of the message stay in that zone."""
+    """The class is keyed within a zone, then becomes safe. Retries of the message stay in that zone."""
     settings = make_settings(separate=True)
     safe = tuple(replace(c, effect=Effect.SAFE, scope=Scope.ALL) for c in CATEGORIES)
     for seed in range(20):
@@ -221,7 +221,7 @@
 
 
 def journal_bytes(folder: Path) -> bytes:
-    """The contents of the only file of a journal."""
+    """Return the contents of the only file of a journal."""
     return next(folder.iterdir()).read_bytes()
 
 
--- a/tests/platform/test_forwarder.py
+++ b/tests/platform/test_forwarder.py
@@ -148,17 +148,17 @@
 
 
 def test_clients_that_keep_idle_connections_can_still_open_new_ones(tmp_path: Path) -> None:
-    """Clients open connections for at most a third of the descriptors, and the forwarder has more slots.
+    """Clients use at most a third of the descriptors, and the forwarder has more connection slots than that.
 
-    If it closed idle connections only when all slots are in use, clients could open none for a new request
-    (incident rf29a1f).
+    If the forwarder closed idle connections only when all slots are in use, clients could open no
+    connection for a new request (incident rf29a1f).
     """
 
     async def test() -> None:
         async with running_forwarder(tmp_path, accept, sockets=128) as (port, _, _, _):
             kept: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
             for number in range(120):
-                while len(kept) >= 128 // 3:  # none can be opened until the forwarder closes one
+                while len(kept) >= 128 // 3:  # the client opens no more until one is closed
                     ended = [asyncio.ensure_future(reader.read()) for reader, _ in kept]
                     done, rest = await asyncio.wait(ended, timeout=4, return_when=asyncio.FIRST_COMPLETED)
                     assert done, f"locked out after {number}"
@@ -246,7 +246,7 @@
 
 
 def batch_ids(body: bytes) -> list[bytes]:
-    """The ids of the messages of a batch, in order."""
+    """Return the ids of the messages of a batch, in order."""
     return [line.split()[0] for line in body.split(b"\r\n")[::2] if line]
 
 
@@ -272,7 +272,7 @@
             under_test,
         ):
             await deliver(port, target, under_test, "m0")
-            # One write with three requests is one loop turn, so it makes one call.
+            # Three requests in one write are read in one loop turn, so they make one call.
             assert await pipeline(port, ["a", "b", "c"]) == [202] * 3
             rejected = await target.next()
             assert rejected.path == "/v1/messages:batch" and rejected.body.count(b"\r\n") == 6
@@ -283,7 +283,10 @@
 
 
 def test_a_batch_is_ordered_by_deadline_with_the_latest_first(tmp_path: Path) -> None:
-    """A hung partner may answer a batch when its first message expires: all must have expired by then."""
+    """A hung partner may answer a batch when the batch's first message expires.
+
+    All other messages must have expired by then.
+    """
 
     async def test() -> None:
         async with running_forwarder(tmp_path, accept, flavor="wallet-operator") as (
@@ -367,7 +370,7 @@
             answered = loop.time()
             assert await asyncio.wait_for(platform.watches.get(), 10) - answered < 0.2
             platform.down = True
-            platform.change([])  # the open watch gets its answer, the next ones get 503
+            platform.change([])  # the open watch gets its answer, the next watches get 503
             assert await asyncio.wait_for(platform.watches.get(), 10)
             platform.down = False
             assert await asyncio.wait_for(platform.watches.get(), 10)
@@ -467,7 +470,7 @@
 def test_after_an_invalid_request_a_connection_is_answered_once_and_closed(
     tmp_path: Path, sent: bytes, status: int
 ) -> None:
-    """The data after an invalid request may contain another message: it must be ignored."""
+    """The data after an invalid request may contain another message, which must be ignored."""
 
     async def test() -> None:
         async with running_forwarder(tmp_path, never_respond) as (port, _, _, under_test):
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -52,7 +52,7 @@
 
 
 def has_completed_message(state: Path) -> bool:
-    """Whether the journal has a message that is completed and has no notice to be sent."""
+    """Return whether the journal has a completed message without a pending notice."""
     return any(b'"over"' in path.read_bytes() for path in state.iterdir())
 
 
@@ -93,7 +93,7 @@
 def test_a_message_in_flight_at_a_kill_is_retried_only_if_its_class_allows_it(
     tmp_path: Path, headers: dict[str, Any], repeated: bool
 ) -> None:
-    """It may have been executed, so an unsafe message fails and is not reported as rejected."""
+    """The message may have been executed. If it is unsafe, it fails and is not reported as rejected."""
 
     async def test() -> None:
         async with running_process(tmp_path, never_respond) as (process, target, platform, _):
@@ -342,8 +342,8 @@
 def test_sighup_moves_discovery_and_notices_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     """Guards against SIGHUP ending the process.
 
-    The old address does not confirm the notice and its target does not respond: the notice and the message m2
-    must be sent to the new addresses.
+    The old address does not confirm the notice, and the old target does not respond. The notice and the
+    message m2 must therefore be sent to the new addresses.
     """
 
     async def test() -> None:
@@ -358,7 +358,7 @@
             for text in ("{", json.dumps({"discovery": "127.0.0.1:1"})):
                 process.configure(text)
                 process.process.send_signal(signal.SIGHUP)
-            assert await process.submit("m2") == 202  # stays open: the only target does not respond
+            assert await process.submit("m2") == 202  # m2 stays open: the only target does not respond
             while (await target.next()).headers["x-request-id"] != "m2":
                 pass
             for revision in (1, 2):  # two changes; the second service has no higher revision
--- a/tests/simulation/test_control_plane.py
+++ b/tests/simulation/test_control_plane.py
@@ -1,4 +1,7 @@
-"""Random days of the control plane: the production code passes them, and code with a planted fault fails."""
+"""Simulated days of the control plane with random faults.
+
+The production code passes them, and code with a planted fault fails.
+"""
 
 from __future__ import annotations
 
@@ -64,11 +67,11 @@
 LOSSY = LinkConditions(0.004, loss_share=0.2, duplicate_share=0.1, late_share=0.1)
 SLOW = LinkConditions(
     0.03, duplicate_share=0.1, late_share=0.02
-)  # with long delays, much can happen between two votes
+)  # long delays leave time for other events between two votes
 
 
 def small_group(seed: int) -> DayPlan:
-    """A day of three machines with frequent cuts and losses, on which a wrong vote shows sooner."""
+    """A day of three machines with frequent partitions and losses, which reveal a wrong vote sooner."""
     drawn = draw_plan(seed)
     return dataclasses.replace(
         drawn,
@@ -93,7 +96,7 @@
 
 
 def failures_with(plant: Callable[[], None]) -> str:
-    """The failures of the first day that detects a planted fault; empty if none does."""
+    """Return the failures of the first day that detects a planted fault; empty if none does."""
     plant()
     for seed in range(MAX_DAYS):
         for plan in (small_group(seed), draw_plan(seed)):
@@ -106,7 +109,8 @@
 def test_unsynced_promises_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """Planted fault: the newest writes are lost when the process ends, as if they had not been synced."""
     interrupt_writes, write = SimulatedDisk.interrupt_writes, SimulatedStorage.write
-    earlier: dict[int, tuple[SimulatedDisk, list[Files]]] = {}  # a disk that is referenced here keeps its id
+    # Keyed by id(disk). The stored reference prevents another disk from getting the same id.
+    earlier: dict[int, tuple[SimulatedDisk, list[Files]]] = {}
 
     def write_unsynced(storage: SimulatedStorage, record: AcceptorRecord) -> None:
         disk = storage._disk
@@ -193,7 +197,8 @@
     """Planted fault: a machine that lost its disk restarts with a copy of its first write."""
     lose = SimulatedDisk.lose
     write = SimulatedStorage.write
-    copies: dict[int, tuple[SimulatedDisk, Files]] = {}  # a disk that is referenced here keeps its id
+    # Keyed by id(disk). The stored reference prevents another disk from getting the same id.
+    copies: dict[int, tuple[SimulatedDisk, Files]] = {}
 
     def write_and_copy(storage: SimulatedStorage, record: AcceptorRecord) -> None:
         write(storage, record)
--- a/tests/simulation/test_maintenance.py
+++ b/tests/simulation/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Changes of the group of voters that were wrong on random simulated days."""
+"""Cases in which random simulated days showed a wrong change of the group of voters."""
 
 from __future__ import annotations
 
@@ -27,12 +27,18 @@
 
 @pytest.mark.parametrize("unheard", [report("a", False), report("a", False, 1.0), report("a", True, 1.0)])
 def test_a_group_does_not_shrink_if_a_remaining_voter_is_unreachable(unheard: MemberReport) -> None:
-    """Day 199: one of three voters was lost, one decommissioned; a group of the other two can't decide."""
+    """Day 199: of three voters, one was lost and one was decommissioned.
+
+    A group without the decommissioned voter can't decide, because one of its two voters is lost.
+    """
     assert next_change(DECOMMISSIONING, REACHABLE | {"a": unheard}, FaultTolerance()) is None
 
 
 def test_an_unreachable_voter_is_replaced_before_a_decommissioned_one() -> None:
-    """Day 304031: the decommissioned voter was replaced first; the next loss left only one of three."""
+    """Day 304031: the decommissioned voter was replaced before the unreachable one.
+
+    The next loss then left only one of three voters.
+    """
     members = REACHABLE | {"a": report("a", False, 9.0), "d": report("d")}
     change = next_change(DECOMMISSIONING, members, FaultTolerance())
     assert isinstance(change, SetVoters)
--- a/tests/simulation/test_maintenance_loop.py
+++ b/tests/simulation/test_maintenance_loop.py
@@ -65,7 +65,10 @@
     waited: float,
     seed: Voter | None = FOUNDING_VOTER,
 ) -> set[str]:
-    """The voters after one step of a machine whose initial state has one seed; empty without a group."""
+    """Return the voters after one step of a machine; empty if no group was founded.
+
+    `seed` is the founding voter in the machine's initial state.
+    """
 
     async def take_step() -> set[str]:
         record = AcceptorRecord(Voter("a", "disk of a"), seed, ControlState(voters=(FOUNDING_VOTER,)))
--- a/tests/simulation/test_operator_history.py
+++ b/tests/simulation/test_operator_history.py
@@ -132,7 +132,10 @@
 
 
 def _is_linearizable(calls: tuple[OperatorCall, ...]) -> bool:
-    """Try all orders; a change without an answer may be omitted, or take effect at any later time."""
+    """Return whether any order of the calls is a linearization.
+
+    A change without an answer may be omitted, or may take effect at any later time.
+    """
     clear = [call for call in calls if call.confirmed]
     unclear = [call for call in calls if call.kind is CallKind.REPLACE and call.status is None]
     for count in range(len(unclear) + 1):
@@ -170,7 +173,7 @@
 
 
 def test_the_rules_agree_with_a_search_for_a_linearization() -> None:
-    """Small random histories of one text for each revision, checked against a search of all orders."""
+    """Small random histories, with one text for each revision, are checked by a search of all orders."""
     rng = random.Random(1)
     verdicts = set()
     for _ in range(1500):
--- a/tests/simulation/test_register_disk.py
+++ b/tests/simulation/test_register_disk.py
@@ -61,7 +61,7 @@
 
 
 class SlowDisk:
-    """A disk whose writes continue even if their caller is cancelled; each takes longer than the next."""
+    """A disk whose writes continue after their caller is cancelled; each takes twice as long as the next."""
 
     def __init__(self) -> None:
         self.written: list[int] = []
@@ -84,7 +84,10 @@
 
 
 def test_a_write_with_a_cancelled_caller_is_completed_before_the_next_begins() -> None:
-    """A cancelled read was writing version 5 when version 6 is learned; 5 must not overwrite 6."""
+    """The write of version 5 goes on after its caller is cancelled, while version 6 is learned.
+
+    Version 5 must not overwrite version 6.
+    """
 
     async def learn_two_versions() -> None:
         disk = SlowDisk()
--- a/tests/standalone/test_fleet_integration.py
+++ b/tests/standalone/test_fleet_integration.py
@@ -63,7 +63,7 @@
     async def test() -> None:
         gateway, port = await start_single_member_gateway(tmp_path, row("m1"))
         assert gateway.fleet is not None
-        gateway.fleet.service.close()  # so that the service does not replace the shares that are set here
+        gateway.fleet.service.close()  # a closed service does not replace the shares that are set here
         gateway.fleet.on_quota_share(QuotaShare(3, 1 / 12, frozenset({"payout"})))
         assert await submit(port, "p1", "m1-bank") == 429
         gateway.fleet.on_quota_share(QuotaShare(3, 1 / 3, frozenset()))
--- a/tests/standalone/test_gateway.py
+++ b/tests/standalone/test_gateway.py
@@ -58,7 +58,7 @@
         ):
             assert await submit(port, "p1", X_Timeout_Ms="600") == 202
             assert await message_state(port, "p1") == {"id": "p1", "state": "held"}
-            assert await final_state(port, "p1") == "failed"  # the partner may have executed it
+            assert await final_state(port, "p1") == "failed"  # the partner may have executed the message
             assert [(e["id"], e["state"]) for e in logged_outcomes(tmp_path)] == [("p1", "failed")]
 
     run_async_test(test)
@@ -85,7 +85,10 @@
 
 
 def test_messages_to_a_removed_endpoint_have_one_outcome_each(tmp_path: Path) -> None:
-    """One message is in flight, one is queued and one is submitted after the removal of their endpoint."""
+    """When their endpoint is removed, one message is in flight and one is queued.
+
+    A third message is submitted after the removal.
+    """
 
     async def test() -> None:
         may_respond = asyncio.Event()
@@ -143,7 +146,10 @@
 
 
 def test_a_drain_that_arrives_before_a_retry_prevents_it(tmp_path: Path) -> None:
-    """The partner did not execute the first attempt, so a retry is due at once, while the endpoint drains."""
+    """The partner did not execute the first attempt, so a retry is due at once.
+
+    The endpoint is draining by then.
+    """
 
     async def test() -> None:
         gateways: list[StandaloneGateway] = []
@@ -191,7 +197,7 @@
 
 
 def test_an_endpoint_that_moves_to_another_wing_gets_no_retry_from_the_earlier_wing(tmp_path: Path) -> None:
-    """A payout that may have been executed in the east wing is not sent to its address in the west wing."""
+    """A payout that may have been executed in the east wing is not sent again in the west wing."""
 
     async def test() -> None:
         async with (
@@ -297,7 +303,7 @@
             peer.handler = accept
             await running.start()
             again = await peer.next()
-            assert again.headers["idempotency-key"] == "p1"  # it may be repeated: same key, wing and window
+            assert again.headers["idempotency-key"] == "p1"  # the key, wing and window allow a repeat
             assert await final_state(running.port, "p1") == "delivered"
             await running.kill()
             await running.start()
@@ -310,7 +316,7 @@
 def test_sighup_reloads_the_inventory_and_sigterm_stops_the_gateway(tmp_path: Path) -> None:
     async def test() -> None:
         async with Peer(accept) as peer, gateway_process(tmp_path, inventory_row("m1", peer)) as running:
-            (tmp_path / "inventory" / "b.csv").write_text("id\n")  # not replaced atomically, and invalid
+            (tmp_path / "inventory" / "b.csv").write_text("id\n")  # invalid, and written in place
             running.process.send_signal(signal.SIGHUP)
             while "b.csv:1" not in running.log() and "b.csv" not in running.log():
                 await asyncio.sleep(0.02)
--- a/tests/standalone/test_outcome_log.py
+++ b/tests/standalone/test_outcome_log.py
@@ -18,7 +18,7 @@
 
 
 class ObservedLog:
-    """An outcome log, and the refs that it has confirmed."""
+    """An outcome log, and the refs of the messages whose outcomes it has confirmed."""
 
     def __init__(self, folder: Path, limit: int = 1 << 20, max_in_memory: int = 100) -> None:
         self.confirmed: list[int] = []
@@ -56,7 +56,7 @@
         observed = ObservedLog(tmp_path)
         observed.outcomes.add(1, {"ref": "a", "result": "delivered"})
         await observed.wait_until_written()
-        restarted = ObservedLog(tmp_path)  # as after a kill before the confirmation
+        restarted = ObservedLog(tmp_path)  # as after a kill of the first process before the confirmation
         restarted.outcomes.add(1, {"ref": "a", "result": "delivered"})
         await restarted.wait_until_written()
         assert restarted.confirmed == [1] and lines(tmp_path / CURRENT_FILE) == ["a"]
--- a/tests/store/test_group_sync.py
+++ b/tests/store/test_group_sync.py
@@ -19,7 +19,7 @@
 
 
 class Disk:
-    """A disk whose syncs block until the test completes the future in `started`."""
+    """A disk whose syncs block until the test completes the future that they put into `started`."""
 
     def __init__(self) -> None:
         self.started: asyncio.Queue[asyncio.Future[None]] = asyncio.Queue()
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -39,7 +39,7 @@
     journal.update(one)
     journal.update(two)
     journal.remove(three)
-    assert reread(tmp_path) == {1: one, 2: two}  # neither closed nor synced, as after SIGKILL
+    assert reread(tmp_path) == {1: one, 2: two}  # the journal is neither closed nor synced, as after SIGKILL
 
 
 def test_a_torn_tail_and_a_damaged_record_are_skipped_and_others_are_read(tmp_path: Path) -> None:
@@ -49,7 +49,7 @@
         journal.add(entry(ref, 100))
     (path,) = tmp_path.iterdir()
     data = bytearray(path.read_bytes())
-    data[len(data) // 2] ^= 0xFF  # in the second record
+    data[len(data) // 2] ^= 0xFF  # this offset is in the second record
     path.write_bytes(bytes(data[:-5]))  # the third record is torn
     assert list(reread(tmp_path)) == [1]
 
--- a/tests/storm/planted.py
+++ b/tests/storm/planted.py
@@ -50,7 +50,7 @@
 
 
 def passes_no_waits_on() -> None:
-    """Do not share the waits that one member was asked for with the other members."""
+    """Do not share the Retry-After times that one member receives with the other members."""
     FleetService.share_endpoint_hold = lambda self, target, seconds: None  # type: ignore[method-assign]
 
 
@@ -60,7 +60,7 @@
 
 
 def the_later_one_halts(patch: Callable[..., None]) -> None:
-    """Make the later of two processes with one name exit while it joins, instead of the earlier one."""
+    """Of two processes with one name, make the later one exit while it joins, not the earlier one."""
     on_update = OwnIdentity.on_update
 
     def halt_while_joining(self: OwnIdentity, now: float, update: MemberUpdate) -> None:
@@ -95,7 +95,7 @@
 
 
 def program(name: str) -> tuple[str, ...]:
-    """Return the arguments of Python that run the program with a bug."""
+    """Return the command-line arguments with which Python runs the program with a planted bug."""
     return ("-m", "tests.storm.planted", f"--plant={name}")
 
 
--- a/tests/storm/test_message_rules.py
+++ b/tests/storm/test_message_rules.py
@@ -1,4 +1,7 @@
-"""The rules on messages, on hand-written histories: a valid one has no breach, and each rule rejects one."""
+"""The rules on messages, checked on hand-written histories.
+
+A valid history has no breach, and each rule rejects an invalid one.
+"""
 
 from __future__ import annotations
 
--- a/tests/storm/test_plan.py
+++ b/tests/storm/test_plan.py
@@ -1,4 +1,4 @@
-"""Plans: written and parsed, generated, and rejected with the invalid key."""
+"""Plans of storms: writing, parsing, generation, and errors that name the invalid key."""
 
 from __future__ import annotations
 
--- a/tests/storm/test_relay.py
+++ b/tests/storm/test_relay.py
@@ -12,7 +12,7 @@
 from emberlatch.storm.relay import DirectionFaults, Relay
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-NO_DATA_S = 0.3  # time in which no data must arrive
+NO_DATA_S = 0.3  # no data may arrive during this time
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
--- a/tests/storm/test_storms.py
+++ b/tests/storm/test_storms.py
@@ -45,8 +45,8 @@
 
 SLOW = Fault(0.5, "slow", ("p1-east", "p1-west", "p2-east", "p2-west"), until=5.5)
 FULL = Fault(2.0, "full", ("p1-east", "p1-west"), until=9.5)
-"""The rule on shared waits applies only if no member has started or stalled for `QUIET_BEFORE_WAIT_S`, so the
-endpoints stay full for several times as long."""
+"""The rule on shared waits applies only if no member has started or stalled for `QUIET_BEFORE_WAIT_S`.
+The endpoints therefore stay full for several times that period."""
 KILLS = tuple(Fault(at, "kill", ("f0", "f1", "f2"), amount=0.05) for at in (2.0, 3.5, 5.0))
 
 
--- a/tests/storm/test_virtual_fleet.py
+++ b/tests/storm/test_virtual_fleet.py
@@ -69,12 +69,12 @@
     )
 
 
-# Planted bugs. Each breaks one of its rules in BUGS in the storm of at least one of the generated plans. The
-# function names are test ids.
+# Planted bugs. For each bug, at least one generated plan breaks a rule that BUGS lists for the bug.
+# The function names are test ids.
 
 
 def no_incarnation(patch: Callable[..., None]) -> None:
-    """Do not refute false updates about the member itself with a later incarnation."""
+    """Never take a later incarnation to refute a false update about the member itself."""
     advance = OwnIdentity._advance_to
     patch(OwnIdentity, "_advance_to", lambda self, inc: None if inc & 0xFFFFF else advance(self, inc))
 
@@ -131,7 +131,7 @@
 
 
 def holds_itself_cut_off(patch: Callable[..., None]) -> None:
-    """Answers to probes never end an isolation that a stall caused."""
+    """Never let answers to probes end an isolation that a stall caused."""
     review = IsolationDetector.review
 
     def skip_after_stall(self: IsolationDetector, now: float) -> None:
--- a/tests/takeover/test_connection.py
+++ b/tests/takeover/test_connection.py
@@ -48,7 +48,7 @@
 
     async def send(connection: UnixConnection, pipes: list[tuple[int, int]]) -> None:
         connection.post("a", n=1)
-        # Larger than the socket buffer.
+        # This frame is larger than the socket buffer.
         await connection.send("b", {"text": "x" * 3_000_000}, [pipes[0][0], pipes[1][0]])
         await connection.send("c", {}, [pipes[2][0]])
 
@@ -94,7 +94,7 @@
     folder = tmp_path.joinpath(*(["a-long-name-of-a-folder"] * depth))
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / "handover.sock"
-    listen(path).close()  # a socket file as an ended process leaves it
+    listen(path).close()  # leaves a socket file without a listener, as an ended process does
     with pytest.raises(ConnectionRefusedError):
         connect(path)
     listener = listen(path)
--- a/tests/takeover/test_folder_lock.py
+++ b/tests/takeover/test_folder_lock.py
@@ -15,7 +15,7 @@
     assert one.acquire() and one.acquire() and not two.acquire()
     one.release()
     assert two.acquire() and not one.acquire()
-    two.close()  # has the same effect as the end of the process
+    two.close()  # closing it has the same effect as the end of the process
     assert one.acquire()
     assert (tmp_path / "lock").stat().st_size == 0
     one.close()
--- a/tests/takeover/test_processes.py
+++ b/tests/takeover/test_processes.py
@@ -63,7 +63,7 @@
 
 
 class Machine:
-    """The platform: holds the listening socket, and starts processes on one state folder."""
+    """The platform, which holds the listening socket and starts processes on one state folder."""
 
     def __init__(self, folder: Path, service: Peer, known: dict[str, Any]) -> None:
         self.folder, self.service, self.known = folder, service, known
@@ -246,7 +246,7 @@
             before, after = await read_metrics(setup.owner.operators), await read_metrics(new.operators)
             assert after["concurrent"] == 1 and before["concurrent"] == 0
             assert setup.owner.process.returncode is None  # the predecessor waits for the call
-            # Ignored: it does not reload its settings any more.
+            # The predecessor ignores SIGHUP: it does not reload its settings any more.
             setup.owner.process.send_signal(signal.SIGHUP)
             await setup.call.answer(200)
             category = headers.get("X_Priority_Class", "status-update")
@@ -280,7 +280,10 @@
 
 
 def test_the_first_of_three_processes_aborts_its_calls_when_the_second_is_killed(tmp_path: Path) -> None:
-    """Outcomes can't be relayed any more, and the third process sends again: the old calls must not go on."""
+    """Outcomes can no longer be relayed, and the third process sends the message again.
+
+    The first process must therefore abort its call.
+    """
 
     async def test() -> None:
         async with call_in_flight(tmp_path) as setup:
@@ -322,7 +325,7 @@
             new = await setup.platform.ready()
             setup.target.handler = accept
             setup.owner.process.kill()
-            if headers is ORDER:  # it may have been executed, and must not be executed twice
+            if headers is ORDER:  # the message may have been executed, and must not be executed twice
                 assert await setup.service.notice() == {"ref": "m1", "result": "dead"}
                 assert setup.target.exchanges.qsize() == 1
             else:
@@ -342,7 +345,7 @@
                 new = await platform.ready()
                 new.process.kill()
                 await new.ended()
-                # It has handed over everything; the platform starts another process.
+                # The process has handed over everything; the platform starts another one.
                 assert await old.ended() == 0
                 third = await platform.ready()
                 assert await (await platform.client()).submit("m2") == 202
@@ -354,7 +357,7 @@
             else:
                 connection = UnixConnection(connect(platform.handover_path()))
             connection.close()
-            assert await client.submit("m2") == 202  # on its existing connection
+            assert await client.submit("m2") == 202  # on the client's existing connection
             await old.ready()
             assert await (await platform.client()).submit("m3") == 202
             await until(old.operators, {"success.status-update": 3, "concurrent": 0})
@@ -369,7 +372,7 @@
         async with call_in_flight(tmp_path) as setup:
             connection, frame = await setup.platform.request_handover()
             assert frame is not None and frame.body["module"]["calls"]
-            await setup.call.answer(200)  # arrives while the owner is unknown
+            await setup.call.answer(200)  # the response arrives while the owner is unknown
             setup.client.send("m2")
             second, reply = await setup.platform.request_handover()
             assert reply is not None and reply.kind == "busy"
@@ -465,7 +468,7 @@
             seen = [
                 target.exchanges.get_nowait().headers["x-request-id"] for _ in range(target.exchanges.qsize())
             ]
-            assert sorted(seen) == sorted(names)  # each message once
+            assert sorted(seen) == sorted(names)  # each message was sent once
 
     run(test)
 
@@ -563,7 +566,7 @@
             document["settings"]["categories"].append(extra)
             old.process.send_signal(signal.SIGSTOP)
             new = await platform.start()
-            while not (await figures_or_none(new)):  # it has not read its settings file yet
+            while not (await figures_or_none(new)):  # the new process may not have read its settings yet
                 await asyncio.sleep(0.01)
             (tmp_path / "new.json").write_text(json.dumps(document))
             (tmp_path / "new.json").replace(tmp_path / "config.json")
--- a/tests/takeover/test_state_machine.py
+++ b/tests/takeover/test_state_machine.py
@@ -53,7 +53,7 @@
     state_machine.on_no_answer()
     state_machine.on_ownership_taken()
     assert state_machine.state is HandoverState.RELAYING
-    state_machine.on_lock_reacquired()  # too late: ignored
+    state_machine.on_lock_reacquired()  # this comes too late and is ignored
     assert state_machine.state is HandoverState.RELAYING
 
 
